--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <unordered_set>
 
+#include "model/key_value.h"
+#include "wire/json.h"
+
 namespace hallpier::api {
 namespace {
 
@@ -27,7 +30,7 @@
 
 UserApi::Found UserApi::FromMemory(const std::string& id) const {
   Found out;
-  if (auto it = finals_.find(id); it != finals_.end()) {
+  if (auto it = dependency_outcomes_.find(id); it != dependency_outcomes_.end()) {
     out.kind = Found::Kind::kFinal;
     out.final_record = it->second;
   }
@@ -35,15 +38,15 @@
 }
 
 void UserApi::Remember(const std::string& id, const store::FinalRecord& r) {
-  if (!finals_.emplace(id, r).second) return;
+  if (!dependency_outcomes_.emplace(id, r).second) return;
   finals_order_.push_back(id);
   if (static_cast<double>(finals_order_.size()) > kFinalsPerMb * deps_.settings->memory_mb) {
-    finals_.erase(finals_order_.front());
+    dependency_outcomes_.erase(finals_order_.front());
     finals_order_.pop_front();
   }
 }
 
-rt::Task<UserApi::Found> UserApi::Lookup(std::string id) {
+async::Task<UserApi::Found> UserApi::Lookup(std::string id) {
   Found out = FromMemory(id);
   if (out.kind == Found::Kind::kFinal) co_return out;
   // In this order: a job moves from active to final, never back.
@@ -56,7 +59,7 @@
     out.version = active.value.version;
     // What this node tells it must be able to hand over: a cancellation that was read here is told
     // here, and the node that recorded it may be gone.
-    deps_.replica->Apply(active.value.key, active.value.value, active.value.version);
+    deps_.cache->Apply(active.value.key, active.value.value, active.value.version);
     co_return out;
   }
   if (active.status != store::Status::kNotFound) co_return out;
@@ -64,7 +67,7 @@
   co_return out;
 }
 
-rt::Task<UserApi::Found> UserApi::LookupFinal(std::string id) {
+async::Task<UserApi::Found> UserApi::LookupFinal(std::string id) {
   Found out;
   auto entry = co_await deps_.client->Get(store::FinalKey(id));
   if (entry.ok()) {
@@ -79,15 +82,15 @@
   co_return out;
 }
 
-rt::Task<UserApi::Found> UserApi::LookupShared(std::string id) {
+async::Task<UserApi::Found> UserApi::LookupShared(std::string id) {
   Found out = FromMemory(id);
   if (out.kind == Found::Kind::kFinal) co_return out;
-  const bool fresh = co_await deps_.barrier->Reached();
+  const bool fresh = co_await deps_.linearizable_read->Reached();
   if (!fresh) {
     out = co_await Lookup(std::move(id));
     co_return out;
   }
-  if (const jobs::Job* job = deps_.ledger->Find(id)) {
+  if (const jobs::Job* job = deps_.job_table->Find(id)) {
     out.kind = Found::Kind::kActive;
     out.job.cancelled = job->cancelled;
     out.warm = true;
@@ -98,27 +101,27 @@
   co_return out;
 }
 
-rt::Task<UserApi::Found> UserApi::LookupWhole(std::string id) {
+async::Task<UserApi::Found> UserApi::LookupWhole(std::string id) {
   while (true) {
     Found found = co_await LookupShared(id);
     if (found.kind != Found::Kind::kActive || found.job.cancelled) co_return found;
     if (!found.warm) {
       // No node may have told a cancellation that this one does not know of. What has been released
       // can't be cancelled by way of others any more.
-      const jobs::Job* job = deps_.ledger->Find(id);
-      if (found.job.spec.awaits.empty() || (job != nullptr && !job->held)) co_return found;
+      const jobs::Job* job = deps_.job_table->Find(id);
+      if (found.job.spec.awaits.empty() || (job != nullptr && !job->blocked)) co_return found;
       const Fate fate = co_await FateOf(found.job.spec.awaits);
       if (fate == Fate::kUnknown) co_return Found();
       found.job.cancelled = fate == Fate::kCancelled;
       co_return found;
     }
-    if (deps_.ledger->pipelines().Settled(id)) co_return found;
+    if (deps_.job_table->dependency_graph().Settled(id)) co_return found;
     const bool settled = co_await deps_.settled(id, deps_.client->timeout_s());
     if (!settled) co_return Found();
   }
 }
 
-rt::Task<UserApi::Fate> UserApi::FateOf(std::vector<std::string> awaits) {
+async::Task<UserApi::Fate> UserApi::FateOf(std::vector<std::string> awaits) {
   std::vector<std::string> next = std::move(awaits);
   std::unordered_set<std::string> seen;
   int reads = 0;
@@ -126,17 +129,17 @@
     const std::string id = std::move(next.back());
     next.pop_back();
     if (!seen.insert(id).second) continue;
-    if (const store::FinalRecord* known = deps_.ledger->pipelines().Final(id)) {
-      if (known->phase == wire::Phase::kCancelled) co_return Fate::kCancelled;
+    if (const store::FinalRecord* known = deps_.job_table->dependency_graph().Final(id)) {
+      if (known->phase == model::JobPhase::kCancelled) co_return Fate::kCancelled;
       continue;
     }
     // What the copy calls cancelled is so, however old it is; the rest it may not know yet.
-    const jobs::Job* job = deps_.ledger->Find(id);
+    const jobs::Job* job = deps_.job_table->Find(id);
     if (job != nullptr && job->cancelled) co_return Fate::kCancelled;
     if (++reads > kMostReads) co_return Fate::kUnknown;
     Found found = co_await Lookup(id);
     if (found.kind == Found::Kind::kFinal) {
-      if (found.final_record.phase == wire::Phase::kCancelled) co_return Fate::kCancelled;
+      if (found.final_record.phase == model::JobPhase::kCancelled) co_return Fate::kCancelled;
     } else if (found.kind == Found::Kind::kActive) {
       if (found.job.cancelled) co_return Fate::kCancelled;
       const auto& more = found.job.spec.awaits;
@@ -148,15 +151,15 @@
   co_return Fate::kGoesOn;
 }
 
-rt::Task<std::optional<wire::HttpResponse>> UserApi::CheckAwaits(std::vector<std::string> awaits,
-                                                                 bool* cancelled) {
+async::Task<std::optional<wire::HttpResponse>> UserApi::CheckAwaits(std::vector<std::string> awaits,
+                                                                    bool* cancelled) {
   // Sorted out here as far as is known; what is not, every node finds out for itself later on.
   *cancelled = false;
-  const bool warm = co_await deps_.barrier->Reached();
+  const bool warm = co_await deps_.linearizable_read->Reached();
   for (const std::string& id : awaits) {
     bool service = false;
-    if (const jobs::Job* job = deps_.ledger->Find(id)) {
-      service = job->spec.shape == wire::Shape::kService;
+    if (const jobs::Job* job = deps_.job_table->Find(id)) {
+      service = job->spec.kind == model::JobKind::kService;
       *cancelled = *cancelled || job->cancelled;
     } else {
       // Not active by then, if the copy is fresh: it is final, or was never there.
@@ -173,9 +176,9 @@
       }
       if (found.kind == Found::Kind::kUnknown) co_return NotNow("the state service is not there");
       const bool active = found.kind == Found::Kind::kActive;
-      service = active && found.job.spec.shape == wire::Shape::kService;
+      service = active && found.job.spec.kind == model::JobKind::kService;
       *cancelled = *cancelled || (active ? found.job.cancelled
-                                         : found.final_record.phase == wire::Phase::kCancelled);
+                                         : found.final_record.phase == model::JobPhase::kCancelled);
     }
     if (service) co_return Answer(422, wire::WriteError(id + " never ends", "awaits"));
   }
@@ -184,7 +187,7 @@
 
 wire::HttpResponse UserApi::Status(const std::string& id, const Found& found) const {
   if (found.kind == Found::Kind::kFinal) {
-    wire::JobStatus s;
+    model::JobStatus s;
     s.id = id;
     s.phase = found.final_record.phase;
     s.done = found.final_record.done;
@@ -192,25 +195,25 @@
   }
   // Counts are for display and may lag; that it is not cancelled comes from the fresh read. The
   // warm copy may know more by now, and what is cancelled stays so.
-  wire::JobStatus s;
+  model::JobStatus s;
   s.id = id;
-  if (const jobs::Job* job = deps_.ledger->Find(id)) s = job->Status();
-  if (found.job.cancelled) s.phase = wire::Phase::kCancelled;
+  if (const jobs::Job* job = deps_.job_table->Find(id)) s = job->Status();
+  if (found.job.cancelled) s.phase = model::JobPhase::kCancelled;
   return Answer(200, wire::WriteStatus(s));
 }
 
-std::optional<wire::BadField> UserApi::NeverRuns(const wire::JobSpec& spec) const {
+std::optional<wire::BadField> UserApi::NeverRuns(const model::JobSpec& spec) const {
   const config::Team* team = deps_.settings->FindTeam(spec.team);
   if (team == nullptr) return wire::BadField{"tenant", "unknown team"};
-  const bool fits =
-      std::any_of(deps_.flavors->begin(), deps_.flavors->end(), [&](const wire::Flavor& f) {
+  const bool fits = std::any_of(
+      deps_.machine_types->begin(), deps_.machine_types->end(), [&](const model::MachineType& f) {
         const bool there = spec.zone.empty() || f.zones.empty() ||
                            std::find(f.zones.begin(), f.zones.end(), spec.zone) != f.zones.end();
-        return spec.AllowsFlavor(f.name) && there && spec.cpus <= f.cpus && spec.gpus <= f.gpus &&
-               spec.memory_gb <= f.memory_gb;
+        return spec.AllowsMachineType(f.name) && there && spec.cpus <= f.cpus &&
+               spec.gpus <= f.gpus && spec.memory_gb <= f.memory_gb;
       });
   if (!fits) return wire::BadField{"flavors", "a task fits no allowed machine type"};
-  const double together = spec.shape == wire::Shape::kService ? spec.tasks : 1;
+  const double together = spec.kind == model::JobKind::kService ? spec.tasks : 1;
   if ((team->cpus_max > 0 && together * spec.cpus > team->cpus_max) ||
       (team->gpus_max > 0 && together * spec.gpus > team->gpus_max)) {
     return wire::BadField{"pieces", "needs more than the team's limit"};
@@ -218,18 +221,18 @@
   return std::nullopt;
 }
 
-rt::Task<wire::HttpResponse> UserApi::Submit(std::string body) {
+async::Task<wire::HttpResponse> UserApi::Submit(std::string body) {
   auto doc = wire::ParseObject(body);
   if (!doc) co_return Answer(400, wire::WriteError("not a JSON object"));
   wire::BadField bad;
   auto spec = wire::ReadJobSpec(*doc, &bad);
   std::optional<wire::BadField> never;
-  if (spec && !deps_.flavors->empty()) never = NeverRuns(*spec);
+  if (spec && !deps_.machine_types->empty()) never = NeverRuns(*spec);
   if (!spec || never) {
     // Whoever was told "accepted" once must never be told anything worse, whatever came of the body
     // or of the machine types since.
     const std::string id = spec ? spec->id : wire::GetText(*doc, "id").value_or("");
-    if (wire::IsJobId(id)) {
+    if (model::IsJobId(id)) {
       Found found = co_await LookupWhole(id);
       if (found.kind == Found::Kind::kUnknown) co_return NotNow("the state service is not there");
       if (found.kind != Found::Kind::kNever) co_return Status(id, found);
@@ -237,9 +240,9 @@
     if (!spec) co_return Answer(400, wire::WriteError(bad.reason, bad.field));
     co_return Answer(422, wire::WriteError(never->reason, never->field));
   }
-  if (deps_.flavors->empty()) co_return NotNow("machine types are not known yet");
+  if (deps_.machine_types->empty()) co_return NotNow("machine types are not known yet");
   const std::string id = spec->id;
-  if (!finals_.contains(id) && deps_.ledger->Find(id) == nullptr) {
+  if (!dependency_outcomes_.contains(id) && deps_.job_table->Find(id) == nullptr) {
     std::optional<wire::HttpResponse> answer = co_await Accept(std::move(*spec));
     if (answer) co_return std::move(*answer);
   }
@@ -250,7 +253,7 @@
   co_return NotNow("the state service is not there");
 }
 
-rt::Task<std::optional<wire::HttpResponse>> UserApi::Accept(wire::JobSpec spec) {
+async::Task<std::optional<wire::HttpResponse>> UserApi::Accept(model::JobSpec spec) {
   const std::string id = spec.id;
   store::JobRecord record;
   record.spec = std::move(spec);
@@ -260,7 +263,7 @@
   const double most = deps_.settings->least().value_kb * 1024;
   record.group = deps_.formats->group();
   if (static_cast<double>(store::WriteJob(record).size()) > most) {
-    const bool many = record.spec.awaits.size() > record.spec.flavors.size();
+    const bool many = record.spec.awaits.size() > record.spec.machine_types.size();
     refused = Answer(400, wire::WriteError(many ? "names more jobs than fit"
                                                 : "lists more machine types than fit",
                                            many ? "awaits" : "flavors"));
@@ -279,34 +282,36 @@
     co_return refused;
   }
   const std::string value = store::WriteJob(record);
-  std::vector<wire::Guard> guards = {{store::JobKey(id), 0}, {store::FinalKey(id), 0}};
-  std::vector<wire::Write> writes = {{store::JobKey(id), value, 0}};
-  auto r = co_await deps_.client->Txn(std::move(guards), std::move(writes));
+  std::vector<model::Precondition> preconditions = {{store::JobKey(id), 0},
+                                                    {store::FinalKey(id), 0}};
+  std::vector<model::KeyWrite> writes = {{store::JobKey(id), value, 0}};
+  auto r = co_await deps_.client->Commit(std::move(preconditions), std::move(writes));
   if (r.ok()) {
-    deps_.replica->Apply(store::JobKey(id), value, r.value.revision);
+    deps_.cache->Apply(store::JobKey(id), value, r.value.revision);
     // What was read for it just now need not be read again.
     for (const std::string& a : record.spec.awaits) {
-      if (auto it = finals_.find(a); it != finals_.end()) deps_.ledger->RecordFinal(a, it->second);
+      if (auto it = dependency_outcomes_.find(a); it != dependency_outcomes_.end())
+        deps_.job_table->RecordFinal(a, it->second);
     }
     spdlog::info("job {} accepted: {} x {} cpus, team {}, awaits {}{}", id, record.spec.tasks,
                  record.spec.cpus, record.spec.team, record.spec.awaits.size(),
                  record.cancelled ? ", cancelled with what it needs" : "");
-    co_return Answer(201, wire::WritePhase(id, wire::Phase::kPending));
+    co_return Answer(201, wire::WritePhase(id, model::JobPhase::kPending));
   }
   if (r.status == store::Status::kConflict) co_return std::nullopt;
   co_return NotNow("the state service is not there");
 }
 
-rt::Task<wire::HttpResponse> UserApi::Poll(std::string id) {
-  if (!wire::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
+async::Task<wire::HttpResponse> UserApi::Poll(std::string id) {
+  if (!model::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
   Found found = co_await LookupWhole(id);
   if (found.kind == Found::Kind::kNever) co_return Answer(404, wire::WriteError("no such job"));
   if (found.kind == Found::Kind::kUnknown) co_return NotNow("the state service is not there");
   co_return Status(id, found);
 }
 
-rt::Task<wire::HttpResponse> UserApi::Cancel(std::string id) {
-  if (!wire::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
+async::Task<wire::HttpResponse> UserApi::Cancel(std::string id) {
+  if (!model::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
   const auto least = static_cast<size_t>(deps_.settings->least().value_kb * 1024);
   size_t most = deps_.formats->value_bytes();
   for (int attempt = 0; attempt < kCasTries; ++attempt) {
@@ -316,19 +321,21 @@
     if (found.kind == Found::Kind::kFinal) {
       co_return Answer(200, wire::WritePhase(id, found.final_record.phase));
     }
-    if (found.job.cancelled) co_return Answer(200, wire::WritePhase(id, wire::Phase::kCancelled));
+    if (found.job.cancelled)
+      co_return Answer(200, wire::WritePhase(id, model::JobPhase::kCancelled));
     const std::string key = store::JobKey(id);
     const std::string value = store::WriteCancelled(std::move(found.job), most);
-    std::vector<wire::Guard> guards = {{key, found.version}};
-    std::vector<wire::Write> writes = {{key, value, 0}};
+    std::vector<model::Precondition> preconditions = {{key, found.version}};
+    std::vector<model::KeyWrite> writes = {{key, value, 0}};
     ++cancelling_;
-    auto r = co_await deps_.client->Txn(std::move(guards), std::move(writes), store::Urgent::kYes);
+    auto r = co_await deps_.client->Commit(std::move(preconditions), std::move(writes),
+                                           store::Urgent::kYes);
     --cancelling_;
     if (r.ok()) {
-      deps_.replica->Apply(key, value, r.value.revision);
+      deps_.cache->Apply(key, value, r.value.revision);
       deps_.announce(id, r.value.revision);
       spdlog::info("job {} cancelled", id);
-      co_return Answer(200, wire::WritePhase(id, wire::Phase::kCancelled));
+      co_return Answer(200, wire::WritePhase(id, model::JobPhase::kCancelled));
     }
     if (r.status == store::Status::kInvalid && value.size() > least) {
       // The limits are lower already, and this node did not know.
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -10,12 +10,15 @@
 #include <unordered_map>
 
 #include "config/settings.h"
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
+#include "model/job.h"
+#include "model/machine_type.h"
 #include "net/http_server.h"
-#include "store/barrier.h"
 #include "store/client.h"
 #include "store/formats.h"
-#include "store/replica.h"
+#include "store/linearizable_read.h"
+#include "store/watch_cache.h"
+#include "wire/user_codec.h"
 
 namespace hallpier::api {
 
@@ -24,22 +27,22 @@
   struct Deps {
     const config::Settings* settings;
     store::Client* client;
-    store::Replica* replica;
-    store::Barrier* barrier;
+    store::WatchCache* cache;
+    store::LinearizableRead* linearizable_read;
     store::Formats* formats;
-    jobs::Ledger* ledger;
-    const std::vector<wire::Flavor>* flavors;  // empty: not known yet
+    jobs::JobTable* job_table;
+    const std::vector<model::MachineType>* machine_types;  // empty: not known yet
     std::function<double()> time_of_day;
     // True once the warm copy knows how all ended that a job needs; false if that takes too long.
-    std::function<rt::Task<bool>(std::string id, double limit_s)> settled;
+    std::function<async::Task<bool>(std::string id, double limit_s)> settled;
     // Tells the other nodes of a cancellation that was just recorded under this version.
     std::function<void(const std::string& id, uint64_t version)> announce;
   };
   explicit UserApi(Deps deps) : deps_(std::move(deps)) {}
 
-  rt::Task<wire::HttpResponse> Submit(std::string body);
-  rt::Task<wire::HttpResponse> Poll(std::string id);
-  rt::Task<wire::HttpResponse> Cancel(std::string id);
+  async::Task<wire::HttpResponse> Submit(std::string body);
+  async::Task<wire::HttpResponse> Poll(std::string id);
+  async::Task<wire::HttpResponse> Cancel(std::string id);
   // Cancellations that are being recorded just now.
   int cancelling() const { return cancelling_; }
 
@@ -52,32 +55,32 @@
     store::FinalRecord final_record;
   };
   // Reads the job's state afresh.
-  rt::Task<Found> Lookup(std::string id);
+  async::Task<Found> Lookup(std::string id);
   // The same by way of the warm copy, which one read makes fresh for all who ask at a time; by a
   // read of its own where that fails.
-  rt::Task<Found> LookupShared(std::string id);
-  rt::Task<Found> LookupFinal(std::string id);
+  async::Task<Found> LookupShared(std::string id);
+  async::Task<Found> LookupFinal(std::string id);
   // The same for what the user is told: cancelled as well if a job that it needs is.
-  rt::Task<Found> LookupWhole(std::string id);
+  async::Task<Found> LookupWhole(std::string id);
   // Whether a job that is not cancelled itself is cancelled by way of those it needs, from reads of
   // their records: for when the warm copy can't be made fresh.
   enum class Fate { kGoesOn, kCancelled, kUnknown };
-  rt::Task<Fate> FateOf(std::vector<std::string> awaits);
+  async::Task<Fate> FateOf(std::vector<std::string> awaits);
   // What a submission that awaits others is to be told at once; nothing if all of them were
   // accepted. `cancelled`: one of them is cancelled already.
-  rt::Task<std::optional<wire::HttpResponse>> CheckAwaits(std::vector<std::string> awaits,
-                                                          bool* cancelled);
-  rt::Task<std::optional<wire::HttpResponse>> Accept(wire::JobSpec spec);
+  async::Task<std::optional<wire::HttpResponse>> CheckAwaits(std::vector<std::string> awaits,
+                                                             bool* cancelled);
+  async::Task<std::optional<wire::HttpResponse>> Accept(model::JobSpec spec);
   wire::HttpResponse Status(const std::string& id, const Found& found) const;
   // A final state that is known here; of kind kUnknown if there is none.
   Found FromMemory(const std::string& id) const;
   void Remember(const std::string& id, const store::FinalRecord& r);
   // Why the job can never run; nothing if it can.
-  std::optional<wire::BadField> NeverRuns(const wire::JobSpec& spec) const;
+  std::optional<wire::BadField> NeverRuns(const model::JobSpec& spec) const;
 
   Deps deps_;
   int cancelling_ = 0;
-  std::unordered_map<std::string, store::FinalRecord> finals_;
+  std::unordered_map<std::string, store::FinalRecord> dependency_outcomes_;
   std::deque<std::string> finals_order_;
 };
 
--- a/src/rt/loop.cc
+++ b/src/async/event_loop.cc
@@ -1,9 +1,9 @@
-#include "rt/loop.h"
+#include "async/event_loop.h"
 
 #include <ctime>
 #include <new>
 
-namespace hallpier::rt {
+namespace hallpier::async {
 namespace {
 
 // Turns within the shortest gap that counts as a pause.
@@ -11,20 +11,20 @@
 
 }  // namespace
 
-Loop::Loop() : loop_(ev_loop_new(EVFLAG_NOINOTIFY | EVFLAG_NOSIGMASK)) {
+EventLoop::EventLoop() : loop_(ev_loop_new(EVFLAG_NOINOTIFY | EVFLAG_NOSIGMASK)) {
   if (loop_ == nullptr) throw std::bad_alloc();
   ev_timer_init(&tick_, OnTick, 0, 0);
 }
 
-Loop::~Loop() { ev_loop_destroy(loop_); }
+EventLoop::~EventLoop() { ev_loop_destroy(loop_); }
 
-double Loop::Now() const {
+double EventLoop::Now() const {
   timespec ts;
   clock_gettime(CLOCK_MONOTONIC, &ts);
   return static_cast<double>(ts.tv_sec) + static_cast<double>(ts.tv_nsec) * 1e-9;
 }
 
-void Loop::WatchPauses(double bound_s) {
+void EventLoop::WatchPauses(double bound_s) {
   pause_bound_s_ = bound_s;
   last_turn_ = Now();
   ev_timer_stop(loop_, &tick_);
@@ -32,17 +32,17 @@
   ev_timer_start(loop_, &tick_);
 }
 
-double Loop::resumed_at() const {
+double EventLoop::resumed_at() const {
   const double now = Now();
   return now - last_turn_ > pause_bound_s_ ? now : resumed_at_;
 }
 
-void Loop::NoteTurn() {
+void EventLoop::NoteTurn() {
   resumed_at_ = resumed_at();
   last_turn_ = Now();
 }
 
-void Loop::Run() {
+void EventLoop::Run() {
   stopped_ = false;
   last_turn_ = Now();
   while (!stopped_) {
@@ -59,7 +59,7 @@
   }
 }
 
-Scope::Scope(Loop& loop, Scope* parent) : loop_(loop), parent_(parent) {
+Scope::Scope(EventLoop& loop, Scope* parent) : loop_(loop), parent_(parent) {
   if (parent_ != nullptr) {
     parent_->children_.push_back(this);
     cancelled_ = parent_->cancelled_;
@@ -104,7 +104,7 @@
   if (cancelled_) return;
   cancelled_ = true;
   for (Scope* child : children_) child->Cancel();
-  while (!waits_.empty()) waits_.front()->Finish(Wake::kCancelled);
+  while (!waits_.empty()) waits_.front()->Finish(WaitResult::kCancelled);
 }
 
 Task<> Scope::Join() {
@@ -132,7 +132,7 @@
 
 bool Wait::await_ready() {
   if (!scope_.cancelled_) return false;
-  result_ = Wake::kCancelled;
+  result_ = WaitResult::kCancelled;
   return true;
 }
 
@@ -150,7 +150,7 @@
   Arm();
 }
 
-void Wait::Finish(Wake result) {
+void Wait::Finish(WaitResult result) {
   if (!pending_) return;
   pending_ = false;
   result_ = result;
@@ -161,7 +161,7 @@
 }
 
 void Wait::OnTimer(struct ev_loop* /*loop*/, ev_timer* w, int /*events*/) {
-  static_cast<Wait*>(w->data)->Finish(Wake::kTimeout);
+  static_cast<Wait*>(w->data)->Finish(WaitResult::kTimeout);
 }
 
 FdWait::FdWait(Scope& scope, int fd, int events, double limit_s) : Wait(scope, limit_s) {
@@ -176,7 +176,7 @@
 void FdWait::Disarm() { ev_io_stop(scope_.loop().raw(), &io_); }
 
 void FdWait::OnIo(struct ev_loop* /*loop*/, ev_io* w, int /*events*/) {
-  static_cast<FdWait*>(w->data)->Finish(Wake::kReady);
+  static_cast<FdWait*>(w->data)->Finish(WaitResult::kReady);
 }
 
 void Event::Waiter::Arm() {
@@ -193,7 +193,7 @@
 void Event::Notify() {
   std::list<Waiter*> all;
   for (Waiter* w : waiters_) all.push_back(w);
-  for (Waiter* w : all) w->Finish(Wake::kReady);
+  for (Waiter* w : all) w->Finish(WaitResult::kReady);
 }
 
-}  // namespace hallpier::rt
+}  // namespace hallpier::async
--- a/src/rt/loop.h
+++ b/src/async/event_loop.h
@@ -12,18 +12,18 @@
 #include <limits>
 #include <list>
 
-#include "rt/task.h"
+#include "async/task.h"
 
-namespace hallpier::rt {
+namespace hallpier::async {
 
-enum class Wake { kReady, kTimeout, kCancelled };
+enum class WaitResult { kReady, kTimeout, kCancelled };
 
-class Loop {
+class EventLoop {
  public:
-  Loop();
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  EventLoop();
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   // Runs until Stop(). Handles posted meanwhile are resumed from here only, never re-entrantly.
   void Run();
@@ -58,7 +58,7 @@
 
 class Scope {
  public:
-  explicit Scope(Loop& loop, Scope* parent = nullptr);
+  explicit Scope(EventLoop& loop, Scope* parent = nullptr);
   ~Scope();
   Scope(const Scope&) = delete;
   Scope& operator=(const Scope&) = delete;
@@ -70,11 +70,11 @@
   int live() const { return live_; }
   // Waits, whatever is cancelled, until every routine of this scope has ended.
   Task<> Join();
-  Loop& loop() { return loop_; }
+  EventLoop& loop() { return loop_; }
 
  private:
   friend class Wait;
-  Loop& loop_;
+  EventLoop& loop_;
   Scope* parent_;
   bool cancelled_ = false;
   int live_ = 0;
@@ -98,8 +98,8 @@
 
   bool await_ready();
   void await_suspend(std::coroutine_handle<> h);
-  Wake await_resume() const { return result_; }
-  void Finish(Wake result);
+  WaitResult await_resume() const { return result_; }
+  void Finish(WaitResult result);
 
  protected:
   virtual void Arm() {}
@@ -109,7 +109,7 @@
  private:
   static void OnTimer(struct ev_loop* loop, ev_timer* w, int events);
   double limit_s_;
-  Wake result_ = Wake::kReady;
+  WaitResult result_ = WaitResult::kReady;
   bool pending_ = false;
   std::coroutine_handle<> handle_;
   std::list<Wait*>::iterator link_;
@@ -161,4 +161,4 @@
   std::list<Waiter*> waiters_;
 };
 
-}  // namespace hallpier::rt
+}  // namespace hallpier::async
--- a/src/rt/task.h
+++ b/src/async/task.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-namespace hallpier::rt {
+namespace hallpier::async {
 
 template <class T>
 class Task;
@@ -82,4 +82,4 @@
 }
 }  // namespace internal
 
-}  // namespace hallpier::rt
+}  // namespace hallpier::async
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -39,12 +39,12 @@
   return it == shares_.end() ? 0 : it->second.version;
 }
 
-std::vector<wire::Guard> BlockRecords::AllGuards() const {
-  std::vector<wire::Guard> guards = {{store::DivisionKey(), division_version_}};
+std::vector<model::Precondition> BlockRecords::AllPreconditions() const {
+  std::vector<model::Precondition> preconditions = {{store::DivisionKey(), division_version_}};
   for (const Holder& holder : division_.record().holders) {
-    guards.push_back({store::ShareKey(holder.node), ShareVersion(holder.node)});
+    preconditions.push_back({store::ShareKey(holder.node), ShareVersion(holder.node)});
   }
-  return guards;
+  return preconditions;
 }
 
 std::optional<size_t> BlockRecords::Holding(const std::string& node, uint64_t session,
@@ -62,10 +62,10 @@
   return holder;
 }
 
-std::vector<wire::Guard> BlockRecords::PlacementGuards(size_t holder) const {
+std::vector<model::Precondition> BlockRecords::PlacementPreconditions(size_t holder) const {
   const DivisionRecord& record = division_.record();
   const std::string& node = record.holders.at(holder).node;
-  return {{store::BlockKey(0), record.token},
+  return {store::TokenPrecondition(record.token),
           {store::DivisionKey(), division_version_},
           {store::ShareKey(node), ShareVersion(node)}};
 }
@@ -82,11 +82,11 @@
 
 plan::Scope BlockRecords::HolderScope(size_t holder, double widen_s, double wall_now,
                                       const config::Settings& settings,
-                                      const jobs::Ledger& ledger) const {
+                                      const jobs::JobTable& job_table) const {
   plan::Scope scope = WholeScope(widen_s, wall_now);
   scope.only = holder;
   const Holder& self = division_.record().holders.at(holder);
-  const quota::Usage usage = quota::CountPlaced(ledger, scope.holders, scope.holder_of);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.holders, scope.holder_of);
   for (const config::Team& team : settings.teams) {
     const quota::Amount left =
         quota::RoomLeft(team, ShareOf(self.node), self.grant, usage.by_holder[holder]);
--- a/src/blocks/block_records.h
+++ b/src/blocks/block_records.h
@@ -10,17 +10,18 @@
 
 #include "blocks/division.h"
 #include "config/settings.h"
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
+#include "model/ids.h"
+#include "model/key_value.h"
 #include "plan/round.h"
 #include "quota/share_record.h"
-#include "wire/messages.h"
 
 namespace hallpier::blocks {
 
 // How far a node's copy of the records is, and what it says of the lead.
 struct CopyState {
-  uint64_t revision = 0;  // the copy holds all that was written up to here
-  uint64_t token = 0;     // the version of the leader's token record
+  uint64_t revision = 0;      // the copy holds all that was written up to here
+  model::FencingToken token;  // the version of the leader's token record
 };
 
 class BlockRecords {
@@ -38,21 +39,21 @@
   // copy that is as new: what was placed before the change is in it.
   uint64_t newest() const { return newest_; }
   // Of the division and of all holders' shares.
-  std::vector<wire::Guard> AllGuards() const;
+  std::vector<model::Precondition> AllPreconditions() const;
 
   // The number of the holder that a process is; nothing: it holds no block that it may use by these
   // records and with its copy as it is.
   std::optional<size_t> Holding(const std::string& node, uint64_t session,
                                 const CopyState& copy) const;
   // What every placement of a holder must be guarded by, the leader's token first.
-  std::vector<wire::Guard> PlacementGuards(size_t holder) const;
+  std::vector<model::Precondition> PlacementPreconditions(size_t holder) const;
 
   // The scope of the leader's round over all machines. `widen_s`: Division::MayPlace. `wall_now`:
   // the time of day, which jobs are stamped with.
   plan::Scope WholeScope(double widen_s, double wall_now) const;
   // That of one holder's own round.
   plan::Scope HolderScope(size_t holder, double widen_s, double wall_now,
-                          const config::Settings& settings, const jobs::Ledger& ledger) const;
+                          const config::Settings& settings, const jobs::JobTable& job_table) const;
 
  private:
   uint64_t ShareVersion(const std::string& node) const;
--- a/src/blocks/divider.cc
+++ b/src/blocks/divider.cc
@@ -39,8 +39,8 @@
   return chosen;
 }
 
-std::optional<DivisionRecord> Divider::Review(const DivisionRecord& current, uint64_t token,
-                                              uint64_t revision,
+std::optional<DivisionRecord> Divider::Review(const DivisionRecord& current,
+                                              model::FencingToken token, uint64_t revision,
                                               const Candidates& candidates) const {
   DivisionRecord next{token, Chosen(current, candidates)};
   const bool none = next.holders.empty() && current.holders.empty();
--- a/src/blocks/divider.h
+++ b/src/blocks/divider.h
@@ -13,6 +13,7 @@
 #include <string>
 
 #include "blocks/division.h"
+#include "model/ids.h"
 
 namespace hallpier::blocks {
 
@@ -26,12 +27,12 @@
 
   // A term of this leader has begun. What the records of others lent may be beyond the limits by
   // now: a leader of an older version may have placed without a look at them.
-  void BeginTerm(uint64_t token) { first_token_ = token; }
+  void BeginTerm(model::FencingToken token) { first_token_ = token; }
 
   // The record to be written in place of `current`; nothing: it is as it should be. `token`: of
   // this leader. `revision`: how far its copy of the records is. Fewer than two candidates hold
   // nothing.
-  std::optional<DivisionRecord> Review(const DivisionRecord& current, uint64_t token,
+  std::optional<DivisionRecord> Review(const DivisionRecord& current, model::FencingToken token,
                                        uint64_t revision, const Candidates& candidates) const;
 
  private:
@@ -39,7 +40,7 @@
   std::vector<Holder> Chosen(const DivisionRecord& current, const Candidates& candidates) const;
 
   const size_t most_;
-  uint64_t first_token_ = 0;
+  model::FencingToken first_token_;
 };
 
 }  // namespace hallpier::blocks
--- a/src/blocks/division.cc
+++ b/src/blocks/division.cc
@@ -28,7 +28,7 @@
 std::string WriteDivision(const DivisionRecord& record) {
   wire::JsonWriter w;
   w.StartObject();
-  w.Field("token").Uint64(record.token);
+  w.Field("token").Uint64(record.token.value());
   w.Field("holders").StartArray();
   for (const Holder& holder : record.holders) {
     w.StartObject();
@@ -49,7 +49,7 @@
   const wire::JsonValue* holders = wire::Find(*document, "holders");
   if (!token || holders == nullptr || !holders->IsArray()) return std::nullopt;
   DivisionRecord record;
-  record.token = *token;
+  record.token = model::FencingToken(*token);
   std::set<std::string> nodes;
   for (const wire::JsonValue& value : holders->GetArray()) {
     auto holder = ReadHolder(value);
@@ -73,11 +73,11 @@
   return order_.First(machine);
 }
 
-bool Division::MayPlace(size_t holder, const wire::JobSpec& spec, wire::Priority priority,
+bool Division::MayPlace(size_t holder, const model::JobSpec& spec, model::Priority priority,
                         double waited_s, double widen_s) const {
-  if (priority <= wire::Priority::kUrgent) return true;
+  if (priority <= model::Priority::kUrgent) return true;
   const double open = widen_s > 0 ? std::floor(std::max(0.0, waited_s) / widen_s) : 0;
-  return static_cast<double>(order_.RankOf(holder, spec.id)) <= open;
+  return static_cast<double>(order_.WritePriorityOf(holder, spec.id)) <= open;
 }
 
 }  // namespace hallpier::blocks
--- a/src/blocks/division.h
+++ b/src/blocks/division.h
@@ -13,7 +13,8 @@
 #include <vector>
 
 #include "blocks/rendezvous.h"
-#include "wire/messages.h"
+#include "model/ids.h"
+#include "model/job.h"
 
 namespace hallpier::blocks {
 
@@ -27,9 +28,9 @@
 };
 
 struct DivisionRecord {
-  // Of the leader that wrote it (lead/leadership.h). A leader of a version that knows no blocks
-  // makes it void by taking the lead.
-  uint64_t token = 0;
+  // Of the leader that wrote it (election/leader_election.h). A leader of a version that knows no
+  // blocks makes it void by taking the lead.
+  model::FencingToken token;
   std::vector<Holder> holders;  // none: the leader places on all machines, as without blocks
   bool operator==(const DivisionRecord&) const = default;
 };
@@ -52,8 +53,8 @@
   // the start, the rule being the same on every node; one more may after each `widen_s`, so that no
   // job waits for a block that has no room for it. Prod and urgent work is open to all at once.
   // Where two try, the guards decide.
-  bool MayPlace(size_t holder, const wire::JobSpec& spec, wire::Priority priority, double waited_s,
-                double widen_s) const;
+  bool MayPlace(size_t holder, const model::JobSpec& spec, model::Priority priority,
+                double waited_s, double widen_s) const;
 
  private:
   DivisionRecord record_;
--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "model/machine_type.h"
 #include "quota/lender.h"
 #include "quota/usage.h"
 #include "store/schema.h"
@@ -14,7 +15,7 @@
 constexpr double kMaxHoldOffLeases = 16;
 
 HolderTable::Options TableOptions(const config::Settings& settings, const config::Blocks& options) {
-  const double lease_s = options.lease_ratio * settings.report_s;
+  const double lease_s = options.lease_ratio * settings.heartbeat_interval_s;
   return {.node = settings.node,
           .lease_s = lease_s,
           .hold_off_s = kHoldOffLeases * lease_s,
@@ -28,14 +29,14 @@
 }
 
 // By holder, whether it can place a job on one of its machines, were these empty.
-std::vector<char> HoldersAble(const jobs::Job& job, const fleet::Roster& roster,
+std::vector<char> HoldersAble(const jobs::Job& job, const fleet::WorkerRegistry& registry,
                               const plan::Context& context, const plan::Scope& scope) {
   std::vector<char> able(scope.holders, 0);
-  for (const auto& [name, machine] : roster.all()) {
+  for (const auto& [name, machine] : registry.all()) {
     const std::optional<size_t> holder = scope.holder_of(name);
-    if (!holder || able[*holder] != 0 || !machine.reported() || machine.returning) continue;
-    const wire::Flavor* flavor = context.FindFlavor(machine.flavor);
-    const bool could = flavor != nullptr && plan::CouldRun(job.spec, machine, *flavor);
+    if (!holder || able[*holder] != 0 || !machine.has_reported() || machine.returning) continue;
+    const model::MachineType* machine_type = context.FindMachineType(machine.machine_type);
+    const bool could = machine_type != nullptr && plan::CouldRun(job.spec, machine, *machine_type);
     if (could && scope.may_place(*holder, job)) able[*holder] = 1;
   }
   return able;
@@ -43,15 +44,16 @@
 
 }  // namespace
 
-std::vector<quota::AmountByTeam> Withheld(const jobs::Ledger& ledger, const fleet::Roster& roster,
+std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
+                                          const fleet::WorkerRegistry& registry,
                                           const plan::Context& context,
                                           const plan::RoundResult& round,
                                           const plan::Scope& scope) {
   std::vector<quota::AmountByTeam> withheld(scope.holders);
   for (const auto& [team, id] : round.first_over_limit) {
-    const jobs::Job* job = ledger.Find(id);
+    const jobs::Job* job = job_table.Find(id);
     if (job == nullptr) continue;
-    const std::vector<char> able = HoldersAble(*job, roster, context, scope);
+    const std::vector<char> able = HoldersAble(*job, registry, context, scope);
     // Where nobody can place it, nobody has to wait for it.
     if (std::find(able.begin(), able.end(), 1) == able.end()) continue;
     for (size_t i = 0; i < able.size(); ++i) {
@@ -66,7 +68,7 @@
       holders_(TableOptions(settings, options)),
       divider_(static_cast<size_t>(options.holders)) {}
 
-void Lending::BeginTerm(uint64_t token, const BlockRecords& records, double now) {
+void Lending::BeginTerm(model::FencingToken token, const BlockRecords& records, double now) {
   divider_.BeginTerm(token);
   holders_.BeginTerm(records.division().record(), now);
 }
@@ -79,36 +81,36 @@
   auto next = divider_.Review(records.division().record(), copy.token, copy.revision, candidates);
   if (!next) return std::nullopt;
   RecordChange change;
-  change.guards = {{store::BlockKey(0), copy.token},
-                   {store::DivisionKey(), records.division_version()}};
+  change.preconditions = {store::TokenPrecondition(copy.token),
+                          {store::DivisionKey(), records.division_version()}};
   change.writes = {{store::DivisionKey(), WriteDivision(*next), 0}};
   return change;
 }
 
 std::optional<RecordChange> Lending::ReviewShares(
-    const BlockRecords& records, const CopyState& copy, const jobs::Ledger& ledger,
-    const fleet::Roster& roster, const plan::Context& context, const plan::RoundResult& round,
-    const plan::Scope& scope, const WriteLimits& limits) const {
+    const BlockRecords& records, const CopyState& copy, const jobs::JobTable& job_table,
+    const fleet::WorkerRegistry& registry, const plan::Context& context,
+    const plan::RoundResult& round, const plan::Scope& scope, const WriteLimits& limits) const {
   // What a holder placed before its share shrank may not have come yet: lent anew now, it would
   // count twice.
   if (copy.revision < records.newest()) return std::nullopt;
   const DivisionRecord& division = records.division().record();
-  const quota::Usage usage = quota::CountPlaced(ledger, scope.holders, scope.holder_of);
-  const auto withheld = Withheld(ledger, roster, context, round, scope);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.holders, scope.holder_of);
+  const auto withheld = Withheld(job_table, registry, context, round, scope);
   std::vector<quota::HolderAccount> accounts;
   for (size_t i = 0; i < division.holders.size(); ++i) {
     const Holder& holder = division.holders[i];
     accounts.push_back({holder.node, holder.grant, records.ShareOf(holder.node), usage.by_holder[i],
                         AmountsOf(round.planned[i]), withheld[i]});
   }
-  auto changes = quota::ReviewShares(settings_.teams, {usage.outside, quota::LeastTasks(ledger)},
+  auto changes = quota::ReviewShares(settings_.teams, {usage.outside, quota::LeastTasks(job_table)},
                                      accounts, limits.value_bytes);
   if (changes.empty()) return std::nullopt;
   // The rest comes with the next review, which finds the versions of these.
   if (changes.size() > limits.operations) changes.resize(limits.operations);
   RecordChange change;
-  change.guards = records.AllGuards();
-  change.guards.insert(change.guards.begin(), {store::BlockKey(0), copy.token});
+  change.preconditions = records.AllPreconditions();
+  change.preconditions.insert(change.preconditions.begin(), store::TokenPrecondition(copy.token));
   for (const quota::ShareChange& share : changes) {
     change.writes.push_back({store::ShareKey(share.node), quota::WriteShare(share.record), 0});
   }
--- a/src/blocks/lending.h
+++ b/src/blocks/lending.h
@@ -9,16 +9,18 @@
 #include "blocks/divider.h"
 #include "blocks/holder_table.h"
 #include "config/settings.h"
-#include "fleet/roster.h"
-#include "jobs/ledger.h"
+#include "fleet/worker_registry.h"
+#include "jobs/job_table.h"
+#include "model/ids.h"
+#include "model/key_value.h"
 #include "plan/round.h"
 
 namespace hallpier::blocks {
 
 // One transaction on records of blocks and shares.
 struct RecordChange {
-  std::vector<wire::Guard> guards;
-  std::vector<wire::Write> writes;
+  std::vector<model::Precondition> preconditions;
+  std::vector<model::KeyWrite> writes;
 };
 
 // What the state service takes in one transaction.
@@ -32,7 +34,7 @@
   Lending(const config::Settings& settings, const config::Blocks& options);
 
   // A term has begun under this token.
-  void BeginTerm(uint64_t token, const BlockRecords& records, double now);
+  void BeginTerm(model::FencingToken token, const BlockRecords& records, double now);
   HolderTable& holders() { return holders_; }
 
   // The division as it should be; nothing: it is. `all_understand`: every node of the settings
@@ -42,7 +44,8 @@
   // The shares as they should be; nothing: they are, or the copy is not new enough to say. `round`:
   // the leader's plan over all machines.
   std::optional<RecordChange> ReviewShares(const BlockRecords& records, const CopyState& copy,
-                                           const jobs::Ledger& ledger, const fleet::Roster& roster,
+                                           const jobs::JobTable& job_table,
+                                           const fleet::WorkerRegistry& registry,
                                            const plan::Context& context,
                                            const plan::RoundResult& round, const plan::Scope& scope,
                                            const WriteLimits& limits) const;
@@ -55,7 +58,8 @@
 
 // By holder: what must be left free as tasks end, since the team's next job in the order is one
 // that the holder can't place and another can.
-std::vector<quota::AmountByTeam> Withheld(const jobs::Ledger& ledger, const fleet::Roster& roster,
+std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
+                                          const fleet::WorkerRegistry& registry,
                                           const plan::Context& context,
                                           const plan::RoundResult& round, const plan::Scope& scope);
 
--- a/src/blocks/machine_mirror.cc
+++ b/src/blocks/machine_mirror.cc
@@ -1,11 +1,13 @@
 #include "blocks/machine_mirror.h"
 
+#include "model/machine_view.h"
+
 namespace hallpier::blocks {
 
 void MachineMirror::Forget() {
   std::vector<std::string> names;
-  for (const auto& [name, machine] : roster_.all()) names.push_back(name);
-  for (const std::string& name : names) roster_.DropView(name);
+  for (const auto& [name, machine] : registry_.all()) names.push_back(name);
+  for (const std::string& name : names) registry_.DropView(name);
 }
 
 std::optional<uint64_t> MachineMirror::Take(const wire::BlockView& view, double now) {
@@ -19,10 +21,10 @@
     return 0;
   }
   sequence_ = view.sequence;
-  for (const std::string& machine : view.gone) roster_.DropView(machine);
-  for (const wire::MachineView& machine : view.changed) roster_.TakeView(machine, now);
-  roster_.failures().TakeView(view.failures, now);
-  roster_.ConfirmViews(now);
+  for (const std::string& machine : view.gone) registry_.DropView(machine);
+  for (const model::MachineView& machine : view.changed) registry_.TakeView(machine, now);
+  registry_.failures().TakeView(view.failures, now);
+  registry_.ConfirmViews(now);
   return view.sequence;
 }
 
--- a/src/blocks/machine_mirror.h
+++ b/src/blocks/machine_mirror.h
@@ -5,25 +5,26 @@
 // a moment; limits do not depend on it.
 #pragma once
 
-#include "fleet/roster.h"
+#include "fleet/worker_registry.h"
+#include "model/ids.h"
 #include "wire/peer.h"
 
 namespace hallpier::blocks {
 
 class MachineMirror {
  public:
-  explicit MachineMirror(fleet::Roster::Options options) : roster_(options) {}
+  explicit MachineMirror(fleet::WorkerRegistry::Options options) : registry_(options) {}
 
   // Takes in a view. Returns the number to acknowledge: its own, or 0 if one before it was missed;
   // nothing: it comes from a leader that was followed by another.
   std::optional<uint64_t> Take(const wire::BlockView& view, double now);
-  fleet::Roster& roster() { return roster_; }
+  fleet::WorkerRegistry& registry() { return registry_; }
 
  private:
   void Forget();
 
-  fleet::Roster roster_;
-  uint64_t token_ = 0;
+  fleet::WorkerRegistry registry_;
+  model::FencingToken token_;
   uint64_t sequence_ = 0;
 };
 
--- a/src/blocks/rendezvous.cc
+++ b/src/blocks/rendezvous.cc
@@ -21,7 +21,7 @@
   return first;
 }
 
-size_t Rendezvous::RankOf(size_t node, std::string_view name) const {
+size_t Rendezvous::WritePriorityOf(size_t node, std::string_view name) const {
   size_t before = 0;
   for (size_t other = 0; other < size(); ++other) {
     const bool first = Weight(other, name) > Weight(node, name) ||
--- a/src/blocks/rendezvous.h
+++ b/src/blocks/rendezvous.h
@@ -18,7 +18,7 @@
   // The number of the node that comes first for a name. There must be a node.
   size_t First(std::string_view name) const;
   // How many nodes come before this one.
-  size_t RankOf(size_t node, std::string_view name) const;
+  size_t WritePriorityOf(size_t node, std::string_view name) const;
 
  private:
   // The larger comes first. XXH3 is specified, so that all builds and versions agree.
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -13,23 +13,23 @@
 // A frame takes several times as much: a view is never too large for one.
 constexpr size_t kMaxViewBytes = wire::kMaxPeerFrame / 4;
 
-std::vector<std::string> ImagesNeeded(const jobs::Ledger& ledger) {
+std::vector<std::string> ImagesNeeded(const jobs::JobTable& job_table) {
   std::set<std::string> images;
-  for (const auto& [id, job] : ledger.all()) images.insert(job.spec.image);
+  for (const auto& [id, job] : job_table.all()) images.insert(job.spec.image);
   return {images.begin(), images.end()};
 }
 
 // Of a machine in another block: where its tasks are, for jobs whose zones matter.
-wire::MachineView ZoneOf(const wire::MachineView& view) {
-  wire::MachineView zone;
+model::MachineView ZoneOf(const model::MachineView& view) {
+  model::MachineView zone;
   zone.machine = view.machine;
   zone.zone = view.zone;
   return zone;
 }
 
 // How long a task has been in its phase changes all the time; the node counts on by itself.
-std::string EncodedWithoutTimes(wire::MachineView view) {
-  for (wire::TaskView& task : view.tasks) task.for_ms = 0;
+std::string EncodedWithoutTimes(model::MachineView view) {
+  for (model::TaskView& task : view.tasks) task.for_ms = 0;
   std::string out;
   wire::PutMachineView(out, view);
   return out;
@@ -37,21 +37,21 @@
 
 }  // namespace
 
-std::vector<wire::MachineView> DescribeMachines(const fleet::Roster& roster,
-                                                const jobs::Ledger& ledger, double now) {
-  const std::vector<std::string> images = ImagesNeeded(ledger);
-  std::vector<wire::MachineView> views;
-  views.reserve(roster.all().size());
-  for (const auto& [name, machine] : roster.all()) {
-    if (machine.reported()) views.push_back(roster.ViewOf(machine, images, now));
+std::vector<model::MachineView> DescribeMachines(const fleet::WorkerRegistry& registry,
+                                                 const jobs::JobTable& job_table, double now) {
+  const std::vector<std::string> images = ImagesNeeded(job_table);
+  std::vector<model::MachineView> views;
+  views.reserve(registry.all().size());
+  for (const auto& [name, machine] : registry.all()) {
+    if (machine.has_reported()) views.push_back(registry.ViewOf(machine, images, now));
   }
   return views;
 }
 
-std::vector<wire::BlockView> ViewSender::Next(uint64_t token, const Division& division,
+std::vector<wire::BlockView> ViewSender::Next(model::FencingToken token, const Division& division,
                                               std::optional<size_t> holder,
-                                              const std::vector<wire::MachineView>& machines,
-                                              std::vector<wire::JobFailures> failures) {
+                                              const std::vector<model::MachineView>& machines,
+                                              std::vector<model::JobFailures> failures) {
   if (sequence_ == 0) told_.clear();
   std::vector<wire::BlockView> views;
   size_t bytes = 0;
@@ -63,10 +63,10 @@
   };
   begin();
   std::map<std::string, uint64_t> known;
-  for (const wire::MachineView& machine : machines) {
+  for (const model::MachineView& machine : machines) {
     if (!holder) break;
     const bool own = division.HolderOf(machine.machine) == holder;
-    const wire::MachineView told = own ? machine : ZoneOf(machine);
+    const model::MachineView told = own ? machine : ZoneOf(machine);
     const std::string encoded = EncodedWithoutTimes(told);
     const uint64_t hash = XXH3_64bits(encoded.data(), encoded.size());
     known[machine.machine] = hash;
--- a/src/blocks/view_sender.h
+++ b/src/blocks/view_sender.h
@@ -8,15 +8,17 @@
 #include <vector>
 
 #include "blocks/division.h"
-#include "fleet/roster.h"
-#include "jobs/ledger.h"
+#include "fleet/worker_registry.h"
+#include "jobs/job_table.h"
+#include "model/ids.h"
+#include "model/machine_view.h"
 #include "wire/peer.h"
 
 namespace hallpier::blocks {
 
 // All machines as the leader sees them, with those images that unfinished jobs need.
-std::vector<wire::MachineView> DescribeMachines(const fleet::Roster& roster,
-                                                const jobs::Ledger& ledger, double now);
+std::vector<model::MachineView> DescribeMachines(const fleet::WorkerRegistry& registry,
+                                                 const jobs::JobTable& job_table, double now);
 
 // The messages to one node.
 class ViewSender {
@@ -28,10 +30,10 @@
   }
   // What the node does not know yet, in messages that fit a frame; at least one, which also renews
   // what it knows. `holder`: its number; nothing: it holds no block and is told no machines.
-  std::vector<wire::BlockView> Next(uint64_t token, const Division& division,
+  std::vector<wire::BlockView> Next(model::FencingToken token, const Division& division,
                                     std::optional<size_t> holder,
-                                    const std::vector<wire::MachineView>& machines,
-                                    std::vector<wire::JobFailures> failures);
+                                    const std::vector<model::MachineView>& machines,
+                                    std::vector<model::JobFailures> failures);
 
  private:
   uint64_t sequence_ = 0;
--- a/src/app/main.cc
+++ b/src/cli/main.cc
@@ -8,8 +8,8 @@
 #include <cstdlib>
 #include <optional>
 
-#include "app/controller.h"
-#include "app/members_command.h"
+#include "cli/members_command.h"
+#include "controller/controller.h"
 
 namespace {
 
@@ -22,8 +22,8 @@
 }
 
 struct Running {
-  hallpier::rt::Loop loop;
-  hallpier::app::Controller controller;
+  hallpier::async::EventLoop loop;
+  hallpier::controller::Controller controller;
 };
 
 void OnSignal(struct ev_loop* /*unused*/, ev_signal* w, int /*unused*/) {
@@ -97,7 +97,7 @@
   std::vector<std::string> faults;
   config::Settings settings = config::LoadSettings(arguments.config_file, &faults);
   if (PrintFaults(arguments.config_file, faults)) return 2;
-  if (arguments.members) return app::RunMembersCommand(settings, arguments.json);
+  if (arguments.members) return cli::RunMembersCommand(settings, arguments.json);
   config::Operator operators;
   if (!arguments.operator_file.empty()) {
     operators = config::LoadOperator(arguments.operator_file, &faults);
--- a/src/app/members_command.cc
+++ b/src/cli/members_command.cc
@@ -1,16 +1,16 @@
-#include "app/members_command.h"
+#include "cli/members_command.h"
 
 #include <fmt/format.h>
 
 #include <cstdio>
 
+#include "async/event_loop.h"
 #include "membership/record.h"
 #include "net/stream.h"
-#include "rt/loop.h"
 #include "wire/json.h"
 #include "wire/varint.h"
 
-namespace hallpier::app {
+namespace hallpier::cli {
 namespace {
 
 constexpr double kTimeoutS = 3;
@@ -44,7 +44,7 @@
   answer->error = fmt::format("answers with {}", wire::PeerMessageName(*message));
 }
 
-rt::Task<> Ask(rt::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
+async::Task<> Ask(async::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
   answer->node = target.node;
   auto to = net::ParseAddress(target.endpoint);
   int error = 0;
@@ -68,9 +68,9 @@
   answer->error = "gives no answer; its version may be older";
 }
 
-rt::Task<> AskAll(rt::Loop& loop, const std::vector<Target>& targets, double timeout_s,
-                  std::vector<MembersAnswer>* answers) {
-  rt::Scope scope(loop);
+async::Task<> AskAll(async::EventLoop& loop, const std::vector<Target>& targets, double timeout_s,
+                     std::vector<MembersAnswer>* answers) {
+  async::Scope scope(loop);
   const double deadline = loop.Now() + timeout_s;
   for (size_t i = 0; i < targets.size(); ++i) {
     scope.Spawn(Ask(scope, targets[i], deadline, &answers->at(i)));
@@ -141,8 +141,8 @@
 std::vector<MembersAnswer> AskMembers(const config::Settings& settings, double timeout_s) {
   const std::vector<Target> targets = Targets(settings);
   std::vector<MembersAnswer> answers(targets.size());
-  rt::Loop loop;
-  rt::Scope scope(loop);
+  async::EventLoop loop;
+  async::Scope scope(loop);
   scope.Spawn(AskAll(loop, targets, timeout_s, &answers));
   loop.Run();
   return answers;
@@ -192,4 +192,4 @@
   return kNobodyAnswered;
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::cli
--- a/src/app/members_command.h
+++ b/src/cli/members_command.h
@@ -9,7 +9,7 @@
 #include "config/settings.h"
 #include "wire/peer.h"
 
-namespace hallpier::app {
+namespace hallpier::cli {
 
 // What became of asking one controller.
 struct MembersAnswer {
@@ -27,4 +27,4 @@
 // The whole command; its exit status: 0 if a controller answered, 1 if none could be reached.
 int RunMembersCommand(const config::Settings& settings, bool json);
 
-}  // namespace hallpier::app
+}  // namespace hallpier::cli
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -169,7 +169,7 @@
 
 double ReactionS(const Settings& settings, const Operator& operators) {
   constexpr double kRounds = 1.5;
-  return std::min(settings.report_s, kRounds * operators.round_s);
+  return std::min(settings.heartbeat_interval_s, kRounds * operators.round_s);
 }
 
 Settings ParseSettings(const std::string& text, std::vector<std::string>* faults) {
@@ -224,7 +224,7 @@
     }
   });
   const toml::table& workers = r.Table("params.workers");
-  s.report_s = r.Number(workers, "params.workers.", "report_s", 0.01);
+  s.heartbeat_interval_s = r.Number(workers, "params.workers.", "report_s", 0.01);
   s.lease_s = r.Number(workers, "params.workers.", "lease_s", 0.1);
   s.cancel_s = r.Number(workers, "params.workers.", "cancel_s", 0.1);
   const toml::table& state = r.Table("params.state");
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -49,7 +49,7 @@
   std::vector<Objective> objectives;
   int size = 1;
   double skew_ms = 0;
-  double report_s = 0;
+  double heartbeat_interval_s = 0;
   double lease_s = 0;
   double cancel_s = 0;
   double state_rps = 0;
--- a/src/app/block_leader.cc
+++ b/src/controller/block_leader.cc
@@ -1,12 +1,15 @@
-#include "app/block_leader.h"
+#include "controller/block_leader.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "model/key_value.h"
+#include "model/machine_view.h"
+#include "model/member.h"
 #include "store/schema.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 namespace {
 
 // Views are sent this often within the lease of a block, at the least.
@@ -16,28 +19,29 @@
 
 }  // namespace
 
-BlockLeader::BlockLeader(LeaderDeps deps, const fleet::Roster& roster, const plan::Context& context)
+BlockLeader::BlockLeader(LeaderDependencies deps, const fleet::WorkerRegistry& registry,
+                         const plan::Context& context)
     : deps_(std::move(deps)),
-      roster_(roster),
+      registry_(registry),
       context_(context),
       lending_(*deps_.settings, deps_.operators->blocks) {
   for (const std::string& node : deps_.settings->OtherNodes()) links_[node];
 }
 
-void BlockLeader::Begin(rt::Scope& term) {
+void BlockLeader::Begin(async::Scope& term) {
   term_ = &term;
   retries_.clear();
   for (auto& [node, link] : links_) link = Link();
   pause_seen_ = Now();
-  lending_.BeginTerm(deps_.leadership->token(), *deps_.records, Now());
+  lending_.BeginTerm(deps_.election->token(), *deps_.records, Now());
   term.Spawn(HeartbeatLoop(term));
 }
 
 void BlockLeader::OnMember(const std::string& node,
                            const std::optional<membership::MemberRecord>& record) {
   // A suspect may still refute; if it does not answer, its lease runs out first.
-  const bool there = record && (record->state == wire::MemberState::kAlive ||
-                                record->state == wire::MemberState::kSuspect);
+  const bool there = record && (record->state == model::MemberState::kAlive ||
+                                record->state == model::MemberState::kSuspect);
   lending_.holders().OnMember(node,
                               there ? std::optional(record->incarnation.session) : std::nullopt);
 }
@@ -60,15 +64,15 @@
 }
 
 blocks::CopyState BlockLeader::Copy() const {
-  return {deps_.replica->revision(), deps_.leadership->token()};
+  return {deps_.cache->revision(), deps_.election->token()};
 }
 
 double BlockLeader::WidenS() const {
-  return deps_.operators->blocks.widen_ratio * deps_.settings->report_s;
+  return deps_.operators->blocks.widen_ratio * deps_.settings->heartbeat_interval_s;
 }
 
 bool BlockLeader::MayPlaceOnAll() const {
-  return !divided() && deps_.replica->revision() >= deps_.records->newest();
+  return !divided() && deps_.cache->revision() >= deps_.records->newest();
 }
 
 std::optional<size_t> BlockLeader::Holding(uint64_t session) const {
@@ -81,7 +85,7 @@
 
 plan::Scope BlockLeader::OwnScope(size_t holder) const {
   return deps_.records->HolderScope(holder, WidenS(), deps_.time_of_day(), *deps_.settings,
-                                    *deps_.ledger);
+                                    *deps_.job_table);
 }
 
 void BlockLeader::NotePause(double now) {
@@ -91,8 +95,8 @@
   lending_.holders().OnPause(now);
 }
 
-rt::Task<> BlockLeader::Review(rt::Scope& term, const plan::RoundResult& round,
-                               const plan::Scope* scope) {
+async::Task<> BlockLeader::Review(async::Scope& term, const plan::RoundResult& round,
+                                  const plan::Scope* scope) {
   NotePause(Now());
   co_await ReviewDivision(term);
   if (term.cancelled()) co_return;
@@ -105,10 +109,10 @@
 }
 
 double BlockLeader::BeatS() const {
-  return deps_.operators->blocks.lease_ratio * deps_.settings->report_s / kHeartbeats;
+  return deps_.operators->blocks.lease_ratio * deps_.settings->heartbeat_interval_s / kHeartbeats;
 }
 
-rt::Task<> BlockLeader::ReviewDivision(rt::Scope& term) {
+async::Task<> BlockLeader::ReviewDivision(async::Scope& term) {
   const bool all_understand = deps_.formats->AllUnderstandBlocks();
   auto change = lending_.ReviewDivision(*deps_.records, Copy(), all_understand, Now());
   if (!change) co_return;
@@ -116,33 +120,33 @@
   co_await Write(term, std::move(*change));
 }
 
-rt::Task<> BlockLeader::ReviewShares(rt::Scope& term, const plan::RoundResult& round,
-                                     const plan::Scope& scope) {
+async::Task<> BlockLeader::ReviewShares(async::Scope& term, const plan::RoundResult& round,
+                                        const plan::Scope& scope) {
   const blocks::WriteLimits limits = {static_cast<size_t>(deps_.formats->txn_ops()),
                                       deps_.formats->value_bytes()};
-  auto change = lending_.ReviewShares(*deps_.records, Copy(), *deps_.ledger, roster_, context_,
+  auto change = lending_.ReviewShares(*deps_.records, Copy(), *deps_.job_table, registry_, context_,
                                       round, scope, limits);
   if (!change) co_return;
-  for (const wire::Write& write : change->writes) {
+  for (const model::KeyWrite& write : change->writes) {
     spdlog::debug("blocks: {} {}", write.key, write.value);
   }
   co_await Write(term, std::move(*change));
 }
 
-rt::Task<> BlockLeader::Write(rt::Scope& term, blocks::RecordChange change) const {
+async::Task<> BlockLeader::Write(async::Scope& term, blocks::RecordChange change) const {
   // Without an answer it may be carried out late. Its guards name every record of blocks and
   // shares, so that nothing that was decided since stands beside it.
-  auto r = co_await deps_.client->Txn(change.guards, change.writes, store::Urgent::kYes);
+  auto r = co_await deps_.client->Commit(change.preconditions, change.writes, store::Urgent::kYes);
   if (term.cancelled()) co_return;
   if (r.ok()) {
-    for (const wire::Write& write : change.writes) {
-      deps_.replica->Apply(write.key, write.value, r.value.revision);
+    for (const model::KeyWrite& write : change.writes) {
+      deps_.cache->Apply(write.key, write.value, r.value.revision);
     }
     co_return;
   }
   for (const std::string& key : r.value.failed) {
-    if (key == store::BlockKey(0)) continue;
-    co_await deps_.replica->Refresh(key);
+    if (key == store::FencingTokenKey()) continue;
+    co_await deps_.cache->Refresh(key);
     if (term.cancelled()) co_return;
   }
 }
@@ -150,10 +154,10 @@
 void BlockLeader::NoteRetries(const plan::RoundResult& round, const plan::Scope& scope) {
   std::erase_if(retries_, [&](const auto& entry) { return entry.second.until < Now(); });
   const std::set<std::string> retried(round.retried_jobs.begin(), round.retried_jobs.end());
-  for (const jobs::Mutation& place : round.places) {
+  for (const jobs::TaskTransition& place : round.places) {
     if (!retried.contains(place.task.job)) continue;
     const std::optional<size_t> holder = scope.holder_of(place.machine);
-    if (holder) retries_[place.task.job] = {*holder, Now() + deps_.settings->report_s};
+    if (holder) retries_[place.task.job] = {*holder, Now() + deps_.settings->heartbeat_interval_s};
   }
 }
 
@@ -168,14 +172,14 @@
 void BlockLeader::SendViews() {
   sent_at_ = Now();
   const blocks::Division& division = deps_.records->division();
-  std::vector<wire::MachineView> machines;
-  if (divided()) machines = blocks::DescribeMachines(roster_, *deps_.ledger, Now());
+  std::vector<model::MachineView> machines;
+  if (divided()) machines = blocks::DescribeMachines(registry_, *deps_.job_table, Now());
   for (auto& [node, link] : links_) {
     if (!deps_.formats->UnderstandsBlocks(node)) continue;
     const std::optional<size_t> holder = division.IndexOf(node);
-    std::vector<wire::JobFailures> failures;
-    if (holder) failures = roster_.failures().View(RetriesOf(*holder));
-    for (const wire::BlockView& view : link.sender.Next(deps_.leadership->token(), division, holder,
+    std::vector<model::JobFailures> failures;
+    if (holder) failures = registry_.failures().View(RetriesOf(*holder));
+    for (const wire::BlockView& view : link.sender.Next(deps_.election->token(), division, holder,
                                                         machines, std::move(failures))) {
       link.asked[view.sequence] = Now();
       deps_.send(node, view);
@@ -184,12 +188,12 @@
   }
 }
 
-rt::Task<> BlockLeader::HeartbeatLoop(rt::Scope& term) {
+async::Task<> BlockLeader::HeartbeatLoop(async::Scope& term) {
   while (!term.cancelled()) {
-    rt::Sleep pause(term, BeatS());
+    async::Sleep pause(term, BeatS());
     co_await pause;
     if (!term.cancelled() && Now() - sent_at_ >= BeatS()) SendViews();
   }
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/block_leader.h
+++ b/src/controller/block_leader.h
@@ -7,22 +7,23 @@
 #include <set>
 #include <string>
 
-#include "app/leader_deps.h"
+#include "async/event_loop.h"
 #include "blocks/lending.h"
 #include "blocks/view_sender.h"
+#include "controller/leader_dependencies.h"
 #include "membership/record.h"
 #include "plan/round.h"
-#include "rt/loop.h"
 #include "wire/peer.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
 class BlockLeader {
  public:
-  BlockLeader(LeaderDeps deps, const fleet::Roster& roster, const plan::Context& context);
+  BlockLeader(LeaderDependencies deps, const fleet::WorkerRegistry& registry,
+              const plan::Context& context);
 
   // A term begins; its duties end with the scope.
-  void Begin(rt::Scope& term);
+  void Begin(async::Scope& term);
   void OnMember(const std::string& node, const std::optional<membership::MemberRecord>& record);
   void OnLink(const std::string& node);
   void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
@@ -40,7 +41,8 @@
 
   // After a plan over all machines: writes what has to change, and tells holders what is new.
   // `scope`: the one it was made with; null: machines were not divided.
-  rt::Task<> Review(rt::Scope& term, const plan::RoundResult& round, const plan::Scope* scope);
+  async::Task<> Review(async::Scope& term, const plan::RoundResult& round,
+                       const plan::Scope* scope);
 
  private:
   // What a node was sent and has not acknowledged yet.
@@ -48,12 +50,12 @@
     blocks::ViewSender sender;
     std::map<uint64_t, double> asked;  // steady time by sequence number
   };
-  rt::Task<> HeartbeatLoop(rt::Scope& term);
+  async::Task<> HeartbeatLoop(async::Scope& term);
   void NotePause(double now);
-  rt::Task<> ReviewDivision(rt::Scope& term);
-  rt::Task<> ReviewShares(rt::Scope& term, const plan::RoundResult& round,
-                          const plan::Scope& scope);
-  rt::Task<> Write(rt::Scope& term, blocks::RecordChange change) const;
+  async::Task<> ReviewDivision(async::Scope& term);
+  async::Task<> ReviewShares(async::Scope& term, const plan::RoundResult& round,
+                             const plan::Scope& scope);
+  async::Task<> Write(async::Scope& term, blocks::RecordChange change) const;
   // Notes for how long which holder is asked to retry which failing job.
   void NoteRetries(const plan::RoundResult& round, const plan::Scope& scope);
   std::set<std::string> RetriesOf(size_t holder) const;
@@ -63,11 +65,11 @@
   double BeatS() const;  // between two views at the most
   double Now() const { return term_->loop().Now(); }
 
-  LeaderDeps deps_;
-  const fleet::Roster& roster_;
+  LeaderDependencies deps_;
+  const fleet::WorkerRegistry& registry_;
   const plan::Context& context_;
   blocks::Lending lending_;
-  rt::Scope* term_ = nullptr;
+  async::Scope* term_ = nullptr;
   std::map<std::string, Link> links_;  // of all other nodes of the settings
   struct Retry {
     size_t holder = 0;
@@ -78,4 +80,4 @@
   double pause_seen_ = 0;
 };
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/controller.cc
+++ b/src/controller/controller.cc
@@ -1,13 +1,16 @@
-#include "app/controller.h"
+#include "controller/controller.h"
 
 #include <spdlog/spdlog.h>
 
 #include <chrono>
 
-namespace hallpier::app {
+#include "wire/user_codec.h"
+#include "wire/worker_codec.h"
+
+namespace hallpier::controller {
 namespace {
 
-constexpr std::string_view kCheckin = "/checkin";
+constexpr std::string_view kHeartbeatPath = "/checkin";
 constexpr std::string_view kReady = "/ready";
 constexpr size_t kMaxRequestBody = size_t{64} * 1024;
 // The largest answer of the state service that is read, as a part of this machine's memory.
@@ -44,7 +47,7 @@
 }
 
 // What this node records that it understands (store::Formats).
-uint64_t MarkOf(const config::Operator& operators) {
+uint64_t NodeFormatOf(const config::Operator& operators) {
   if (operators.blocks.enabled) return store::kBlocksFormat;
   return operators.membership.enabled ? store::kMembershipFormat : store::kCancellationReportFormat;
 }
@@ -58,8 +61,8 @@
   limits.max_body = kMaxRequestBody;
   // A worker that says nothing for as long has lost its lease; users ask far more often.
   limits.idle_s = s.lease_s;
-  limits.request_s = limits.quiet_s = s.report_s * 3;
-  limits.shares = {{.takes = [](const wire::HttpRequest& r) { return r.path() == kCheckin; },
+  limits.request_s = limits.quiet_s = s.heartbeat_interval_s * 3;
+  limits.shares = {{.takes = [](const wire::HttpRequest& r) { return r.path() == kHeartbeatPath; },
                     .most = workers,
                     .periodic = true},
                    {[](const wire::HttpRequest& r) { return r.path() != kReady; }, users}};
@@ -68,26 +71,28 @@
 
 }  // namespace
 
-Controller::Controller(rt::Loop& loop, config::Settings settings, config::Operator operators)
+Controller::Controller(async::EventLoop& loop, config::Settings settings,
+                       config::Operator operators)
     : settings_(std::move(settings)),
       operators_(operators),
       root_(loop),
       ending_(loop),
-      ledger_(store::TasksPerShard(settings_.value_kb)),
+      job_table_(store::TasksPerGroup(settings_.value_kb)),
       client_(root_, StateOptions(settings_)),
-      replica_(root_, client_, settings_.report_s,
-               [this](const std::string& key, const std::string& value) { OnState(key, value); }),
-      formats_(root_, settings_, client_, replica_, MarkOf(operators_)),
-      finals_(root_, client_, replica_, ledger_, [this] { leader_loop_.OnChange(); }),
-      leadership_(root_, settings_, operators_, client_, replica_,
-                  [this](rt::Scope& term) { leader_loop_.Begin(term); }),
-      watermark_({settings_.cancel_s, settings_.lease_s, settings_.report_s},
+      cache_(root_, client_, settings_.heartbeat_interval_s,
+             [this](const std::string& key, const std::string& value) { OnState(key, value); }),
+      formats_(root_, settings_, client_, cache_, NodeFormatOf(operators_)),
+      dependency_outcomes_(root_, client_, cache_, job_table_, [this] { leader_loop_.OnChange(); }),
+      election_(root_, settings_, operators_, client_, cache_,
+                [this](async::Scope& term) { leader_loop_.Begin(term); }),
+      watermark_({settings_.cancel_s, settings_.lease_s, settings_.heartbeat_interval_s},
                  settings_.OtherNodes()),
-      leader_loop_(DepsOfLeader()),
-      barrier_(root_, client_, replica_, kBarrierS),
-      users_({&settings_, &client_, &replica_, &barrier_, &formats_, &ledger_, &flavors_, TimeOfDay,
+      leader_loop_(DependenciesOfLeader()),
+      linearizable_read_(root_, client_, cache_, kBarrierS),
+      users_({&settings_, &client_, &cache_, &linearizable_read_, &formats_, &job_table_,
+              &machine_types_, TimeOfDay,
               [this](std::string id, double limit_s) {
-                return finals_.Settled(std::move(id), limit_s);
+                return dependency_outcomes_.Settled(std::move(id), limit_s);
               },
               [this](const std::string& id, uint64_t version) {
                 peers_.Announce({{id, version}});
@@ -95,24 +100,24 @@
       server_(root_, ServerLimits(settings_),
               [this](wire::HttpRequest r) { return Handle(std::move(r)); }),
       peers_(root_, settings_, PeerHooks()) {
-  loop.WatchPauses(leadership_.MaxUnverifiedS());
+  loop.WatchPauses(election_.MaxUnverifiedS());
   client_.SetRelay([this](wire::HttpRequest r) { return peers_.Relay(std::move(r)); });
-  leadership_.SetOutageConfirmed([this] { return peers_.AllConfirmOutage(); });
-  leadership_.SetMayRenew([this] { return MayRenew(); });
+  election_.SetOutageConfirmed([this] { return peers_.AllConfirmOutage(); });
+  election_.SetMayRenew([this] { return MayRenew(); });
   if (operators_.membership.enabled) SetUpMembership();
   if (operators_.blocks.enabled) SetUpBlocks();
 }
 
-LeaderDeps Controller::DepsOfLeader() {
-  LeaderDeps d;
+LeaderDependencies Controller::DependenciesOfLeader() {
+  LeaderDependencies d;
   d.settings = &settings_;
   d.operators = &operators_;
   d.client = &client_;
-  d.replica = &replica_;
+  d.cache = &cache_;
   d.formats = &formats_;
-  d.ledger = &ledger_;
-  d.flavors = &flavors_;
-  d.leadership = &leadership_;
+  d.job_table = &job_table_;
+  d.machine_types = &machine_types_;
+  d.election = &election_;
   d.time_of_day = TimeOfDay;
   d.records = &block_records_;
   d.session = [this] { return Session(); };
@@ -127,13 +132,13 @@
   d.settings = &settings_;
   d.operators = &operators_;
   d.client = &client_;
-  d.replica = &replica_;
+  d.cache = &cache_;
   d.formats = &formats_;
-  d.ledger = &ledger_;
-  d.flavors = &flavors_;
+  d.job_table = &job_table_;
+  d.machine_types = &machine_types_;
   d.records = &block_records_;
   d.session = [this] { return Session(); };
-  d.leading = [this] { return leadership_.leading(); };
+  d.leading = [this] { return election_.leading(); };
   d.time_of_day = TimeOfDay;
   placing_ = std::make_unique<PlacingLoop>(root_, std::move(d));
 }
@@ -143,26 +148,26 @@
   d.settings = &settings_;
   d.options = &operators_.membership;
   d.client = &client_;
-  d.replica = &replica_;
-  d.leadership = &leadership_;
+  d.cache = &cache_;
+  d.election = &election_;
   d.send = [this](const std::string& node, const wire::PeerMessage& message) {
     peers_.Send(node, message);
   };
   d.understands = [this](const std::string& node) { return formats_.UnderstandsMembership(node); };
   d.machines = [this] { return leader_loop_.ReportingMachines(); };
   membership_ = std::make_unique<membership::Service>(root_, std::move(d));
-  leadership_.SetTakeHooks({.allowed = [this] { return membership_->MayLead(); },
-                            .guards = [this] { return membership_->LeadGuards(); },
-                            .delay_s = [this] { return membership_->TakeDelayS(); }});
+  election_.SetTakeHooks({.allowed = [this] { return membership_->MayLead(); },
+                          .preconditions = [this] { return membership_->LeadPreconditions(); },
+                          .delay_s = [this] { return membership_->TakeDelayS(); }});
 }
 
 net::PeerMesh::Hooks Controller::PeerHooks() {
   net::PeerMesh::Hooks h;
   h.status = [this] { return Status(); };
   h.execute = [this](wire::HttpRequest r) { return client_.Direct(std::move(r)); };
-  h.on_status = [this](const wire::PeerStatus& s) { leadership_.Superseded(s.token); };
+  h.on_status = [this](const wire::PeerStatus& s) { election_.Superseded(s.token); };
   h.on_refused = [this](const std::string& node) {
-    leadership_.Suspect(node);
+    election_.Suspect(node);
     if (membership_) membership_->OnRefused(node);
   };
   AddCancellationHooks(&h);
@@ -175,7 +180,7 @@
   hooks->on_block_view = [this](const wire::BlockView& view) { return placing_->OnView(view); };
   hooks->on_block_acknowledged = [this](const std::string& node,
                                         const wire::BlockAcknowledgement& answer) {
-    if (leadership_.leading()) leader_loop_.blocks()->OnAcknowledged(node, answer);
+    if (election_.leading()) leader_loop_.blocks()->OnAcknowledged(node, answer);
   };
 }
 
@@ -200,10 +205,10 @@
   };
   hooks->cancellation_report_request =
       [this](const std::string& node) -> std::optional<wire::CancellationReportRequest> {
-    watermark_.OnComplete(replica_.complete_at());
+    watermark_.OnComplete(cache_.complete_at());
     const bool apart = client_.down() || watermark_.Stale(root_.loop().Now());
-    if (!leadership_.leading() || !apart) return std::nullopt;
-    return watermark_.RequestFor(node, replica_.revision());
+    if (!election_.leading() || !apart) return std::nullopt;
+    return watermark_.RequestFor(node, cache_.revision());
   };
   hooks->cancellation_report = [this](const wire::CancellationReportRequest& q) {
     return CancellationReport(q);
@@ -220,44 +225,44 @@
 wire::CancellationReport Controller::CancellationReport(
     const wire::CancellationReportRequest& request) const {
   wire::CancellationReport v;
-  v.revision = replica_.revision();
-  for (const std::string& id : ledger_.CancelledJobs()) {
-    const uint64_t version = replica_.Version(store::JobKey(id));
+  v.revision = cache_.revision();
+  for (const std::string& id : job_table_.CancelledJobs()) {
+    const uint64_t version = cache_.Version(store::JobKey(id));
     if (version > request.beyond) v.cancelled.push_back({id, version});
   }
   // A process that was started anew and has read nothing since does not know what the one before
   // told. Nor is it known yet what becomes of a cancellation that is under way; without an answer
   // it is told to nobody, and whoever reads it later has it in its copy before it tells.
-  v.complete = replica_.loaded() && users_.cancelling() == 0 &&
-               v.cancelled.size() <= wire::kMaxCancellations;
+  v.complete =
+      cache_.loaded() && users_.cancelling() == 0 && v.cancelled.size() <= wire::kMaxCancellations;
   if (!v.complete) v.cancelled.clear();
   return v;
 }
 
 void Controller::OnCancelled(const wire::Cancellation& cancelled) {
   // A job that is not known here has no tasks of ours; its record will come as it is by then.
-  auto record = ledger_.CancelledRecord(cancelled.job);
+  auto record = job_table_.CancelledRecord(cancelled.job);
   if (!record) return;
   spdlog::info("job {} is cancelled, as another node says", cancelled.job);
-  replica_.Apply(store::JobKey(cancelled.job), store::WriteJob(*record), cancelled.version);
+  cache_.Apply(store::JobKey(cancelled.job), store::WriteJob(*record), cancelled.version);
 }
 
 bool Controller::MayRenew() {
-  watermark_.OnComplete(replica_.complete_at());
+  watermark_.OnComplete(cache_.complete_at());
   return watermark_.MayRenew(root_.loop().Now());
 }
 
 wire::PeerStatus Controller::Status() const {
   wire::PeerStatus s;
   s.node = settings_.node;
-  s.token = leadership_.highest();
-  s.leading = leadership_.leading();
-  s.state_good = replica_.loaded() && !client_.down();
+  s.token = election_.highest();
+  s.leading = election_.leading();
+  s.state_good = cache_.loaded() && !client_.down();
   return s;
 }
 
 bool Controller::Ready() const {
-  if (!replica_.loaded()) return false;
+  if (!cache_.loaded()) return false;
   // Refused alone, with nobody to relay for us: users are better off elsewhere. While the service
   // is out for all, leaving the balancer would only make the return slower.
   return !client_.down() || peers_.AnyReachesState() || peers_.AllConfirmOutage() ||
@@ -267,10 +272,10 @@
 bool Controller::Start(std::string* error) {
   if (!server_.Listen(settings_.listen, error)) return false;
   if (!peers_.Start(error)) return false;
-  root_.Spawn(replica_.Run());
+  root_.Spawn(cache_.Run());
   root_.Spawn(formats_.Run());
-  root_.Spawn(finals_.Run());
-  root_.Spawn(leadership_.Run());
+  root_.Spawn(dependency_outcomes_.Run());
+  root_.Spawn(election_.Run());
   if (membership_) root_.Spawn(membership_->Run());
   if (placing_) root_.Spawn(placing_->Run());
   root_.Spawn(ConfirmCopyAfterPauses());
@@ -278,12 +283,12 @@
   return true;
 }
 
-rt::Task<> Controller::Drain(std::function<void()> done) {
+async::Task<> Controller::Drain(std::function<void()> done) {
   co_await root_.Join();
   done();
 }
 
-rt::Task<> Controller::LeaveInOrder(std::function<void()> done) {
+async::Task<> Controller::LeaveInOrder(std::function<void()> done) {
   co_await membership_->Leave();
   CancelAndDrain(std::move(done));
 }
@@ -307,47 +312,47 @@
   const store::ParsedKey parsed = store::ParseKey(key);
   switch (parsed.kind) {
     case store::KeyKind::kLeader:
-      leadership_.OnRecord(value);
+      election_.OnRecord(value);
       if (membership_) membership_->OnLeaderRecord();
       break;
     case store::KeyKind::kMember:
       OnMember(parsed.job, value);
       break;
     case store::KeyKind::kDivision:
-      block_records_.PutDivision(value, replica_.Version(key));
+      block_records_.PutDivision(value, cache_.Version(key));
       client_.SetDivided(operators_.blocks.enabled && block_records_.division().divided());
       OnPlacingChange();
       break;
     case store::KeyKind::kShare:
-      block_records_.PutShare(parsed.job, value, replica_.Version(key));
+      block_records_.PutShare(parsed.job, value, cache_.Version(key));
       OnPlacingChange();
       break;
-    case store::KeyKind::kFlavors:
-      flavor_pages_.Put(parsed.shard, value);
-      if (auto all = flavor_pages_.All()) flavors_ = std::move(*all);
+    case store::KeyKind::kMachineTypes:
+      machine_type_pages_.Put(parsed.task_group, value);
+      if (auto all = machine_type_pages_.All()) machine_types_ = std::move(*all);
       break;
     case store::KeyKind::kFormat:
-      ledger_.Apply(parsed, value);
+      job_table_.Apply(parsed, value);
       formats_.OnRecord(value);
       break;
-    case store::KeyKind::kMark:
-      formats_.OnMark(parsed.job, value);
+    case store::KeyKind::kNodeFormat:
+      formats_.OnNodeFormat(parsed.job, value);
       break;
     case store::KeyKind::kJob:
-      ledger_.Apply(parsed, value);
-      finals_.OnChange();
+      job_table_.Apply(parsed, value);
+      dependency_outcomes_.OnChange();
       leader_loop_.OnJobChanged(parsed.job);
       OnPlacingChange();
       break;
-    case store::KeyKind::kShard:
-      ledger_.Apply(parsed, value);
+    case store::KeyKind::kTaskGroup:
+      job_table_.Apply(parsed, value);
       leader_loop_.OnTasksChanged(parsed);
       OnPlacingChange();
       break;
-    case store::KeyKind::kBlock:
+    case store::KeyKind::kFencingToken:
       // A node without peers has nobody else to hear it from: a new token of its own that got no
       // answer and was carried out late makes every commit fail.
-      leadership_.Superseded(replica_.Version(key));
+      election_.Superseded(cache_.fencing_token());
       break;
     case store::KeyKind::kFinal:
     case store::KeyKind::kOther:
@@ -368,27 +373,27 @@
 
 wire::HttpResponse Controller::Checkin(const std::string& body) {
   if (membership_) membership_->OnWorkerReport();
-  if (!leadership_.leading()) {
-    const std::string leader = leadership_.leader();
+  if (!election_.leading()) {
+    const std::string leader = election_.leader();
     if (leader.empty() || leader == settings_.node) {
       return {.status = 503, .body = wire::WriteError("nobody leads"), .retry_after_s = 1};
     }
     return {.status = 421, .body = wire::WriteRedirect(leader)};
   }
-  if (!leadership_.Entitled()) {
+  if (!election_.Entitled()) {
     return {.status = 503, .body = wire::WriteError("not entitled to act"), .retry_after_s = 1};
   }
-  auto report = wire::ReadReport(body);
+  auto report = wire::ReadHeartbeat(body);
   if (!report) {
     spdlog::warn("a worker's report can't be read: {} bytes", body.size());
     return {.status = 400, .body = wire::WriteError("not a report")};
   }
-  return leader_loop_.OnCheckin(*report);
+  return leader_loop_.OnHeartbeat(*report);
 }
 
-rt::Task<wire::HttpResponse> Controller::Handle(wire::HttpRequest request) {
+async::Task<wire::HttpResponse> Controller::Handle(wire::HttpRequest request) {
   const double began = root_.loop().Now();
-  const bool from_user = request.path() != kCheckin && request.path() != kReady;
+  const bool from_user = request.path() != kHeartbeatPath && request.path() != kReady;
   wire::HttpResponse response = co_await Route(std::move(request));
   // Read before a pause of the process, and perhaps older by now than what another node has told.
   const bool good = response.status < kFirstErrorStatus;
@@ -399,26 +404,26 @@
   co_return response;
 }
 
-rt::Task<> Controller::ConfirmCopyAfterPauses() {
+async::Task<> Controller::ConfirmCopyAfterPauses() {
   while (!root_.cancelled()) {
-    rt::Sleep pause(root_, leadership_.MaxUnverifiedS() / kPauseChecks);
+    async::Sleep pause(root_, election_.MaxUnverifiedS() / kPauseChecks);
     co_await pause;
-    while (!root_.cancelled() && replica_.complete_at() < root_.loop().resumed_at()) {
-      const bool confirmed = co_await barrier_.Reached();
+    while (!root_.cancelled() && cache_.complete_at() < root_.loop().resumed_at()) {
+      const bool confirmed = co_await linearizable_read_.Reached();
       if (confirmed) break;
-      rt::Sleep retry(root_, kStateTimeoutS);
+      async::Sleep retry(root_, kStateTimeoutS);
       co_await retry;
     }
   }
 }
 
-rt::Task<wire::HttpResponse> Controller::Route(wire::HttpRequest request) {
+async::Task<wire::HttpResponse> Controller::Route(wire::HttpRequest request) {
   const std::string path(request.path());
   const bool get = request.method == "GET", post = request.method == "POST";
   constexpr std::string_view kJobs = "/submissions";
   constexpr std::string_view kWithdraw = "/withdraw";
   bool known = false;
-  if (path == kCheckin) {
+  if (path == kHeartbeatPath) {
     if (post) co_return Checkin(request.body);
     known = true;
   } else if (path == kReady) {
@@ -454,4 +459,4 @@
   co_return wire::HttpResponse{.status = 404, .body = wire::WriteError("no such path")};
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/controller.h
+++ b/src/controller/controller.h
@@ -6,26 +6,27 @@
 #include <string>
 
 #include "api/user_api.h"
-#include "app/awaited_finals.h"
-#include "app/leader_loop.h"
-#include "app/placing_loop.h"
+#include "async/event_loop.h"
 #include "config/settings.h"
-#include "lead/cancellation_watermark.h"
-#include "lead/leadership.h"
+#include "controller/dependency_outcomes.h"
+#include "controller/leader_loop.h"
+#include "controller/placing_loop.h"
+#include "election/cancellation_watermark.h"
+#include "election/leader_election.h"
 #include "membership/service.h"
+#include "model/machine_type.h"
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
-#include "rt/loop.h"
 #include "store/client.h"
-#include "store/flavor_pages.h"
 #include "store/formats.h"
-#include "store/replica.h"
+#include "store/machine_type_pages.h"
+#include "store/watch_cache.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
 class Controller {
  public:
-  Controller(rt::Loop& loop, config::Settings settings, config::Operator operators);
+  Controller(async::EventLoop& loop, config::Settings settings, config::Operator operators);
 
   // False, with a reason, if it can't listen.
   bool Start(std::string* error);
@@ -33,10 +34,10 @@
   void Shutdown(std::function<void()> done);
 
  private:
-  rt::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
-  rt::Task<wire::HttpResponse> Route(wire::HttpRequest request);
+  async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
+  async::Task<wire::HttpResponse> Route(wire::HttpRequest request);
   // After a pause of the process, brings the warm copy up to date without waiting for its watch.
-  rt::Task<> ConfirmCopyAfterPauses();
+  async::Task<> ConfirmCopyAfterPauses();
   wire::HttpResponse Checkin(const std::string& body);
   wire::PeerStatus Status() const;
   net::PeerMesh::Hooks PeerHooks();
@@ -47,7 +48,7 @@
   void SetUpMembership();
   // Creates the routine of a block's holder, likewise.
   void SetUpBlocks();
-  LeaderDeps DepsOfLeader();
+  LeaderDependencies DependenciesOfLeader();
   uint64_t Session() const { return membership_ ? membership_->session() : 0; }
   void OnMember(const std::string& node, const std::string& value);
   // Something changed that a holder's round should look at.
@@ -59,32 +60,32 @@
   bool MayRenew();
   bool Ready() const;
   void OnState(const std::string& key, const std::string& value);
-  rt::Task<> Drain(std::function<void()> done);
-  rt::Task<> LeaveInOrder(std::function<void()> done);
+  async::Task<> Drain(std::function<void()> done);
+  async::Task<> LeaveInOrder(std::function<void()> done);
   void CancelAndDrain(std::function<void()> done);
 
   const config::Settings settings_;
   const config::Operator operators_;
-  rt::Scope root_;
-  rt::Scope ending_;
+  async::Scope root_;
+  async::Scope ending_;
   bool leaving_ = false;
-  jobs::Ledger ledger_;
-  store::FlavorPages flavor_pages_;
-  std::vector<wire::Flavor> flavors_;
+  jobs::JobTable job_table_;
+  store::MachineTypePages machine_type_pages_;
+  std::vector<model::MachineType> machine_types_;
   store::Client client_;
-  store::Replica replica_;
+  store::WatchCache cache_;
   store::Formats formats_;
-  AwaitedFinals finals_;
-  lead::Leadership leadership_;
-  lead::CancellationWatermark watermark_;
+  DependencyOutcomes dependency_outcomes_;
+  election::LeaderElection election_;
+  election::CancellationWatermark watermark_;
   std::unique_ptr<membership::Service> membership_;  // null: it is off
   blocks::BlockRecords block_records_;
   LeaderLoop leader_loop_;
   std::unique_ptr<PlacingLoop> placing_;  // null: blocks are off
-  store::Barrier barrier_;
+  store::LinearizableRead linearizable_read_;
   api::UserApi users_;
   net::HttpServer server_;
   net::PeerMesh peers_;
 };
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/awaited_finals.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -1,6 +1,6 @@
-#include "app/awaited_finals.h"
+#include "controller/dependency_outcomes.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 namespace {
 // Reads under way at a time: they take their turn beside polls.
 constexpr size_t kMostAtOnce = 8;
@@ -8,14 +8,14 @@
 constexpr double kRetryS = 0.5;
 }  // namespace
 
-void AwaitedFinals::OnChange() {
-  if (!ledger_.pipelines().unknown().empty()) wake_.Notify();
+void DependencyOutcomes::OnChange() {
+  if (!job_table_.dependency_graph().unknown().empty()) wake_.Notify();
 }
 
-rt::Task<> AwaitedFinals::Run() {
+async::Task<> DependencyOutcomes::Run() {
   while (!scope_.cancelled()) {
-    const auto& unknown = ledger_.pipelines().unknown();
-    if (replica_.loaded()) {
+    const auto& unknown = job_table_.dependency_graph().unknown();
+    if (cache_.loaded()) {
       for (auto it = unknown.begin(); it != unknown.end() && reading_.size() < kMostAtOnce; ++it) {
         if (reading_.insert(*it).second) scope_.Spawn(Read(*it));
       }
@@ -30,9 +30,9 @@
   }
 }
 
-rt::Task<bool> AwaitedFinals::Settled(std::string id, double limit_s) {
+async::Task<bool> DependencyOutcomes::Settled(std::string id, double limit_s) {
   const double end = scope_.loop().Now() + limit_s;
-  while (!ledger_.pipelines().Settled(id)) {
+  while (!job_table_.dependency_graph().Settled(id)) {
     const double left = end - scope_.loop().Now();
     if (left <= 0 || scope_.cancelled()) co_return false;
     auto wait = known_.Await(scope_, left);
@@ -41,21 +41,21 @@
   co_return true;
 }
 
-rt::Task<> AwaitedFinals::Read(std::string id) {
+async::Task<> DependencyOutcomes::Read(std::string id) {
   auto entry = co_await client_.Get(store::FinalKey(id));
   auto record = entry.ok() ? store::ReadFinal(entry.value.value) : std::nullopt;
   if (record) {
-    ledger_.RecordFinal(id, *record);
+    job_table_.RecordFinal(id, *record);
     found_();
     known_.Notify();
   } else {
     // Not there: it has not reached the warm copy yet, or could not be asked for. Who awaits it
     // goes on waiting.
-    rt::Sleep pause(scope_, kRetryS);
+    async::Sleep pause(scope_, kRetryS);
     co_await pause;
   }
   reading_.erase(id);
   wake_.Notify();
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/awaited_finals.h
+++ b/src/controller/dependency_outcomes.h
@@ -7,41 +7,41 @@
 #include <set>
 #include <string>
 
-#include "jobs/ledger.h"
-#include "rt/loop.h"
+#include "async/event_loop.h"
+#include "jobs/job_table.h"
 #include "store/client.h"
-#include "store/replica.h"
+#include "store/watch_cache.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
-class AwaitedFinals {
+class DependencyOutcomes {
  public:
   // `found` is called whenever one more is known.
-  AwaitedFinals(rt::Scope& scope, store::Client& client, store::Replica& replica,
-                jobs::Ledger& ledger, std::function<void()> found)
+  DependencyOutcomes(async::Scope& scope, store::Client& client, store::WatchCache& cache,
+                     jobs::JobTable& job_table, std::function<void()> found)
       : scope_(scope),
         client_(client),
-        replica_(replica),
-        ledger_(ledger),
+        cache_(cache),
+        job_table_(job_table),
         found_(std::move(found)) {}
 
-  rt::Task<> Run();
+  async::Task<> Run();
   // True once nothing of what a job needs is unknown; false if that takes longer than `limit_s`.
-  rt::Task<bool> Settled(std::string id, double limit_s);
+  async::Task<bool> Settled(std::string id, double limit_s);
   // Some job's record has changed or is gone.
   void OnChange();
 
  private:
-  rt::Task<> Read(std::string id);
+  async::Task<> Read(std::string id);
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   store::Client& client_;
-  store::Replica& replica_;
-  jobs::Ledger& ledger_;
+  store::WatchCache& cache_;
+  jobs::JobTable& job_table_;
   const std::function<void()> found_;
   std::set<std::string> reading_;
-  rt::Event wake_;
-  rt::Event known_;  // one more
+  async::Event wake_;
+  async::Event known_;  // one more
 };
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/leader_deps.h
+++ b/src/controller/leader_dependencies.h
@@ -6,24 +6,25 @@
 
 #include "blocks/block_records.h"
 #include "config/settings.h"
-#include "jobs/ledger.h"
-#include "lead/leadership.h"
+#include "election/leader_election.h"
+#include "jobs/job_table.h"
+#include "model/machine_type.h"
 #include "store/client.h"
 #include "store/formats.h"
-#include "store/replica.h"
+#include "store/watch_cache.h"
 #include "wire/peer.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
-struct LeaderDeps {
+struct LeaderDependencies {
   const config::Settings* settings;
   const config::Operator* operators;
   store::Client* client;
-  store::Replica* replica;
+  store::WatchCache* cache;
   store::Formats* formats;
-  jobs::Ledger* ledger;
-  std::vector<wire::Flavor>* flavors;
-  lead::Leadership* leadership;
+  jobs::JobTable* job_table;
+  std::vector<model::MachineType>* machine_types;
+  election::LeaderElection* election;
   std::function<double()> time_of_day;
   blocks::BlockRecords* records;
   // The session of this process in the membership; 0: it has none.
@@ -32,4 +33,4 @@
   std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
 };
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -1,13 +1,16 @@
-#include "app/leader_loop.h"
+#include "controller/leader_loop.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <iterator>
 
-#include "app/pace.h"
+#include "controller/round_interval.h"
+#include "model/job.h"
+#include "model/task.h"
+#include "wire/worker_codec.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 namespace {
 
 // A direct command is given up after this part of a report period: the next report is better.
@@ -26,39 +29,43 @@
 
 }  // namespace
 
-LeaderLoop::LeaderLoop(LeaderDeps deps)
+LeaderLoop::LeaderLoop(LeaderDependencies deps)
     : deps_(std::move(deps)),
-      roster_({deps_.settings->report_s, deps_.settings->lease_s, deps_.settings->list_lag_s,
-               deps_.operators->silent_ratio,
-               kRetryWriteShare * deps_.settings->least().write_rps / kWritesPerRetry,
-               CloudLoop::kReturnsPerCall * deps_.settings->cloud_rps}),
+      registry_({deps_.settings->heartbeat_interval_s, deps_.settings->lease_s,
+                 deps_.settings->list_lag_s, deps_.operators->silent_ratio,
+                 kRetryWriteShare * deps_.settings->least().write_rps / kWritesPerRetry,
+                 CloudLoop::kReturnsPerCall * deps_.settings->cloud_rps}),
       max_sends_(
           std::max<size_t>(1, static_cast<size_t>(kCommandSockets * deps_.settings->max_sockets))),
       workers_(1, kMaxWorkerBody, max_sends_),
-      cloud_(deps_, roster_, context_, [this] { OnChange(); }),
-      committer_(*deps_.settings, *deps_.client, *deps_.replica, *deps_.formats, CommitHooks()) {
+      cloud_(deps_, registry_, context_, [this] { OnChange(); }),
+      committer_(*deps_.settings, *deps_.client, *deps_.cache, *deps_.formats, CommitHooks()) {
   context_.settings = deps_.settings;
   context_.operators = deps_.operators;
   if (deps_.operators->blocks.enabled) {
-    blocks_ = std::make_unique<BlockLeader>(deps_, roster_, context_);
+    blocks_ = std::make_unique<BlockLeader>(deps_, registry_, context_);
   }
 }
 
-Committer::Hooks LeaderLoop::CommitHooks() {
-  Committer::Hooks hooks;
-  hooks.gives_way = [this](const jobs::Txn& txn) { return GivesWay(txn); };
-  hooks.describe = [this](const jobs::Txn& txn) { return DescribeEnds(txn); };
-  hooks.on_written = [this](const jobs::Txn& txn) { RecordFinals(txn.writes); };
+TransactionCommitter::Hooks LeaderLoop::CommitHooks() {
+  TransactionCommitter::Hooks hooks;
+  hooks.gives_way = [this](const jobs::Transaction& transaction) { return GivesWay(transaction); };
+  hooks.describe = [this](const jobs::Transaction& transaction) {
+    return DescribeEnds(transaction);
+  };
+  hooks.on_written = [this](const jobs::Transaction& transaction) {
+    RecordFinals(transaction.writes);
+  };
   hooks.on_placed = [this](const std::string& machine) { SendCommands(*term_, machine); };
   hooks.on_left = [this] { work_waits_ = true; };
   return hooks;
 }
 
-void LeaderLoop::Begin(rt::Scope& term) {
+void LeaderLoop::Begin(async::Scope& term) {
   term_ = &term;
-  roster_.BeginTerm(deps_.leadership->token(), term.loop().Now(), deps_.leadership->others_until());
-  term_began_ = deps_.leadership->token();
-  context_.flavors = *deps_.flavors;
+  registry_.BeginTerm(deps_.election->token(), term.loop().Now(), deps_.election->others_until());
+  term_began_ = deps_.election->token().value();
+  context_.machine_types = *deps_.machine_types;
   sending_.clear();
   send_again_.clear();
   send_queue_.clear();
@@ -71,32 +78,33 @@
 }
 
 void LeaderLoop::OnJobChanged(const std::string& id) {
-  if (!deps_.leadership->leading() || term_ == nullptr) return;
-  const jobs::Job* job = deps_.ledger->Find(id);
+  if (!deps_.election->leading() || term_ == nullptr) return;
+  const jobs::Job* job = deps_.job_table->Find(id);
   if (job != nullptr && job->cancelled) {
-    for (const auto& [number, shard] : job->shards()) {
-      for (const auto& [index, task] : shard.open) {
+    for (const auto& [number, task_group] : job->task_groups()) {
+      for (const auto& [index, task] : task_group.open) {
         if (!task.machine.empty()) SendCommands(*term_, task.machine);
       }
     }
   }
-  if (job != nullptr && !job->held && job->priority <= wire::Priority::kUrgent) urgent_came_ = true;
+  if (job != nullptr && !job->blocked && job->priority <= model::Priority::kUrgent)
+    urgent_came_ = true;
   work_waits_ = true;
   work_.Notify();
 }
 
 void LeaderLoop::OnTasksChanged(const store::ParsedKey& key) {
-  if (!blocks_ || !deps_.leadership->leading() || term_ == nullptr) return;
-  const jobs::Job* job = deps_.ledger->Find(key.job);
+  if (!blocks_ || !deps_.election->leading() || term_ == nullptr) return;
+  const jobs::Job* job = deps_.job_table->Find(key.job);
   if (job == nullptr) return;
   const uint32_t parts = job->groups.layout().parts;
-  const uint32_t first = key.shard * parts + key.part.value_or(0);
+  const uint32_t first = key.task_group * parts + key.part.value_or(0);
   const uint32_t end = key.part ? first + 1 : first + parts;
-  for (auto it = job->shards().lower_bound(first); it != job->shards().end() && it->first < end;
-       ++it) {
+  for (auto it = job->task_groups().lower_bound(first);
+       it != job->task_groups().end() && it->first < end; ++it) {
     for (const auto& [index, task] : it->second.open) {
       if (!task.machine.empty() &&
-          roster_.StartIsDue(task.machine, {key.job, index}, task.attempt)) {
+          registry_.StartIsDue(task.machine, {key.job, index}, task.attempt)) {
         SendCommands(*term_, task.machine);
       }
     }
@@ -109,47 +117,47 @@
 }
 
 size_t LeaderLoop::ReportingMachines() const {
-  const auto& machines = roster_.all();
+  const auto& machines = registry_.all();
   return static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
-    return entry.second.reported() && !entry.second.returning;
+    return entry.second.has_reported() && !entry.second.returning;
   }));
 }
 
-wire::HttpResponse LeaderLoop::OnCheckin(const wire::Report& report) {
-  if (report.token > roster_.token()) {
-    deps_.leadership->Superseded(report.token);
+wire::HttpResponse LeaderLoop::OnHeartbeat(const model::Heartbeat& report) {
+  if (report.token > registry_.token()) {
+    deps_.election->Superseded(report.token);
     return {.status = 421, .body = wire::WriteRedirect("")};
   }
   const double now = term_->loop().Now();
-  if (roster_.OnReport(report, now, false)) {
+  if (registry_.OnHeartbeat(report, now, false)) {
     work_waits_ = true;
     work_.Notify();
   }
-  fleet::Machine* m = roster_.Find(report.machine);
-  std::vector<wire::Order> orders;
-  const bool newest = m->session == report.session && m->sequence == report.sequence;
-  if (newest) orders = OrdersFor(*m, false);
+  fleet::Machine* m = registry_.Find(report.machine);
+  std::vector<model::WorkerCommand> commands;
+  const bool newest = m->agent_epoch == report.agent_epoch && m->sequence == report.sequence;
+  if (newest) commands = CommandsFor(*m, false);
   // Counted before the answer goes out: the lease may be renewed from here on.
-  roster_.OnAnswered(report, orders, now);
-  return {.status = 200, .body = wire::WriteCheckinAnswer(roster_.token(), orders)};
+  registry_.OnAnswered(report, commands, now);
+  return {.status = 200, .body = wire::WriteHeartbeatResponse(registry_.token(), commands)};
 }
 
 bool LeaderLoop::CaughtUp() const {
-  return deps_.replica->revision() >= term_began_ &&
-         deps_.replica->complete_at() >= term_->loop().resumed_at();
+  return deps_.cache->revision() >= term_began_ &&
+         deps_.cache->complete_at() >= term_->loop().resumed_at();
 }
 
-std::vector<wire::Order> LeaderLoop::OrdersFor(fleet::Machine& machine, bool direct) {
-  if (CaughtUp()) return roster_.Orders(machine, *deps_.ledger, direct);
+std::vector<model::WorkerCommand> LeaderLoop::CommandsFor(fleet::Machine& machine, bool direct) {
+  if (CaughtUp()) return registry_.Reconcile(machine, *deps_.job_table, direct);
   // After a pause in an outage, leases are renewed on the word of the other nodes while the copy
   // can't be confirmed: a cancellation that they hand over would never be carried out.
-  return fleet::Roster::CancellationOrders(machine, *deps_.ledger);
+  return fleet::WorkerRegistry::CancellationCommands(machine, *deps_.job_table);
 }
 
-rt::Task<> LeaderLoop::RoundLoop(rt::Scope& term) {
+async::Task<> LeaderLoop::RoundLoop(async::Scope& term) {
   while (!term.cancelled()) {
     const double gap = RoundGapS(*deps_.settings, *deps_.operators, round_took_);
-    rt::Sleep rest(term, gap);
+    async::Sleep rest(term, gap);
     co_await rest;
     if (!work_waits_) {
       auto wait = work_.Await(term, std::max(0.0, deps_.operators->round_s - gap));
@@ -157,7 +165,7 @@
     }
     // Looked at last: the process may have been paused in any of the waits.
     while (!term.cancelled() && !CaughtUp()) {
-      auto wait = deps_.replica->changed().Await(term, deps_.settings->report_s);
+      auto wait = deps_.cache->changed().Await(term, deps_.settings->heartbeat_interval_s);
       co_await wait;
     }
     if (term.cancelled()) break;
@@ -166,10 +174,10 @@
   }
 }
 
-rt::Task<> LeaderLoop::Round(rt::Scope& term) {
-  if (roster_.NeedsFence(*deps_.ledger)) {
-    bool fenced = co_await deps_.leadership->Fence();
-    if (fenced) roster_.SetToken(deps_.leadership->token());
+async::Task<> LeaderLoop::Round(async::Scope& term) {
+  if (registry_.NeedsHigherToken(*deps_.job_table)) {
+    bool fenced = co_await deps_.election->Fence();
+    if (fenced) registry_.SetToken(deps_.election->token());
   }
   bool settled = co_await committer_.ResolveUnanswered(term, deps_.operators->round_s);
   if (!settled) {
@@ -178,51 +186,52 @@
   }
   const double begin = term.loop().Now();
   urgent_came_ = false;
-  roster_.Learn(*deps_.ledger);
-  std::vector<jobs::Mutation> mutations = roster_.Collect(*deps_.ledger, begin);
+  registry_.Learn(*deps_.job_table);
+  std::vector<jobs::TaskTransition> transitions = registry_.Collect(*deps_.job_table, begin);
   std::map<std::string, int> requeued;
-  for (const auto& m : mutations) {
-    if (m.kind == jobs::Mutation::Kind::kRequeue) ++requeued[m.machine + ": " + m.why];
+  for (const auto& m : transitions) {
+    if (m.kind == jobs::TaskTransition::Kind::kRequeue) ++requeued[m.machine + ": " + m.why];
   }
   for (const auto& [why, n] : requeued) spdlog::info("{} tasks back from {}", n, why);
   std::optional<plan::Scope> scope;
   if (blocks_ && blocks_->divided()) scope = blocks_->WholeScope();
-  plan::RoundResult plan = plan::PlanRound(context_, *deps_.ledger, roster_, begin,
+  plan::RoundResult plan = plan::PlanRound(context_, *deps_.job_table, registry_, begin,
                                            deps_.time_of_day(), scope ? &*scope : nullptr);
   round_took_ = term.loop().Now() - begin;
-  cloud_.Want(std::move(plan.wants));
+  cloud_.SetDemands(std::move(plan.demands));
   CarryOutStops(term, plan.preemptions);
   Decided decided = co_await DecidePlacements(term, &plan, scope ? &*scope : nullptr);
   if (term.cancelled()) co_return;
   for (const std::string& job : plan.retried_jobs) {
     spdlog::info("job {} fails wherever it runs: one task is retried", job);
-    roster_.failures().OnRetry(job, begin);
+    registry_.failures().OnRetry(job, begin);
   }
   if (!decided.placements.empty() || !plan.preemptions.empty()) {
     spdlog::info("round: {} waiting, {} placed, {} stopped for others, {:.1f} ms", plan.waiting,
                  decided.placements.size(), plan.preemptions.size(), round_took_ * 1000);
   }
   for (const auto& m : decided.placements) {
-    spdlog::debug("place {} try {} on {}", wire::TaskName(m.task), m.attempt, m.machine);
+    spdlog::debug("place {} try {} on {}", model::TaskName(m.task), m.attempt, m.machine);
   }
   // One write for all that a group of tasks has to say: the service takes few of them.
-  std::move(decided.placements.begin(), decided.placements.end(), std::back_inserter(mutations));
-  co_await Commit(term, std::move(mutations), std::move(decided.guards));
+  std::move(decided.placements.begin(), decided.placements.end(), std::back_inserter(transitions));
+  co_await Commit(term, std::move(transitions), std::move(decided.preconditions));
 }
 
-void LeaderLoop::CarryOutStops(rt::Scope& term, const std::vector<plan::Preemption>& stops) {
+void LeaderLoop::CarryOutStops(async::Scope& term, const std::vector<plan::Preemption>& stops) {
   for (const plan::Preemption& p : stops) {
-    roster_.Stop(p.task, p.attempt, p.grace_s);
-    spdlog::debug("stop {} for {}", wire::TaskName(p.task),
+    registry_.Stop(p.task, p.attempt, p.grace_s);
+    spdlog::debug("stop {} for {}", model::TaskName(p.task),
                   p.for_job.empty() ? "its machine's notice" : p.for_job);
     SendCommands(term, p.machine);
   }
 }
 
-rt::Task<LeaderLoop::Decided> LeaderLoop::DecidePlacements(rt::Scope& term, plan::RoundResult* plan,
-                                                           const plan::Scope* scope) {
+async::Task<LeaderLoop::Decided> LeaderLoop::DecidePlacements(async::Scope& term,
+                                                              plan::RoundResult* plan,
+                                                              const plan::Scope* scope) {
   Decided decided;
-  decided.guards = {{store::BlockKey(0), deps_.leadership->token()}};
+  decided.preconditions = {store::TokenPrecondition(deps_.election->token())};
   if (!blocks_) {
     decided.placements = std::move(plan->places);
     co_return decided;
@@ -242,62 +251,63 @@
   const plan::Scope own = blocks_->OwnScope(*holder);
   const double now = term.loop().Now();
   plan::RoundResult placed =
-      plan::PlanRound(context_, *deps_.ledger, roster_, now, deps_.time_of_day(), &own);
+      plan::PlanRound(context_, *deps_.job_table, registry_, now, deps_.time_of_day(), &own);
   round_took_ += term.loop().Now() - now;
   decided.placements = std::move(placed.places);
-  decided.guards = deps_.records->PlacementGuards(*holder);
+  decided.preconditions = deps_.records->PlacementPreconditions(*holder);
   co_return decided;
 }
 
 double LeaderLoop::BackgroundIntervalS() const {
-  return kBackgroundReports * deps_.settings->report_s;
+  return kBackgroundReports * deps_.settings->heartbeat_interval_s;
 }
 
-bool LeaderLoop::GivesWay(const jobs::Txn& txn) {
+bool LeaderLoop::GivesWay(const jobs::Transaction& transaction) {
   // All the rest is decided anew once there is urgent work that could go before it.
-  if (urgent_came_ && txn.rank > jobs::Rank::kEnd) return true;
+  if (urgent_came_ && transaction.rank > jobs::WritePriority::kEnd) return true;
   // What nobody waits for gives way to anything new, but for one transaction now and then: on a
   // busy day there is always something new, and nothing may be left for ever.
-  if (txn.rank < jobs::Rank::kTidy) return false;
+  if (transaction.rank < jobs::WritePriority::kTidy) return false;
   const double now = term_->loop().Now();
   if (work_waits_ && now < last_background_at_ + BackgroundIntervalS()) return true;
   last_background_at_ = now;
   return false;
 }
 
-rt::Task<> LeaderLoop::Commit(rt::Scope& term, std::vector<jobs::Mutation> mutations,
-                              std::vector<wire::Guard> guards) {
+async::Task<> LeaderLoop::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
+                                 std::vector<model::Precondition> preconditions) {
   if (deps_.formats->changing()) {
     work_waits_ = true;
     co_return;
   }
-  jobs::BatchLimits limits = committer_.Limits(std::move(guards), deps_.time_of_day());
+  jobs::TransactionLimits limits = committer_.Limits(std::move(preconditions), deps_.time_of_day());
   limits.others_place = blocks_ && blocks_->divided();
-  auto version = [this](const std::string& key) { return deps_.replica->Version(key); };
-  auto txns = jobs::BuildTxns(*deps_.ledger, mutations, limits, version);
-  std::map<jobs::Rank, size_t> asked;
-  for (const jobs::Txn& t : txns) asked[t.rank] += t.writes.size();
+  auto version = [this](const std::string& key) { return deps_.cache->Version(key); };
+  auto transactions = jobs::BuildTransactions(*deps_.job_table, transitions, limits, version);
+  std::map<jobs::WritePriority, size_t> asked;
+  for (const jobs::Transaction& t : transactions) asked[t.rank] += t.writes.size();
   spdlog::debug("commit: {} urgent starts, {} ends of jobs, {} starts, {} to tidy up, {} outcomes",
-                asked[jobs::Rank::kUrgentStart], asked[jobs::Rank::kEnd], asked[jobs::Rank::kStart],
-                asked[jobs::Rank::kTidy], asked[jobs::Rank::kOutcome]);
-  co_await committer_.Commit(term, std::move(txns), deps_.operators->round_s);
+                asked[jobs::WritePriority::kUrgentStart], asked[jobs::WritePriority::kEnd],
+                asked[jobs::WritePriority::kStart], asked[jobs::WritePriority::kTidy],
+                asked[jobs::WritePriority::kOutcome]);
+  co_await committer_.Commit(term, std::move(transactions), deps_.operators->round_s);
 }
 
-void LeaderLoop::RecordFinals(const std::vector<wire::Write>& writes) const {
+void LeaderLoop::RecordFinals(const std::vector<model::KeyWrite>& writes) const {
   // A job's end is written with the drop of its record: what awaits it needs no read of its own.
-  for (const wire::Write& w : writes) {
+  for (const model::KeyWrite& w : writes) {
     const store::ParsedKey key = store::ParseKey(w.key);
     if (key.kind != store::KeyKind::kFinal) continue;
-    if (auto record = store::ReadFinal(w.value)) deps_.ledger->RecordFinal(key.job, *record);
+    if (auto record = store::ReadFinal(w.value)) deps_.job_table->RecordFinal(key.job, *record);
   }
 }
 
-std::vector<std::string> LeaderLoop::DescribeEnds(const jobs::Txn& txn) const {
+std::vector<std::string> LeaderLoop::DescribeEnds(const jobs::Transaction& transaction) const {
   std::vector<std::string> lines;
-  for (const wire::Write& w : txn.writes) {
+  for (const model::KeyWrite& w : transaction.writes) {
     const store::ParsedKey key = store::ParseKey(w.key);
     if (key.kind != store::KeyKind::kJob || !w.value.empty()) continue;
-    const jobs::Job* job = deps_.ledger->Find(key.job);
+    const jobs::Job* job = deps_.job_table->Find(key.job);
     if (job == nullptr) continue;
     lines.push_back(
         fmt::format("job {} ({}) {} {:.1f} s after its submission: {} x {} cpus, mean run {:.1f} s",
@@ -308,7 +318,7 @@
   return lines;
 }
 
-void LeaderLoop::SendCommands(rt::Scope& term, const std::string& machine) {
+void LeaderLoop::SendCommands(async::Scope& term, const std::string& machine) {
   if (sending_.contains(machine)) {
     send_again_.insert(machine);
   } else if (sending_.size() < max_sends_) {
@@ -321,35 +331,36 @@
   }
 }
 
-rt::Task<> LeaderLoop::SendCommandsLoop(rt::Scope& term, std::string machine) {
+async::Task<> LeaderLoop::SendCommandsLoop(async::Scope& term, std::string machine) {
   do {
     send_again_.erase(machine);
-    fleet::Machine* m = roster_.Find(machine);
+    fleet::Machine* m = registry_.Find(machine);
     // Who did not answer the last one hears the next in the answer to its report: hanging machines
     // would else hold the connections that others wait for.
-    if (m == nullptr || m->endpoint.empty() || !m->reported() || m->unreachable ||
-        !deps_.leadership->Entitled()) {
+    if (m == nullptr || m->endpoint.empty() || !m->has_reported() || m->unreachable ||
+        !deps_.election->Entitled()) {
       break;
     }
-    const uint64_t token = roster_.token();
-    auto orders = OrdersFor(*m, true);
+    const model::FencingToken token = registry_.token();
+    auto commands = CommandsFor(*m, true);
     // Its report has fetched them meanwhile, or they have to wait for the copy.
-    if (orders.empty() && (m->token == token || !CaughtUp())) break;
+    if (commands.empty() && (m->token == token || !CaughtUp())) break;
     wire::HttpRequest q{.method = "POST",
                         .target = "/commands",
-                        .body = wire::WriteCommands(token, m->session, orders)};
-    auto r = co_await workers_.Call(term, m->endpoint, std::move(q),
-                                    kCommandTimeoutRatio * deps_.settings->report_s, false);
+                        .body = wire::WriteCommands(token, m->agent_epoch, commands)};
+    auto r =
+        co_await workers_.Call(term, m->endpoint, std::move(q),
+                               kCommandTimeoutRatio * deps_.settings->heartbeat_interval_s, false);
     const bool answered = r && (r->status == 200 || r->status == 409);
     if (answered) {
-      auto report = wire::ReadReport(r->body);
-      if (report && report->token > token) deps_.leadership->Superseded(report->token);
-      if (report && roster_.OnReport(*report, term.loop().Now(), true)) {
+      auto report = wire::ReadHeartbeat(r->body);
+      if (report && report->token > token) deps_.election->Superseded(report->token);
+      if (report && registry_.OnHeartbeat(*report, term.loop().Now(), true)) {
         work_waits_ = true;
         work_.Notify();
       }
     }
-    roster_.FinishDirect(machine, orders, token, answered);
+    registry_.FinishDirect(machine, commands, token, answered);
   } while (!term.cancelled() && send_again_.contains(machine));
   sending_.erase(machine);
   while (!term.cancelled() && !send_queue_.empty() && sending_.size() < max_sends_) {
@@ -359,4 +370,4 @@
   }
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/placing_loop.h
+++ b/src/controller/placing_loop.h
@@ -4,19 +4,20 @@
 
 #include <optional>
 
-#include "app/committer.h"
+#include "async/event_loop.h"
 #include "blocks/block_records.h"
 #include "blocks/machine_mirror.h"
 #include "config/settings.h"
-#include "jobs/ledger.h"
+#include "controller/transaction_committer.h"
+#include "jobs/job_table.h"
+#include "model/machine_type.h"
 #include "plan/round.h"
-#include "rt/loop.h"
 #include "store/client.h"
 #include "store/formats.h"
-#include "store/replica.h"
+#include "store/watch_cache.h"
 #include "wire/peer.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
 class PlacingLoop {
  public:
@@ -24,26 +25,26 @@
     const config::Settings* settings;
     const config::Operator* operators;
     store::Client* client;
-    store::Replica* replica;
+    store::WatchCache* cache;
     store::Formats* formats;
-    jobs::Ledger* ledger;
-    std::vector<wire::Flavor>* flavors;
+    jobs::JobTable* job_table;
+    std::vector<model::MachineType>* machine_types;
     blocks::BlockRecords* records;
     std::function<uint64_t()> session;  // of this process; 0: it has none
     std::function<bool()> leading;      // a leader places in its own rounds
     std::function<double()> time_of_day;
   };
-  PlacingLoop(rt::Scope& scope, Dependencies dependencies);
+  PlacingLoop(async::Scope& scope, Dependencies dependencies);
 
   // The routine, for as long as its scope lives.
-  rt::Task<> Run();
+  async::Task<> Run();
   // Something came that a round should look at.
   void OnChange();
   // The leader tells of machines. Nothing: it has been followed by another.
   std::optional<wire::BlockAcknowledgement> OnView(const wire::BlockView& view);
 
  private:
-  rt::Task<> Round();
+  async::Task<> Round();
   // The number of this node among the holders, if it may place now.
   std::optional<size_t> Holding() const;
   // The state service answers this node, and its copy of the records is current.
@@ -51,14 +52,14 @@
   plan::RoundResult Plan(size_t holder);
   double Now() const { return scope_.loop().Now(); }
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const Dependencies deps_;
   blocks::MachineMirror mirror_;
   plan::Context context_;
-  Committer committer_;
-  rt::Event work_;
+  TransactionCommitter committer_;
+  async::Event work_;
   bool work_waits_ = false;
   double round_took_ = 0;
 };
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/pace.cc
+++ b/src/controller/round_interval.cc
@@ -1,8 +1,8 @@
-#include "app/pace.h"
+#include "controller/round_interval.h"
 
 #include <algorithm>
 
-namespace hallpier::app {
+namespace hallpier::controller {
 namespace {
 
 // Rounds that something new calls for come at least this part of the reaction time apart...
@@ -18,4 +18,4 @@
   return std::clamp(kRoundRest * round_took_s, least, std::max(operators.round_s, least));
 }
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/app/pace.h
+++ b/src/controller/round_interval.h
@@ -3,11 +3,11 @@
 
 #include "config/settings.h"
 
-namespace hallpier::app {
+namespace hallpier::controller {
 
 // Seconds from the end of a round to the next, if something new calls for one. `round_took_s`: how
 // long the last one took to plan.
 double RoundGapS(const config::Settings& settings, const config::Operator& operators,
                  double round_took_s);
 
-}  // namespace hallpier::app
+}  // namespace hallpier::controller
--- a/src/lead/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -1,9 +1,9 @@
-#include "lead/cancellation_watermark.h"
+#include "election/cancellation_watermark.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace hallpier::lead {
+namespace hallpier::election {
 namespace {
 
 // Steady clocks may differ by this much...
@@ -17,10 +17,11 @@
 constexpr double kNever = -std::numeric_limits<double>::infinity();
 
 double BoundOf(const CancellationWatermark::Options& o) {
-  const double bound = o.cancel_s * (1 - kDrift) - o.lease_s * (1 + kDrift) - kMargin * o.report_s;
+  const double bound =
+      o.cancel_s * (1 - kDrift) - o.lease_s * (1 + kDrift) - kMargin * o.heartbeat_interval_s;
   // Where cancel_s leaves no room beside a lease, leases alone can't keep it. A leader whose watch
   // is answered must not fall silent between two of its answers all the same.
-  return std::max(bound, kQuietReports * o.report_s);
+  return std::max(bound, kQuietReports * o.heartbeat_interval_s);
 }
 
 }  // namespace
@@ -59,7 +60,8 @@
 }
 
 bool CancellationWatermark::Stale(double now) const {
-  return now - complete_at_ > std::min(kQuietReports * options_.report_s, kAsk * bound_);
+  return now - complete_at_ >
+         std::min(kQuietReports * options_.heartbeat_interval_s, kAsk * bound_);
 }
 
-}  // namespace hallpier::lead
+}  // namespace hallpier::election
--- a/src/lead/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -16,14 +16,14 @@
 
 #include "wire/peer.h"
 
-namespace hallpier::lead {
+namespace hallpier::election {
 
 class CancellationWatermark {
  public:
   struct Options {
     double cancel_s = 0;
     double lease_s = 0;
-    double report_s = 0;
+    double heartbeat_interval_s = 0;
   };
   CancellationWatermark(Options options, std::vector<std::string> others);
 
@@ -55,4 +55,4 @@
   std::map<std::string, Other> others_;
 };
 
-}  // namespace hallpier::lead
+}  // namespace hallpier::election
--- a/src/lead/leadership.cc
+++ b/src/election/leader_election.cc
@@ -1,32 +1,34 @@
-#include "lead/leadership.h"
+#include "election/leader_election.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace hallpier::lead {
+namespace hallpier::election {
 namespace {
 // The lease is renewed this often within its length.
 constexpr double kRenewals = 3;
 }  // namespace
 
-Leadership::Leadership(rt::Scope& scope, const config::Settings& settings,
-                       const config::Operator& operators, store::Client& client,
-                       store::Replica& replica, Term term)
+LeaderElection::LeaderElection(async::Scope& scope, const config::Settings& settings,
+                               const config::Operator& operators, store::Client& client,
+                               store::WatchCache& cache, Term term)
     : scope_(scope),
       settings_(settings),
       operators_(operators),
       client_(client),
-      replica_(replica),
+      cache_(cache),
       term_(std::move(term)) {}
 
-double Leadership::ttl() const { return operators_.leader_ttl_ratio * settings_.report_s; }
+double LeaderElection::ttl() const {
+  return operators_.leader_ttl_ratio * settings_.heartbeat_interval_s;
+}
 
-double Leadership::MaxUnverifiedS() const {
+double LeaderElection::MaxUnverifiedS() const {
   return std::max(ttl(), ttl() / kRenewals + 2 * client_.timeout_s());
 }
 
-bool Leadership::Entitled() const {
+bool LeaderElection::Entitled() const {
   // Without the state service we can't know whether another node leads. Answers go on for a set
   // part of the workers' lease, which a successor waits for (others_until) before it trusts a
   // lease's end; that carries running tasks through an outage.
@@ -37,7 +39,7 @@
   // answered on the strength of what was so before.
   if (!doubted_ && scope_.loop().Now() > last_renewed_ + MaxUnverifiedS()) return false;
   // Whoever leads: a lease that is renewed by one who may lack a cancellation keeps cancelled tasks
-  // alive (lead/cancellation_watermark.h).
+  // alive (election/cancellation_watermark.h).
   if (may_renew_ && !may_renew_()) return false;
   // A pause in an outage may have outlasted it: what was known of the service before says nothing.
   const bool paused = scope_.loop().resumed_at() > last_renewed_;
@@ -47,11 +49,11 @@
   return outage_confirmed_ && outage_confirmed_();
 }
 
-uint64_t Leadership::highest() const {
-  return std::max(token_, replica_.Version(store::BlockKey(0)));
+model::FencingToken LeaderElection::highest() const {
+  return std::max(token_, cache_.fencing_token());
 }
 
-void Leadership::Suspect(const std::string& node) {
+void LeaderElection::Suspect(const std::string& node) {
   if (leading() || !record_ || record_->node != node) return;
   if (suspected_lease_id_ == record_->lease_id) return;
   spdlog::warn("leadership: {} seems to have ended; its lease is ended for it", node);
@@ -59,7 +61,7 @@
   wake_.Notify();
 }
 
-void Leadership::OnRecord(const std::string& value) {
+void LeaderElection::OnRecord(const std::string& value) {
   record_ = value.empty() ? std::nullopt : store::ReadLeader(value);
   if (leading() && (!record_ || record_->lease_id != lease_id_)) {
     spdlog::warn("leadership: the record is no longer ours");
@@ -68,15 +70,15 @@
   wake_.Notify();
 }
 
-void Leadership::Superseded(uint64_t token) {
+void LeaderElection::Superseded(model::FencingToken token) {
   // While we raise our own token, others may hear of it before we do.
   if (!leading() || lost_ || fencing_ || token <= token_) return;
-  spdlog::warn("leadership: token {} is higher than ours, {}", token, token_);
+  spdlog::warn("leadership: token {} is higher than ours, {}", token.value(), token_.value());
   lost_ = true;
   wake_.Notify();
 }
 
-void Leadership::Resign(double pause_s, const std::string& why) {
+void LeaderElection::Resign(double pause_s, const std::string& why) {
   if (!leading() || lost_) return;
   spdlog::warn("leadership: given up: {}", why);
   not_before_ = scope_.loop().Now() + pause_s;
@@ -84,37 +86,40 @@
   wake_.Notify();
 }
 
-rt::Task<bool> Leadership::Fence() {
-  std::vector<wire::Guard> guards = {{store::BlockKey(0), token_}};
-  std::vector<wire::Write> writes = {{store::BlockKey(0), store::WriteBlock(settings_.node), 0}};
+async::Task<bool> LeaderElection::Fence() {
+  std::vector<model::Precondition> preconditions = {store::TokenPrecondition(token_)};
+  std::vector<model::KeyWrite> writes = {
+      {store::FencingTokenKey(), store::WriteFencingTokenRecord(settings_.node), 0}};
   fencing_ = true;
-  auto r = co_await client_.Txn(std::move(guards), writes, store::Urgent::kYes);
+  auto r = co_await client_.Commit(std::move(preconditions), writes, store::Urgent::kYes);
   fencing_ = false;
   if (!r.ok()) {
     // It may have been carried out all the same, and then our token is void.
-    Superseded(replica_.Version(store::BlockKey(0)));
+    Superseded(cache_.fencing_token());
     co_return false;
   }
-  token_ = r.value.revision;
-  replica_.Apply(store::BlockKey(0), writes[0].value, token_);
-  spdlog::info("leadership: new token {} to make lost orders void", token_);
+  token_ = model::FencingToken(r.value.revision);
+  cache_.Apply(store::FencingTokenKey(), writes[0].value, token_.value());
+  spdlog::info("leadership: new token {} to make lost orders void", token_.value());
   co_return true;
 }
 
-rt::Task<bool> Leadership::Acquire() {
+async::Task<bool> LeaderElection::Acquire() {
   const double asked = scope_.loop().Now();
   auto lease_id = co_await client_.Grant(ttl());
   if (!lease_id.ok()) co_return false;
-  std::vector<wire::Guard> guards = {{store::LeaderKey(), 0},
-                                     {store::BlockKey(0), replica_.Version(store::BlockKey(0))}};
-  if (take_hooks_.guards) {
-    for (wire::Guard& guard : take_hooks_.guards()) guards.push_back(std::move(guard));
+  std::vector<model::Precondition> preconditions = {
+      {store::LeaderKey(), 0}, store::TokenPrecondition(cache_.fencing_token())};
+  if (take_hooks_.preconditions) {
+    for (model::Precondition& precondition : take_hooks_.preconditions())
+      preconditions.push_back(std::move(precondition));
   }
   const std::string leader = store::WriteLeader({settings_.node, lease_id.value});
-  const std::string block = store::WriteBlock(settings_.node);
-  std::vector<wire::Write> writes = {{store::LeaderKey(), leader, lease_id.value},
-                                     {store::BlockKey(0), block, 0}};
-  auto r = co_await client_.Txn(std::move(guards), std::move(writes), store::Urgent::kYes);
+  const std::string block = store::WriteFencingTokenRecord(settings_.node);
+  std::vector<model::KeyWrite> writes = {{store::LeaderKey(), leader, lease_id.value},
+                                         {store::FencingTokenKey(), block, 0}};
+  auto r =
+      co_await client_.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
   if (!r.ok()) {
     // With no answer it may have been, or may yet be, applied: without the lease it can't be.
     auto ended = co_await client_.End(lease_id.value);
@@ -128,17 +133,17 @@
   // started anew: whom that one had followed may still be answering.
   others_until_ = now + unverified_s;
   lease_id_ = lease_id.value;
-  token_ = r.value.revision;
+  token_ = model::FencingToken(r.value.revision);
   lost_ = false;
   doubted_ = false;
   last_renewed_ = last_renewed_directly_ = asked;
-  replica_.Apply(store::LeaderKey(), leader, token_);
-  replica_.Apply(store::BlockKey(0), block, token_);
-  spdlog::info("leadership: taken with token {}", token_);
+  cache_.Apply(store::LeaderKey(), leader, token_.value());
+  cache_.Apply(store::FencingTokenKey(), block, token_.value());
+  spdlog::info("leadership: taken with token {}", token_.value());
   co_return true;
 }
 
-rt::Task<> Leadership::Renew() {
+async::Task<> LeaderElection::Renew() {
   const double asked = scope_.loop().Now();
   const bool relay = asked - last_renewed_directly_ < kRelayedRatio * settings_.lease_s;
   const auto route = relay ? store::Client::Route::kAny : store::Client::Route::kDirect;
@@ -153,7 +158,7 @@
   }
 }
 
-rt::Task<> Leadership::RenewUntilLost() {
+async::Task<> LeaderElection::RenewUntilLost() {
   while (!scope_.cancelled() && !lost_) {
     const bool paused = scope_.loop().resumed_at() > last_renewed_;
     auto pause = wake_.Await(scope_, paused && !doubted_ ? 0 : ttl() / kRenewals);
@@ -166,8 +171,8 @@
   lost_ = true;
 }
 
-rt::Task<> Leadership::Hold() {
-  rt::Scope term(scope_.loop(), &scope_);
+async::Task<> LeaderElection::Hold() {
+  async::Scope term(scope_.loop(), &scope_);
   holding_ = true;
   client_.SetLeading(true);
   term_(term);
@@ -176,7 +181,8 @@
   co_await term.Join();
   client_.SetLeading(false);
   const uint64_t lease_id = lease_id_;
-  token_ = lease_id_ = 0;
+  token_ = {};
+  lease_id_ = 0;
   spdlog::info("leadership: term is over");
   // A node that yields since it is refused alone can end its lease only by way of a peer.
   const auto route =
@@ -186,14 +192,14 @@
   holding_ = false;
 }
 
-rt::Task<> Leadership::AwaitRecordGone(uint64_t lease_id, bool ended) {
+async::Task<> LeaderElection::AwaitRecordGone(uint64_t lease_id, bool ended) {
   // The watch may have told it already, while the answer was under way.
   if (ended && (!record_ || record_->lease_id != lease_id)) co_return;
   auto pause = wake_.Await(scope_, ttl() / kRenewals);
   co_await pause;
 }
 
-std::optional<uint64_t> Leadership::ForgottenLease() const {
+std::optional<uint64_t> LeaderElection::ForgottenLease() const {
   if (!record_) return std::nullopt;
   // Left by the process that ran here before, or by a transaction of ours that got no answer. One
   // process runs per node: nobody else acts under this record.
@@ -202,12 +208,12 @@
   return record_->lease_id;
 }
 
-rt::Task<> Leadership::EndForgotten(uint64_t lease_id) {
+async::Task<> LeaderElection::EndForgotten(uint64_t lease_id) {
   auto ended = co_await client_.End(lease_id);
   co_await AwaitRecordGone(lease_id, ended.ok());
 }
 
-rt::Task<bool> Leadership::AwaitChance() {
+async::Task<bool> LeaderElection::AwaitChance() {
   const double now = scope_.loop().Now();
   if (record_ || now < not_before_) {
     auto pause = wake_.Await(scope_, record_ ? ttl() : not_before_ - now);
@@ -226,20 +232,20 @@
   co_return !record_ && !scope_.cancelled();
 }
 
-rt::Task<> Leadership::TryToLead() {
+async::Task<> LeaderElection::TryToLead() {
   bool got = co_await Acquire();
   if (got) {
     co_await Hold();
     co_return;
   }
-  rt::Sleep pause(scope_, ttl() / kRenewals * retry_jitter_(random_));
+  async::Sleep pause(scope_, ttl() / kRenewals * retry_jitter_(random_));
   co_await pause;
 }
 
-rt::Task<> Leadership::Run() {
+async::Task<> LeaderElection::Run() {
   while (!scope_.cancelled()) {
-    if (!replica_.loaded()) {
-      auto pause = replica_.changed().Await(scope_, ttl());
+    if (!cache_.loaded()) {
+      auto pause = cache_.changed().Await(scope_, ttl());
       co_await pause;
       continue;
     }
@@ -252,4 +258,4 @@
   }
 }
 
-}  // namespace hallpier::lead
+}  // namespace hallpier::election
--- a/src/fleet/renter.h
+++ b/src/fleet/autoscaler.h
@@ -9,38 +9,42 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/roster.h"
+#include "fleet/worker_registry.h"
+#include "model/cloud.h"
+#include "model/ids.h"
+#include "model/machine_type.h"
 #include "plan/round.h"
-#include "wire/messages.h"
 
 namespace hallpier::fleet {
 
-class Renter {
+class Autoscaler {
  public:
-  Renter(const config::Settings& settings, const config::Operator& operators)
+  Autoscaler(const config::Settings& settings, const config::Operator& operators)
       : settings_(settings), operators_(operators) {}
 
   // Requests for what the last round wants, at most `most`, cheapest offers first; each names its
   // own request.
   // Names are unique for ever: they hold the token of the term and a number of its own.
-  std::vector<wire::Rental> Rentals(const std::vector<plan::Want>& wants,
-                                    const std::vector<wire::Flavor>& flavors, uint64_t token,
-                                    size_t most, double now);
+  std::vector<model::ScaleOutRequest> ScaleOutRequests(
+      const std::vector<plan::CapacityDemand>& demands,
+      const std::vector<model::MachineType>& machine_types, model::FencingToken token, size_t most,
+      double now);
   // Takes off what would go beyond a bound on machines that are not up: late ones are replaced, but
   // machines that never come up must not bring ever more of their kind.
-  static void LimitOutstanding(const Roster& roster, const std::vector<wire::Flavor>& flavors,
-                               double now, std::vector<wire::Rental>* rentals);
+  static void LimitOutstanding(const WorkerRegistry& registry,
+                               const std::vector<model::MachineType>& machine_types, double now,
+                               std::vector<model::ScaleOutRequest>* requests);
   // An offer gave less than asked: it is left alone for a while.
-  void OnShort(const wire::Rental& rental, double now);
+  void OnShort(const model::ScaleOutRequest& request, double now);
 
   // Marks machines that never came up, went silent or are idle. False if so many are silent that
   // the fault is more likely ours.
-  bool Review(Roster& roster, const jobs::Ledger& ledger, const plan::Context& context,
-              bool wanting, double now) const;
+  bool Review(WorkerRegistry& registry, const jobs::JobTable& job_table,
+              const plan::Context& context, bool has_demand, double now) const;
 
  private:
   struct Offer {
-    std::string flavor;
+    std::string machine_type;
     std::string zone;
     bool spot;
     // clang-tidy takes the defaulted comparison for arithmetic on a literal 0.
@@ -49,7 +53,7 @@
   };
   // Wants that can be served alike are one: like tasks are decided as a class.
   struct Pool {
-    const plan::Want* want;
+    const plan::CapacityDemand* demand;
     double tasks;
   };
   // How many machines are up, and in what state.
@@ -68,20 +72,23 @@
     bool MostOf(size_t count) const { return reported >= 3 && 2 * count > reported; }
   };
 
-  std::vector<Pool> PoolWants(const std::vector<plan::Want>& wants) const;
+  std::vector<Pool> PoolDemands(const std::vector<plan::CapacityDemand>& demands) const;
   // What the cloud may still have of a type, by zone.
-  std::vector<Offer> OpenOffers(const wire::Flavor& type, const plan::Want& want, bool spot,
-                                const std::set<Offer>& asked, double now) const;
+  std::vector<Offer> OpenOffers(const model::MachineType& type, const plan::CapacityDemand& demand,
+                                bool spot, const std::set<Offer>& asked, double now) const;
   // Adds requests to these offers until the pool is served, at most `most` in all.
-  void RequestFrom(const std::vector<Offer>& offers, double tasks_per_machine, uint64_t token,
-                   size_t most, Pool* pool, std::vector<wire::Rental>* rentals);
-  static Census Count(Roster& roster, const jobs::Ledger& ledger, double now);
+  void RequestFrom(const std::vector<Offer>& offers, double tasks_per_machine,
+                   model::FencingToken token, size_t most, Pool* pool,
+                   std::vector<model::ScaleOutRequest>* requests);
+  static Census Count(WorkerRegistry& registry, const jobs::JobTable& job_table, double now);
   // True if a silent machine is better given up.
-  bool Lost(const Roster& roster, const Machine& m, const Census& census, double now) const;
+  bool Lost(const WorkerRegistry& registry, const Machine& m, const Census& census,
+            double now) const;
   // Why a machine is to be returned whether there is work or not; nothing if it is not.
-  std::optional<std::string_view> WhyReturn(const Roster& roster, const jobs::Ledger& ledger,
-                                            const Machine& m, const Census& census,
-                                            double boot_deadline_s, double now) const;
+  std::optional<std::string_view> WhyReturn(const WorkerRegistry& registry,
+                                            const jobs::JobTable& job_table, const Machine& m,
+                                            const Census& census, double boot_deadline_s,
+                                            double now) const;
   const config::Settings& settings_;
   const config::Operator& operators_;
   std::map<Offer, double> not_before_;
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -54,8 +54,8 @@
                                      JobHistory* history) const {
   if (job.done() > 0) history->succeeded = true;
   std::set<std::string> untried;
-  for (const auto& [number, shard] : job.shards()) {
-    for (const auto& [index, task] : shard.open) {
+  for (const auto& [number, task_group] : job.task_groups()) {
+    for (const auto& [index, task] : task_group.open) {
       if (!task.machine.empty() && !history->failed_on.contains(task.machine)) {
         untried.insert(task.machine);
       }
@@ -68,10 +68,10 @@
                        failed >= untried.size();
 }
 
-void FailureTracker::Reconcile(const jobs::Ledger& ledger, size_t machines) {
-  std::erase_if(jobs_, [&](const auto& entry) { return ledger.Find(entry.first) == nullptr; });
+void FailureTracker::Reconcile(const jobs::JobTable& job_table, size_t machines) {
+  std::erase_if(jobs_, [&](const auto& entry) { return job_table.Find(entry.first) == nullptr; });
   for (auto& [id, history] : jobs_) {
-    if (!history.failed_on.empty()) UpdateSuspicion(*ledger.Find(id), machines, &history);
+    if (!history.failed_on.empty()) UpdateSuspicion(*job_table.Find(id), machines, &history);
   }
   // What became of a job that has ended will not be known any more.
   for (auto& [name, machine] : machines_) {
@@ -88,8 +88,8 @@
   return on.empty() || on.size() > 1 || !on.contains(except_on);
 }
 
-std::vector<wire::JobFailures> FailureTracker::View(const std::set<std::string>& retried) const {
-  std::vector<wire::JobFailures> view;
+std::vector<model::JobFailures> FailureTracker::View(const std::set<std::string>& retried) const {
+  std::vector<model::JobFailures> view;
   for (const auto& [id, history] : jobs_) {
     if (!history.suspected && history.failed_on.empty()) continue;
     view.push_back({id,
@@ -100,9 +100,9 @@
   return view;
 }
 
-void FailureTracker::TakeView(const std::vector<wire::JobFailures>& failures, double now) {
+void FailureTracker::TakeView(const std::vector<model::JobFailures>& failures, double now) {
   jobs_.clear();
-  for (const wire::JobFailures& told : failures) {
+  for (const model::JobFailures& told : failures) {
     JobHistory& history = jobs_[told.job];
     history.failed_on.insert(told.failed_on.begin(), told.failed_on.end());
     history.suspected = told.suspected;
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -13,7 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
+#include "model/machine_view.h"
 #include "wire/peer.h"
 
 namespace hallpier::fleet {
@@ -40,13 +41,13 @@
   void ForgetMachine(const std::string& machine);
   // Takes in what the records say: jobs that have ended, that have succeeded, and where the others
   // were started. `machines`: how many machines there are.
-  void Reconcile(const jobs::Ledger& ledger, size_t machines);
+  void Reconcile(const jobs::JobTable& job_table, size_t machines);
 
   // All jobs with failures, for a node that plans without hearing workers. A retry is due for those
   // in `retried`: its holder starts one task more.
-  std::vector<wire::JobFailures> View(const std::set<std::string>& retried) const;
+  std::vector<model::JobFailures> View(const std::set<std::string>& retried) const;
   // On such a node: takes the place of all that was known.
-  void TakeView(const std::vector<wire::JobFailures>& failures, double now);
+  void TakeView(const std::vector<model::JobFailures>& failures, double now);
 
   // Machines that fail tasks of jobs which succeed elsewhere.
   std::vector<std::string> FaultyMachines() const;
--- a/src/fleet/roster.h
+++ b/src/fleet/worker_registry.h
@@ -15,8 +15,13 @@
 
 #include "fleet/boot_times.h"
 #include "fleet/failure_tracker.h"
-#include "jobs/ledger.h"
-#include "wire/messages.h"
+#include "jobs/job_table.h"
+#include "model/cloud.h"
+#include "model/heartbeat.h"
+#include "model/ids.h"
+#include "model/machine_type.h"
+#include "model/machine_view.h"
+#include "model/task.h"
 #include "wire/peer.h"
 
 namespace hallpier::fleet {
@@ -24,8 +29,8 @@
 // What a worker last said of a task.
 struct ReportedTask {
   uint64_t attempt = 0;
-  wire::TaskPhase state = wire::TaskPhase::kFetching;
-  wire::Cause cause = wire::Cause::kNone;
+  model::TaskPhase state = model::TaskPhase::kFetching;
+  model::ExitCause cause = model::ExitCause::kNone;
   double since = 0;         // steady time of the first report of this state
   bool seen_start = false;  // we saw it start to run, so that `since` tells the run time
   double run_s = 0;         // of an exited task, if known
@@ -34,7 +39,7 @@
 
 // A task's attempt that is recorded as placed on a machine.
 struct Placement {
-  wire::TaskId task;
+  model::TaskId task;
   uint64_t attempt = 0;
   std::string machine;
 };
@@ -42,8 +47,8 @@
 // The newest start order for a task under our token.
 struct Sent {
   uint64_t attempt = 0;
-  uint64_t token = 0;
-  uint64_t session = 0;
+  model::FencingToken token;
+  model::AgentEpoch agent_epoch;
   uint64_t sequence = 0;  // the report that it answered, or the report that confirmed it
   int open = 0;           // direct commands with it that are under way
   bool lost = false;      // one of them got no answer: it may be executed at any time
@@ -53,28 +58,27 @@
 struct Machine {
   std::string name;
   std::string endpoint;
-  std::string flavor;
+  std::string machine_type;
   std::string zone;
   bool spot = false;
 
-  uint64_t session = 0;
+  model::AgentEpoch agent_epoch;
   uint64_t sequence = 0;
-  uint64_t report_sequence = 0;
-  uint64_t token = 0;  // the highest it has seen, as far as we were told
-  double last_own_report =
-      -std::numeric_limits<double>::infinity();  // a report that came by itself
-  double last_report = -std::numeric_limits<double>::infinity();
+  uint64_t heartbeat_sequence = 0;
+  model::FencingToken token;  // the highest it has seen, as far as we were told
+  double last_heartbeat = -std::numeric_limits<double>::infinity();  // a report that came by itself
+  double last_status = -std::numeric_limits<double>::infinity();
   double last_answer = -std::numeric_limits<double>::infinity();
   double reclaim_at = std::numeric_limits<double>::infinity();
-  std::map<wire::TaskId, ReportedTask> held;
-  std::map<wire::TaskId, Sent> sent;
+  std::map<model::TaskId, ReportedTask> reported_tasks;
+  std::map<model::TaskId, Sent> sent;
 
   // What the last answer to a report should have changed, and for how many answers in a row nothing
   // of the kind was seen: our answers may be lost though we hear it.
   struct Answered {
-    uint64_t token = 0;
-    uint64_t session = 0;
-    std::vector<wire::TaskId> starts;
+    model::FencingToken token;
+    model::AgentEpoch agent_epoch;
+    std::vector<model::TaskId> starts;
   } answered;
   int unacknowledged = 0;
   double unacknowledged_since = 0;
@@ -83,11 +87,11 @@
 
   bool listed = false;
   double first_listed = 0;
-  double rented_at = 0;
+  double requested_at = 0;
   bool booting = true;
   double up_seen = 0;  // when it was first listed as running
 
-  std::vector<bool> images;  // by Roster::ImageId: seen to be there, as far as we know
+  std::vector<bool> images;  // by WorkerRegistry::ImageId: seen to be there, as far as we know
 
   bool returning = false;  // to be returned, or asked to be: never used again
   std::string why_returning;
@@ -95,14 +99,14 @@
   int slow_samples = 0;
   double idle_since = 0;
 
-  bool reported() const { return session > 0; }
-  bool noticed() const { return reclaim_at < std::numeric_limits<double>::infinity(); }
+  bool has_reported() const { return agent_epoch.known(); }
+  bool HasSpotNotice() const { return reclaim_at < std::numeric_limits<double>::infinity(); }
 };
 
-class Roster {
+class WorkerRegistry {
  public:
   struct Options {
-    double report_s = 0;
+    double heartbeat_interval_s = 0;
     double lease_s = 0;
     double list_lag_s = 0;
     double silent_ratio = 0;
@@ -111,61 +115,65 @@
     // Machines that the cloud takes back a second, at the most.
     double returns_per_s = 0;
   };
-  explicit Roster(Options options);
+  explicit WorkerRegistry(Options options);
 
   // Starts a term: nothing that was learned under another token is proof any more. Others may have
   // answered workers until `others_until` (steady time).
-  void BeginTerm(uint64_t token, double now, double others_until);
-  uint64_t token() const { return token_; }
+  void BeginTerm(model::FencingToken token, double now, double others_until);
+  model::FencingToken token() const { return token_; }
 
   // Takes in a report. `direct`: the answer to /commands, which renews nothing and does not follow
   // an answer of ours. True if something changed that a round should look at.
-  bool OnReport(const wire::Report& r, double now, bool direct);
+  bool OnHeartbeat(const model::Heartbeat& r, double now, bool direct);
   // Learns from what runs and has run: images that are there, how slow a machine is, and which
   // machines fail what succeeds elsewhere; these are to be returned.
-  void Learn(const jobs::Ledger& ledger);
+  void Learn(const jobs::JobTable& job_table);
   // True if a machine takes so much longer than others that it is better replaced.
   static bool Slow(const Machine& m);
   // An answer to `r` goes out. What an answer to a report that is not the newest could renew
   // reaches no further than the newest one: copies that come late renew nothing.
-  void OnAnswered(const wire::Report& r, const std::vector<wire::Order>& orders, double now);
+  void OnAnswered(const model::Heartbeat& r, const std::vector<model::WorkerCommand>& commands,
+                  double now);
   // `asked`: when the list was asked for; it came now.
-  void OnListed(const std::vector<wire::Listed>& machines, double asked, double now);
-  void OnRented(const std::vector<std::string>& names, const wire::Rental& rental, double now);
+  void OnListed(const std::vector<model::CloudMachine>& machines, double asked, double now);
+  void OnScaledOut(const std::vector<std::string>& names, const model::ScaleOutRequest& request,
+                   double now);
   // The cloud has confirmed a return: the machine and all on it are gone.
   void OnReturned(const std::string& machine);
 
   // True if a recorded placement has not been sent to its machine under our token, nor is it there.
-  bool StartIsDue(const std::string& machine, const wire::TaskId& task, uint64_t attempt) const;
+  bool StartIsDue(const std::string& machine, const model::TaskId& task, uint64_t attempt) const;
   // What the answer to a report, or a direct command, should say. Start orders that go out are
   // noted as sent; FinishDirect() must follow each direct command.
-  std::vector<wire::Order> Orders(Machine& m, const jobs::Ledger& ledger, bool direct);
+  std::vector<model::WorkerCommand> Reconcile(Machine& m, const jobs::JobTable& job_table,
+                                              bool direct);
   // The stops among these that hold whatever has been recorded since: of tasks whose job is known
   // to be cancelled, since a cancellation is never taken back.
-  static std::vector<wire::Order> CancellationOrders(const Machine& m, const jobs::Ledger& ledger);
-  void FinishDirect(const std::string& machine, const std::vector<wire::Order>& orders,
-                    uint64_t token, bool answered);
+  static std::vector<model::WorkerCommand> CancellationCommands(const Machine& m,
+                                                                const jobs::JobTable& job_table);
+  void FinishDirect(const std::string& machine, const std::vector<model::WorkerCommand>& commands,
+                    model::FencingToken token, bool answered);
   // True if a lost start order stands in the way of a stop or a cancellation: only a higher token
   // makes it void.
-  bool NeedsFence(const jobs::Ledger& ledger) const;
-  void SetToken(uint64_t token) { token_ = token; }
+  bool NeedsHigherToken(const jobs::JobTable& job_table) const;
+  void SetToken(model::FencingToken token) { token_ = token; }
 
   // Outcomes and proofs of absence that must be recorded.
-  std::vector<jobs::Mutation> Collect(const jobs::Ledger& ledger, double now);
+  std::vector<jobs::TaskTransition> Collect(const jobs::JobTable& job_table, double now);
 
   // How a machine looks here, for a node that plans for a block of machines without hearing their
   // workers (roster_views.cc). `images`: of those that matter.
-  wire::MachineView ViewOf(const Machine& m, const std::vector<std::string>& images,
-                           double now) const;
+  model::MachineView ViewOf(const Machine& m, const std::vector<std::string>& images,
+                            double now) const;
   // On such a node: takes in what the leader says of a machine.
-  void TakeView(const wire::MachineView& view, double now);
+  void TakeView(const model::MachineView& view, double now);
   void DropView(const std::string& machine);
   // The leader has been heard: what it did not tell anew is as it was.
   void ConfirmViews(double now);
 
   // Asks for a task to be stopped; it stays recorded until it is gone.
-  void Stop(const wire::TaskId& task, uint64_t attempt, double grace_s);
-  bool Stopping(const wire::TaskId& task, uint64_t attempt) const;
+  void Stop(const model::TaskId& task, uint64_t attempt, double grace_s);
+  bool Stopping(const model::TaskId& task, uint64_t attempt) const;
   void Return(Machine& m, const std::string& why);
   // Whose fault failures are, and when a job that fails everywhere is retried.
   const FailureTracker& failures() const { return failures_; }
@@ -176,9 +184,9 @@
     size_t late = 0;
     size_t in_time = 0;
   };
-  Outstanding CountOutstanding(const wire::Flavor& type, double now) const;
+  Outstanding CountOutstanding(const model::MachineType& type, double now) const;
   // True for a machine that is not up although nearly all of its type would be.
-  bool Late(const Machine& m, const wire::Flavor& type, double now) const;
+  bool Late(const Machine& m, const model::MachineType& type, double now) const;
   // The number under which machines note an image; nothing if none has been seen with it.
   std::optional<size_t> ImageId(const std::string& image) const;
 
@@ -198,24 +206,26 @@
 
  private:
   std::pair<Machine*, bool> Add(const std::string& name);  // true: it is new
-  bool ProvenAbsent(const Machine& m, const wire::TaskId& task) const;
+  bool ProvenAbsent(const Machine& m, const model::TaskId& task) const;
   // What has become of a recorded placement; nothing while it may be alive. `gone`: all that ran on
   // the machine has ended, heard of or not.
-  std::optional<jobs::Mutation> OutcomeOf(const Placement& placement, const Machine* m, bool gone,
-                                          const jobs::Ledger& ledger, double now) const;
-  std::optional<jobs::Mutation> OutcomeOfExit(const Placement& placement, const Machine& m,
-                                              const ReportedTask& exit, bool gone,
-                                              const jobs::Ledger& ledger, double now) const;
-  bool Unwanted(const Machine& m, const wire::TaskId& task, uint64_t attempt,
-                const jobs::Ledger& ledger) const;
+  std::optional<jobs::TaskTransition> OutcomeOf(const Placement& placement, const Machine* m,
+                                                bool gone, const jobs::JobTable& job_table,
+                                                double now) const;
+  std::optional<jobs::TaskTransition> OutcomeOfExit(const Placement& placement, const Machine& m,
+                                                    const ReportedTask& exit, bool gone,
+                                                    const jobs::JobTable& job_table,
+                                                    double now) const;
+  bool Unwanted(const Machine& m, const model::TaskId& task, uint64_t attempt,
+                const jobs::JobTable& job_table) const;
   void LearnImage(Machine& m, const std::string& image);
-  void CheckAcknowledged(Machine& m, const wire::Report& r, double now) const;
-  void TakeTasks(Machine& m, const wire::Report& r, double now);
+  void CheckAcknowledged(Machine& m, const model::Heartbeat& r, double now) const;
+  void TakeTasks(Machine& m, const model::Heartbeat& r, double now);
 
   const Options options_;
-  uint64_t token_ = 0;
+  model::FencingToken token_;
   double term_start_ = 0;
-  uint64_t term_token_ = 0;  // the first of the term
+  model::FencingToken term_token_;  // the first of the term
   double others_until_ = 0;
   // By name, since plans go through them in that order; the index is for the many look-ups.
   std::map<std::string, Machine> machines_;
@@ -224,7 +234,7 @@
     uint64_t attempt;
     double grace_s;
   };
-  std::map<wire::TaskId, StopRequest> stops_;
+  std::map<model::TaskId, StopRequest> stops_;
   const size_t gone_kept_;
   std::set<std::string> gone_;  // confirmed returns of this term
   FailureTracker failures_;
--- a/src/jobs/pipelines.cc
+++ b/src/jobs/dependency_graph.cc
@@ -1,32 +1,32 @@
-#include "jobs/pipelines.h"
+#include "jobs/dependency_graph.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace hallpier::jobs {
 
-const Pipelines::View* Pipelines::Find(const std::string& id) const {
+const DependencyGraph::View* DependencyGraph::Find(const std::string& id) const {
   auto it = nodes_.find(id);
   return it == nodes_.end() ? nullptr : &it->second.view;
 }
 
-bool Pipelines::CancelledItself(const std::string& id) const {
+bool DependencyGraph::CancelledItself(const std::string& id) const {
   auto it = nodes_.find(id);
   return it != nodes_.end() && it->second.withdrawn;
 }
 
-const store::FinalRecord* Pipelines::Final(const std::string& id) const {
+const store::FinalRecord* DependencyGraph::Final(const std::string& id) const {
   auto it = awaited_.find(id);
   return it == awaited_.end() || !it->second.known ? nullptr : &it->second.final_record;
 }
 
-const std::unordered_set<std::string>& Pipelines::Dependents(const std::string& id) const {
+const std::unordered_set<std::string>& DependencyGraph::Dependents(const std::string& id) const {
   static const std::unordered_set<std::string> kNone;
   auto it = awaited_.find(id);
   return it == awaited_.end() ? kNone : it->second.by;
 }
 
-bool Pipelines::Settled(const std::string& id) const {
+bool DependencyGraph::Settled(const std::string& id) const {
   if (unknown_.empty()) return true;
   std::vector<std::string> next = {id};
   std::unordered_set<std::string> seen;
@@ -35,19 +35,19 @@
     next.pop_back();
     if (unknown_.contains(one)) return false;
     auto it = nodes_.find(one);
-    if (it == nodes_.end() || !it->second.view.held || !seen.insert(one).second) continue;
+    if (it == nodes_.end() || !it->second.view.blocked || !seen.insert(one).second) continue;
     next.insert(next.end(), it->second.awaits.begin(), it->second.awaits.end());
   }
   return true;
 }
 
-std::vector<std::string> Pipelines::TakeTouched() {
+std::vector<std::string> DependencyGraph::TakeTouched() {
   std::vector<std::string> out(touched_.begin(), touched_.end());
   touched_.clear();
   return out;
 }
 
-void Pipelines::CheckUnknown(const std::string& id) {
+void DependencyGraph::CheckUnknown(const std::string& id) {
   auto it = awaited_.find(id);
   if (it != awaited_.end() && !it->second.known && !nodes_.contains(id)) {
     unknown_.insert(id);
@@ -56,7 +56,7 @@
   }
 }
 
-void Pipelines::Put(const store::JobRecord& record) {
+void DependencyGraph::Put(const store::JobRecord& record) {
   const std::string& id = record.spec.id;
   auto [it, fresh] = nodes_.try_emplace(id);
   Node& node = it->second;
@@ -80,14 +80,14 @@
   }
 }
 
-void Pipelines::Connect(const std::string& id, Node& node) {
+void DependencyGraph::Connect(const std::string& id, Node& node) {
   bool cancelled = false;
   for (const std::string& a : node.awaits) {
     Awaited& awaited = awaited_[a];
     awaited.by.insert(id);
     CheckUnknown(a);
     auto active = nodes_.find(a);
-    if (awaited.known && awaited.final_record.phase == wire::Phase::kDone) {
+    if (awaited.known && awaited.final_record.phase == model::JobPhase::kDone) {
       node.view.since = std::max(node.view.since, awaited.final_record.at);
       continue;
     }
@@ -95,7 +95,7 @@
     cancelled =
         cancelled || awaited.known || (active != nodes_.end() && active->second.view.cancelled);
   }
-  node.view.held = node.open > 0;
+  node.view.blocked = node.open > 0;
   // Records come in any order when all are read anew: others may name it already.
   Weigh(id, node);
   if (cancelled) {
@@ -105,7 +105,7 @@
   }
 }
 
-void Pipelines::Cancel(const std::string& id) {
+void DependencyGraph::Cancel(const std::string& id) {
   std::vector<std::string> next = {id};
   // What the cancelled ones awaited beside each other: each is weighed anew once, however many of
   // those that named it are gone.
@@ -123,7 +123,7 @@
   for (const std::string& a : relieved) Relieve(a);
 }
 
-void Pipelines::Relieve(const std::string& id) {
+void DependencyGraph::Relieve(const std::string& id) {
   std::vector<std::string> next = {id};
   while (!next.empty()) {
     const std::string one = std::move(next.back());
@@ -136,7 +136,7 @@
   }
 }
 
-bool Pipelines::Weigh(const std::string& id, Node& node) const {
+bool DependencyGraph::Weigh(const std::string& id, Node& node) const {
   View v = node.view;
   v.priority = node.priority;
   v.due = node.due;
@@ -151,7 +151,7 @@
   return true;
 }
 
-void Pipelines::Press(const std::string& id) {
+void DependencyGraph::Press(const std::string& id) {
   std::vector<std::string> next = {id};
   while (!next.empty()) {
     const std::string one = std::move(next.back());
@@ -173,7 +173,7 @@
   }
 }
 
-void Pipelines::RecordFinal(const std::string& id, const store::FinalRecord& r) {
+void DependencyGraph::RecordFinal(const std::string& id, const store::FinalRecord& r) {
   auto it = awaited_.find(id);
   if (it == awaited_.end() || it->second.known) return;
   it->second.known = true;
@@ -184,13 +184,13 @@
   for (const std::string& d : by) {
     auto dependent = nodes_.find(d);
     if (dependent == nodes_.end()) continue;
-    if (r.phase != wire::Phase::kDone) {
+    if (r.phase != model::JobPhase::kDone) {
       Cancel(d);
       continue;
     }
     Node& node = dependent->second;
     --node.open;
-    node.view.held = node.open > 0;
+    node.view.blocked = node.open > 0;
     // A final record without a time is from before the change of formats, and jobs that await
     // others are submitted after it: their submission stands in.
     node.view.since = std::max(node.view.since, r.at);
@@ -198,7 +198,7 @@
   }
 }
 
-void Pipelines::Drop(const std::string& id) {
+void DependencyGraph::Drop(const std::string& id) {
   auto it = nodes_.find(id);
   if (it == nodes_.end()) return;
   const Node node = std::move(it->second);
--- a/src/jobs/pipelines.h
+++ b/src/jobs/dependency_graph.h
@@ -14,19 +14,20 @@
 #include <unordered_set>
 #include <vector>
 
+#include "model/job.h"
 #include "store/schema.h"
-#include "wire/messages.h"
 
 namespace hallpier::jobs {
 
-class Pipelines {
+class DependencyGraph {
  public:
   // What others mean for an unfinished job.
   struct View {
-    bool held = false;       // some job that it awaits is not recorded as done, as far as we know
+    bool blocked = false;    // some job that it awaits is not recorded as done, as far as we know
     bool cancelled = false;  // itself, or a job that it needs
     double since = 0;        // time of day: submitted, or the last awaited one done
-    wire::Priority priority = wire::Priority::kBestEffort;  // of the most urgent job that needs it
+    model::Priority priority =
+        model::Priority::kBestEffort;  // of the most urgent job that needs it
     // Time of day by which it has to be done for the deadlines of all that need it.
     double due = std::numeric_limits<double>::infinity();
     bool operator==(const View&) const = default;
@@ -57,11 +58,11 @@
 
  private:
   struct Node {
-    std::vector<std::string> awaits;                        // each once
-    size_t open = 0;                                        // of these, not known to be done
-    bool withdrawn = false;                                 // by its own record
-    wire::Priority priority = wire::Priority::kBestEffort;  // its own
-    double due = 0;                                         // its own
+    std::vector<std::string> awaits;                          // each once
+    size_t open = 0;                                          // of these, not known to be done
+    bool withdrawn = false;                                   // by its own record
+    model::Priority priority = model::Priority::kBestEffort;  // its own
+    double due = 0;                                           // its own
     double estimate_s = 0;
     View view;
   };
--- a/src/jobs/ledger.h
+++ b/src/jobs/job_table.h
@@ -10,21 +10,22 @@
 #include <utility>
 #include <vector>
 
-#include "jobs/pipelines.h"
+#include "jobs/dependency_graph.h"
+#include "model/job.h"
+#include "model/task.h"
 #include "store/schema.h"
-#include "wire/messages.h"
 
 namespace hallpier::jobs {
 
 // A job's groups of tasks, and the keys that they are kept under.
-class Groups {
+class TaskGroups {
  public:
-  explicit Groups(store::Layout layout) : layout_(layout) {}
+  explicit TaskGroups(store::Layout layout) : layout_(layout) {}
 
   const store::Layout& layout() const { return layout_; }
-  const std::map<uint32_t, store::Shard>& all() const { return groups_; }
+  const std::map<uint32_t, store::TaskGroup>& all() const { return groups_; }
   // Nothing: the group is dropped.
-  void Set(uint32_t number, std::optional<store::Shard> group);
+  void Set(uint32_t number, std::optional<store::TaskGroup> group);
   // The same groups in another layout.
   void Divide(store::Layout layout);
 
@@ -45,10 +46,10 @@
   const store::RunStats& all_runs() const { return all_runs_; }
 
  private:
-  void Count(const store::Shard& shard, bool add);
+  void Count(const store::TaskGroup& task_group, bool add);
 
   store::Layout layout_;
-  std::map<uint32_t, store::Shard> groups_;
+  std::map<uint32_t, store::TaskGroup> groups_;
   std::set<uint32_t> wholes_;
   std::set<uint32_t> parts_;  // by number; only where wholes have several
   // Sums over the groups, kept as they change: every round asks for them many times over.
@@ -59,61 +60,61 @@
 };
 
 struct Job {
-  explicit Job(Groups g) : groups(std::move(g)) {}
+  explicit Job(TaskGroups g) : groups(std::move(g)) {}
 
-  wire::JobSpec spec;
+  model::JobSpec spec;
   double submitted = 0;
   bool common_layout = true;  // its record names no group size
   // By its own record, or because it needs a job that is: it never starts anything again.
   bool cancelled = false;
-  // Of what else other jobs mean for it; see Pipelines::View.
-  bool held = false;
+  // Of what else other jobs mean for it; see DependencyGraph::View.
+  bool blocked = false;
   double since = 0;
-  wire::Priority priority = wire::Priority::kNormal;
+  model::Priority priority = model::Priority::kNormal;
   double due = 0;
 
-  Groups groups;
-  const std::map<uint32_t, store::Shard>& shards() const { return groups.all(); }
+  TaskGroups groups;
+  const std::map<uint32_t, store::TaskGroup>& task_groups() const { return groups.all(); }
   uint32_t done() const { return groups.done(); }
   uint32_t placed() const { return groups.placed(); }
   // Tasks that are neither done nor placed.
   uint32_t waiting() const { return spec.tasks - done() - placed(); }
   // Of a task that was ever placed and is not done.
   const store::TaskState* FindOpen(uint32_t index) const;
-  wire::JobStatus Status() const;
+  model::JobStatus Status() const;
   // Mean run time on a machine type; nothing before the first finish there.
-  std::optional<double> MeanRun(const std::string& flavor) const;
+  std::optional<double> MeanRun(const std::string& machine_type) const;
   std::optional<double> MeanRun() const;  // over all types
 };
 
 // What a round wants written about one task.
-struct Mutation {
+struct TaskTransition {
   enum class Kind { kPlace, kRequeue, kDone };
   Kind kind = Kind::kPlace;
-  wire::TaskId task;
+  model::TaskId task;
   uint64_t attempt = 0;
   std::string machine;
-  double run_s = 0;    // kDone: 0 if unknown
-  std::string flavor;  // kDone
-  double age_s = 0;    // kDone: how long it has been known
-  std::string why;     // kRequeue: for the log
+  double run_s = 0;          // kDone: 0 if unknown
+  std::string machine_type;  // kDone
+  double age_s = 0;          // kDone: how long it has been known
+  std::string why;           // kRequeue: for the log
 };
 
-class Ledger {
+class JobTable {
  public:
-  explicit Ledger(uint32_t tasks_per_shard) : common_{tasks_per_shard, 1} {}
+  explicit JobTable(uint32_t tasks_per_shard) : common_{tasks_per_shard, 1} {}
 
   // Takes in a change of the state service. An empty value: the key was dropped.
   void Apply(const store::ParsedKey& key, const std::string& value);
   // How an awaited job ended: read for it, or written by this node.
   void RecordFinal(const std::string& id, const store::FinalRecord& r);
-  const Pipelines& pipelines() const { return pipelines_; }
+  const DependencyGraph& dependency_graph() const { return dependency_graph_; }
   // The layout of jobs whose records name none.
   const store::Layout& common_layout() const { return common_; }
 
   const std::unordered_map<std::string, Job>& all() const { return jobs_; }
   const Job* Find(const std::string& id) const;
-  using Placements = std::map<wire::TaskId, uint64_t>;  // task -> attempt
+  using Placements = std::map<model::TaskId, uint64_t>;  // task -> attempt
   const std::unordered_map<std::string, Placements>& by_machine() const { return by_machine_; }
   const Placements& On(const std::string& machine) const;
 
@@ -122,7 +123,7 @@
   uint64_t NextAttempt(const Job& job, uint32_t index) const;
 
   // Writes a mutation into a copy of its shard. False if the records have moved on meanwhile.
-  bool Change(const Job& job, const Mutation& m, store::Shard* shard) const;
+  bool Change(const Job& job, const TaskTransition& m, store::TaskGroup* task_group) const;
   // What a job's own record says; nothing if the job is unknown here.
   std::optional<store::JobRecord> Record(const std::string& id) const;
   // What a job's record says once the job is cancelled; nothing if it is unknown here, or is
@@ -136,21 +137,21 @@
 
  private:
   // Brings by_machine_ from what a group held before to what it holds now; null: nothing.
-  void Index(const std::string& job, const store::Shard* before, const store::Shard* after);
+  void Index(const std::string& job, const store::TaskGroup* before, const store::TaskGroup* after);
   void Unplace(const std::string& job, uint32_t index, const std::string& machine);
   void ApplyJob(const std::string& id, const std::string& value);
-  void ApplyShard(const store::ParsedKey& key, const std::string& value);
-  void SetGroup(const std::string& id, Groups& groups, uint32_t number,
-                std::optional<store::Shard> group);
+  void ApplyTaskGroup(const store::ParsedKey& key, const std::string& value);
+  void SetGroup(const std::string& id, TaskGroups& groups, uint32_t number,
+                std::optional<store::TaskGroup> group);
   void SetCommonLayout(const store::Layout& layout);
   // Brings jobs up to what the pipelines now say of them.
   void UpdateViews();
 
   store::Layout common_;
   std::unordered_map<std::string, Job> jobs_;
-  std::map<std::string, Groups> orphans_;
+  std::map<std::string, TaskGroups> orphans_;
   std::unordered_map<std::string, Placements> by_machine_;
-  Pipelines pipelines_;
+  DependencyGraph dependency_graph_;
 };
 
 }  // namespace hallpier::jobs
--- a/src/jobs/batch.h
+++ b/src/jobs/transaction_builder.h
@@ -6,13 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
+#include "model/key_value.h"
 
 namespace hallpier::jobs {
 
 // What is written first when there is more than the budget allows. What is left over is decided
 // anew by the next round.
-enum class Rank {
+enum class WritePriority {
   kUrgentStart,  // starts of prod and urgent work
   kEnd,          // a job becomes final, or loses what still ran after its cancellation
   kStart,        // other starts; tasks that wait again; ends that have waited long
@@ -20,17 +21,17 @@
   kOutcome,      // ends of single tasks: their machines keep them meanwhile
 };
 
-struct Txn {
-  std::vector<wire::Guard> guards;
-  std::vector<wire::Write> writes;
-  Rank rank = Rank::kOutcome;         // of the first it holds
-  std::vector<std::string> machines;  // that got a new placement in it
+struct Transaction {
+  std::vector<model::Precondition> preconditions;
+  std::vector<model::KeyWrite> writes;
+  WritePriority rank = WritePriority::kOutcome;  // of the first it holds
+  std::vector<std::string> machines;             // that got a new placement in it
 };
 
-struct BatchLimits {
+struct TransactionLimits {
   int ops = 0;  // writes in a transaction
   // Of every transaction. The first is the leader's token: who holds another one loses.
-  std::vector<wire::Guard> guards;
+  std::vector<model::Precondition> preconditions;
   size_t value_bytes = 0;  // of the largest value; 0: any
   double patience_s = 0;   // ends of tasks wait no longer than this behind starts
   // Every node reads the newer forms: groups are packed, and final records hold their time.
@@ -45,7 +46,7 @@
   bool others_place = false;
 };
 
-using StampOf = std::function<uint64_t(const std::string& key)>;
+using VersionLookup = std::function<uint64_t(const std::string& key)>;
 
 // A job that is cancelled becomes final only after all that await it: as long as any of these is
 // unfinished, its record says why they are cancelled, whoever leads.
@@ -53,7 +54,9 @@
 // Mutations that the records no longer allow are left out. Jobs whose last task is done, or that
 // are cancelled with nothing placed any more, become final in the same transaction. All that a
 // round has for one group of tasks goes into one write.
-std::vector<Txn> BuildTxns(const Ledger& ledger, const std::vector<Mutation>& mutations,
-                           const BatchLimits& limits, const StampOf& version);
+std::vector<Transaction> BuildTransactions(const JobTable& job_table,
+                                           const std::vector<TaskTransition>& transitions,
+                                           const TransactionLimits& limits,
+                                           const VersionLookup& version);
 
 }  // namespace hallpier::jobs
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -26,8 +26,8 @@
 constexpr size_t kMaxUnknownReported = 16;
 
 bool IsMember(const std::optional<MemberRecord>& record) {
-  return record && (record->state == wire::MemberState::kAlive ||
-                    record->state == wire::MemberState::kSuspect);
+  return record && (record->state == model::MemberState::kAlive ||
+                    record->state == model::MemberState::kSuspect);
 }
 
 }  // namespace
@@ -107,10 +107,10 @@
       sender->record->incarnation.session == status.incarnation.session) {
     sender->refutation = std::max(sender->refutation, status.incarnation.refutation);
   }
-  for (const wire::MemberObservation& observation : status.observations) {
+  for (const model::MemberObservation& observation : status.observations) {
     if (observation.node != options_.node) continue;
     // A session or refutation from the future can't be of this process: nothing to refute.
-    const bool suspects_us = observation.state == wire::MemberState::kSuspect &&
+    const bool suspects_us = observation.state == model::MemberState::kSuspect &&
                              observation.incarnation == own_ && own_.session != 0;
     if (suspects_us) ++own_.refutation;
   }
@@ -127,7 +127,7 @@
   const bool former =
       member->record && status.incarnation.session < member->record->incarnation.session;
   if (former) return;
-  member->leaving = status.state == wire::MemberState::kLeft;
+  member->leaving = status.state == model::MemberState::kLeft;
   member->evidence.OnAnswer(asked, now);
   member->refused = false;
   member->vitals = status.vitals;
@@ -137,7 +137,7 @@
 }
 
 void MemberTable::TakeObservations(const wire::MemberStatus& status, double asked) {
-  for (const wire::MemberObservation& observation : status.observations) {
+  for (const model::MemberObservation& observation : status.observations) {
     if (observation.node == options_.node || observation.node == status.node) continue;
     Member* member = Find(observation.node);
     if (member == nullptr || !member->record) continue;
@@ -197,11 +197,11 @@
     if (observer == node || !Fresh(other, now)) return true;
     auto observed = member.observers.find(observer);
     return observed != member.observers.end() &&
-           observed->second.state == wire::MemberState::kSuspect;
+           observed->second.state == model::MemberState::kSuspect;
   });
 }
 
-size_t MemberTable::Rank(const std::string& subject, double now) const {
+size_t MemberTable::WritePriority(const std::string& subject, double now) const {
   return static_cast<size_t>(
       std::count_if(members_.begin(), members_.end(), [&](const auto& entry) {
         const auto& [node, member] = entry;
@@ -243,24 +243,24 @@
   } else if (!suspect) {
     member.suspect_since.reset();
   }
-  const wire::MemberState shown = ShownState(member);
+  const model::MemberState shown = ShownState(member);
   if (shown != member.shown) {
     member.shown = shown;
     member.shown_since = now;
   }
 }
 
-wire::MemberState MemberTable::ShownState(const Member& member) {
+model::MemberState MemberTable::ShownState(const Member& member) {
   if (member.record && !IsMember(member.record)) return member.record->state;
-  if (member.leaving) return wire::MemberState::kLeft;
-  return member.suspect_since ? wire::MemberState::kSuspect : wire::MemberState::kAlive;
+  if (member.leaving) return model::MemberState::kLeft;
+  return member.suspect_since ? model::MemberState::kSuspect : model::MemberState::kAlive;
 }
 
 std::optional<Proposal> MemberTable::ProposeForSelf() const {
   if (superseded_ || leaving_) return std::nullopt;
   Proposal proposal;
   proposal.node = options_.node;
-  proposal.guards = {{store::MemberKey(options_.node), own_version_}};
+  proposal.preconditions = {{store::MemberKey(options_.node), own_version_}};
   proposal.record.instance = options_.instance;
   const bool mine = IsMember(own_record_) && own_record_->instance == options_.instance;
   if (!mine) {
@@ -269,7 +269,7 @@
     proposal.record.incarnation.session = std::max(recorded, own_.session) + 1;
     return proposal;
   }
-  if (own_record_->state == wire::MemberState::kAlive) return std::nullopt;
+  if (own_record_->state == model::MemberState::kAlive) return std::nullopt;
   proposal.kind = Proposal::Kind::kRefute;
   proposal.record.incarnation = {own_.session, own_.refutation + 1};
   return proposal;
@@ -279,24 +279,24 @@
                                                 double now) const {
   if (!member.suspect_since || !InGoodStanding()) return std::nullopt;
   if (!ObserversAgree(member, node, now)) return std::nullopt;
-  const double turn_s = static_cast<double>(Rank(node, now)) * options_.silence.probe_s;
+  const double turn_s = static_cast<double>(WritePriority(node, now)) * options_.silence.probe_s;
   Proposal proposal;
   proposal.node = node;
   proposal.record = *member.record;
   proposal.record.by = options_.node;
   proposal.record.reason = member.refused ? "refuses connections" : "does not answer";
-  proposal.guards = {{store::MemberKey(node), member.version},
-                     {store::MemberKey(options_.node), own_version_}};
-  if (member.record->state == wire::MemberState::kAlive) {
+  proposal.preconditions = {{store::MemberKey(node), member.version},
+                            {store::MemberKey(options_.node), own_version_}};
+  if (member.record->state == model::MemberState::kAlive) {
     if (now < *member.suspect_since + turn_s) return std::nullopt;
     proposal.kind = Proposal::Kind::kSuspect;
-    proposal.record.state = wire::MemberState::kSuspect;
+    proposal.record.state = model::MemberState::kSuspect;
     return proposal;
   }
   const double since = std::max(member.record_seen_at, *member.suspect_since);
   if (now < since + ConfirmS() + turn_s) return std::nullopt;
   proposal.kind = Proposal::Kind::kVerdict;
-  proposal.record.state = wire::MemberState::kFailed;
+  proposal.record.state = model::MemberState::kFailed;
   return proposal;
 }
 
@@ -331,10 +331,10 @@
   proposal.kind = Proposal::Kind::kLeave;
   proposal.node = options_.node;
   proposal.record = *own_record_;
-  proposal.record.state = wire::MemberState::kLeft;
+  proposal.record.state = model::MemberState::kLeft;
   proposal.record.by.clear();
   proposal.record.reason.clear();
-  proposal.guards = {{store::MemberKey(options_.node), own_version_}};
+  proposal.preconditions = {{store::MemberKey(options_.node), own_version_}};
   return proposal;
 }
 
@@ -342,11 +342,11 @@
   wire::MemberStatus status;
   status.node = options_.node;
   status.incarnation = own_;
-  status.state = leaving_ ? wire::MemberState::kLeft : wire::MemberState::kAlive;
+  status.state = leaving_ ? model::MemberState::kLeft : model::MemberState::kAlive;
   status.vitals = vitals_;
   status.yields_to = yields_to_;
   for (const auto& [node, member] : members_) {
-    wire::MemberObservation observation;
+    model::MemberObservation observation;
     observation.node = node;
     if (member.record) {
       observation.incarnation = {member.record->incarnation.session, member.refutation};
@@ -363,24 +363,24 @@
 
 bool MemberTable::InGoodStanding() const {
   return !superseded_ && !leaving_ && own_record_ &&
-         own_record_->state == wire::MemberState::kAlive &&
+         own_record_->state == model::MemberState::kAlive &&
          own_record_->instance == options_.instance;
 }
 
-std::vector<wire::Guard> MemberTable::OwnGuards() const {
+std::vector<model::Precondition> MemberTable::OwnPreconditions() const {
   if (!InGoodStanding()) return {};
   return {{store::MemberKey(options_.node), own_version_}};
 }
 
 bool MemberTable::Judged() const {
-  return own_.session != 0 && own_record_ && own_record_->state == wire::MemberState::kFailed &&
+  return own_.session != 0 && own_record_ && own_record_->state == model::MemberState::kFailed &&
          own_record_->incarnation.session == own_.session;
 }
 
-std::map<std::string, wire::MemberVitals> MemberTable::FreshVitals(double now) const {
-  std::map<std::string, wire::MemberVitals> out;
+std::map<std::string, model::MemberVitals> MemberTable::FreshVitals(double now) const {
+  std::map<std::string, model::MemberVitals> out;
   for (const auto& [node, member] : members_) {
-    if (Fresh(member, now) && member.record->state == wire::MemberState::kAlive) {
+    if (Fresh(member, now) && member.record->state == model::MemberState::kAlive) {
       out.emplace(node, member.vitals);
     }
   }
@@ -397,7 +397,7 @@
 bool MemberTable::Failed(const std::string& node) const {
   auto it = members_.find(node);
   return it != members_.end() && it->second.record &&
-         it->second.record->state == wire::MemberState::kFailed;
+         it->second.record->state == model::MemberState::kFailed;
 }
 
 std::vector<wire::MemberRow> MemberTable::Rows(double now) const {
@@ -406,7 +406,7 @@
   own.node = options_.node;
   own.incarnation = own_;
   own.known = own_record_.has_value();
-  own.state = own_record_ ? own_record_->state : wire::MemberState::kAlive;
+  own.state = own_record_ ? own_record_->state : model::MemberState::kAlive;
   if (own_record_ && !own_record_->by.empty()) own.suspected_by = {own_record_->by};
   rows.push_back(std::move(own));
   for (const auto& [node, member] : members_) {
@@ -420,7 +420,7 @@
     if (member.record && !member.record->by.empty()) accusers.insert(member.record->by);
     if (member.suspect_since) accusers.insert(options_.node);
     for (const auto& [observer, observed] : member.observers) {
-      if (observed.state == wire::MemberState::kSuspect) accusers.insert(observer);
+      if (observed.state == model::MemberState::kSuspect) accusers.insert(observer);
     }
     row.suspected_by.assign(accusers.begin(), accusers.end());
     if (member.record) row.reason = member.record->reason;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -24,7 +24,8 @@
 #include "membership/evidence.h"
 #include "membership/local_health.h"
 #include "membership/record.h"
-#include "wire/messages.h"
+#include "model/key_value.h"
+#include "model/member.h"
 #include "wire/peer.h"
 
 namespace hallpier::membership {
@@ -35,7 +36,7 @@
   Kind kind = Kind::kJoin;
   std::string node;
   MemberRecord record;
-  std::vector<wire::Guard> guards;
+  std::vector<model::Precondition> preconditions;
 };
 
 class MemberTable {
@@ -76,7 +77,7 @@
 
   // What this node says of itself and of the others.
   wire::MemberStatus Status(double now) const;
-  void SetVitals(const wire::MemberVitals& vitals) { vitals_ = vitals; }
+  void SetVitals(const model::MemberVitals& vitals) { vitals_ = vitals; }
   void SetYieldsTo(const std::string& node) { yields_to_ = node; }
   void SetLeaving() { leaving_ = true; }
 
@@ -84,15 +85,15 @@
   // not may not take the lead.
   bool InGoodStanding() const;
   // Guards that hold only while that is so; empty: it is not.
-  std::vector<wire::Guard> OwnGuards() const;
+  std::vector<model::Precondition> OwnPreconditions() const;
   // This process was judged as failed, and has not joined again yet.
   bool Judged() const;
   // Another process of the same name has joined since: this one must not act any more.
   bool Superseded() const { return superseded_; }
-  const wire::Incarnation& incarnation() const { return own_; }
+  const model::Incarnation& incarnation() const { return own_; }
 
   // Others whose last answer is fresh, with what they said of their own state.
-  std::map<std::string, wire::MemberVitals> FreshVitals(double now) const;
+  std::map<std::string, model::MemberVitals> FreshVitals(double now) const;
   // Whom some other node that leads, or led a moment ago, names as its successor; empty: nobody.
   std::string SuccessorNamedByOthers(double now) const;
   std::vector<wire::MemberRow> Rows(double now) const;
@@ -102,7 +103,7 @@
  private:
   // What one observer says of a member.
   struct Observed {
-    wire::MemberState state = wire::MemberState::kAlive;
+    model::MemberState state = model::MemberState::kAlive;
     std::optional<double> heard_at;
   };
   struct Member {
@@ -116,10 +117,10 @@
     bool refused = false;
     bool leaving = false;
     std::optional<double> suspect_since;  // this node's own suspicion
-    wire::MemberState shown = wire::MemberState::kAlive;
+    model::MemberState shown = model::MemberState::kAlive;
     double shown_since;
     std::map<std::string, Observed> observers;
-    wire::MemberVitals vitals;
+    model::MemberVitals vitals;
     std::string yields_to;
   };
 
@@ -139,9 +140,9 @@
   bool HeardByOthers(const Member& member, const std::string& node, double now) const;
   bool ObserversAgree(const Member& member, const std::string& node, double now) const;
   // This node's place among those that may write, so that not all do so at once.
-  size_t Rank(const std::string& subject, double now) const;
+  size_t WritePriority(const std::string& subject, double now) const;
   double ConfirmS() const;
-  static wire::MemberState ShownState(const Member& member);
+  static model::MemberState ShownState(const Member& member);
 
   const Options options_;
   LocalHealth health_;
@@ -149,10 +150,10 @@
   std::map<std::string, Member> members_;
   std::optional<MemberRecord> own_record_;
   uint64_t own_version_ = 0;
-  wire::Incarnation own_;  // session 0: not joined yet
+  model::Incarnation own_;  // session 0: not joined yet
   bool superseded_ = false;
   bool leaving_ = false;
-  wire::MemberVitals vitals_;
+  model::MemberVitals vitals_;
   std::string yields_to_;
   double last_tick_;
   std::set<std::string> pending_;             // nodes with a proposal under way
--- a/src/membership/record.cc
+++ b/src/membership/record.cc
@@ -7,11 +7,11 @@
 namespace hallpier::membership {
 namespace {
 
-constexpr std::array kStates = {wire::MemberState::kAlive, wire::MemberState::kSuspect,
-                                wire::MemberState::kFailed, wire::MemberState::kLeft};
+constexpr std::array kStates = {model::MemberState::kAlive, model::MemberState::kSuspect,
+                                model::MemberState::kFailed, model::MemberState::kLeft};
 
-std::optional<wire::MemberState> ParseState(std::string_view name) {
-  for (const wire::MemberState state : kStates) {
+std::optional<model::MemberState> ParseState(std::string_view name) {
+  for (const model::MemberState state : kStates) {
     if (StateName(state) == name) return state;
   }
   return std::nullopt;
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-std::string_view StateName(wire::MemberState state) {
+std::string_view StateName(model::MemberState state) {
   switch (state) {
-    case wire::MemberState::kAlive:
+    case model::MemberState::kAlive:
       return "alive";
-    case wire::MemberState::kSuspect:
+    case model::MemberState::kSuspect:
       return "suspect";
-    case wire::MemberState::kFailed:
+    case model::MemberState::kFailed:
       return "failed";
-    case wire::MemberState::kLeft:
+    case model::MemberState::kLeft:
       return "left";
   }
   return "";
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -8,13 +8,14 @@
 #include <string>
 #include <string_view>
 
+#include "model/member.h"
 #include "wire/peer.h"
 
 namespace hallpier::membership {
 
 struct MemberRecord {
-  wire::MemberState state = wire::MemberState::kAlive;
-  wire::Incarnation incarnation;
+  model::MemberState state = model::MemberState::kAlive;
+  model::Incarnation incarnation;
   // Drawn by the process that opened the session: tells it from another one of the same name.
   uint64_t instance = 0;
   std::string by;      // kSuspect, kFailed: who wrote it
@@ -27,6 +28,6 @@
 std::optional<MemberRecord> ReadMember(std::string_view json);
 
 // "alive", "suspect", "failed" or "left".
-std::string_view StateName(wire::MemberState state);
+std::string_view StateName(model::MemberState state);
 
 }  // namespace hallpier::membership
