--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -32,17 +32,17 @@
   std::uniform_int_distribution<uint64_t> draw(1);
   return {.node = settings.node,
           .others = settings.OtherNodes(),
-          .silence = {options.probe_ratio * settings.report_s, options.missed_probes},
+          .silence = {options.probe_ratio * settings.heartbeat_interval_s, options.missed_probes},
           .confirm_probes = options.confirm_probes,
           .instance = draw(device)};
 }
 
 YieldPolicy::Options YieldOptions(const config::Settings& settings,
                                   const config::Membership& options) {
-  return {.report_s = settings.report_s,
+  return {.heartbeat_interval_s = settings.heartbeat_interval_s,
           .lease_s = settings.lease_s,
           .hold_leases = options.yield_leases,
-          .relayed_leases = lead::Leadership::kRelayedRatio};
+          .relayed_leases = election::LeaderElection::kRelayedRatio};
 }
 
 std::string_view KindName(Proposal::Kind kind) {
@@ -63,28 +63,28 @@
 
 }  // namespace
 
-Service::Service(rt::Scope& scope, Dependencies dependencies)
+Service::Service(async::Scope& scope, Dependencies dependencies)
     : scope_(scope),
       deps_(std::move(dependencies)),
-      probe_s_(deps_.options->probe_ratio * deps_.settings->report_s),
+      probe_s_(deps_.options->probe_ratio * deps_.settings->heartbeat_interval_s),
       table_(TableOptions(*deps_.settings, *deps_.options), Now()),
       yield_policy_(YieldOptions(*deps_.settings, *deps_.options)),
-      reports_(YieldPolicy::kCountedPart * deps_.settings->report_s, Now()),
+      reports_(YieldPolicy::kCountedPart * deps_.settings->heartbeat_interval_s, Now()),
       next_tick_(Now() + probe_s_),
       pause_seen_(Now()) {
   for (const std::string& node : deps_.settings->OtherNodes()) links_[node];
 }
 
-rt::Task<> Service::Run() {
+async::Task<> Service::Run() {
   while (!scope_.cancelled()) {
-    if (!deps_.replica->loaded()) {
-      auto wait = deps_.replica->changed().Await(scope_, probe_s_);
+    if (!deps_.cache->loaded()) {
+      auto wait = deps_.cache->changed().Await(scope_, probe_s_);
       co_await wait;
       next_tick_ = Now();
       continue;
     }
     Tick();
-    rt::Sleep pause(scope_, std::max(0.0, next_tick_ - Now()));
+    async::Sleep pause(scope_, std::max(0.0, next_tick_ - Now()));
     co_await pause;
   }
 }
@@ -112,10 +112,10 @@
   reports_.Reset(now);
 }
 
-wire::MemberVitals Service::Vitals(double now) {
-  wire::MemberVitals vitals;
-  vitals.leading = deps_.leadership->leading();
-  vitals.state_direct = deps_.replica->loaded() && !deps_.client->down();
+model::MemberVitals Service::Vitals(double now) {
+  model::MemberVitals vitals;
+  vitals.leading = deps_.election->leading();
+  vitals.state_direct = deps_.cache->loaded() && !deps_.client->down();
   vitals.turn_delay_ms = static_cast<uint64_t>(turn_delay_s_ * kMsPerS);
   vitals.worker_reports = reports_.Last(now);
   return vitals;
@@ -184,7 +184,7 @@
   if (!value.empty() && !record) {
     spdlog::warn("membership: the record of {} can't be read; it counts as none", node);
   }
-  const uint64_t version = value.empty() ? 0 : deps_.replica->Version(store::MemberKey(node));
+  const uint64_t version = value.empty() ? 0 : deps_.cache->Version(store::MemberKey(node));
   table_.OnRecord(node, record, version, Now());
   if (table_.Judged() && judged_session_ != table_.incarnation().session) {
     judged_session_ = table_.incarnation().session;
@@ -197,7 +197,7 @@
 }
 
 void Service::OnLeaderRecord() {
-  const std::string leader = deps_.leadership->leader();
+  const std::string leader = deps_.election->leader();
   if (leader.empty() || leader == leader_) return;
   handover_from_ = leader_;
   handover_to_ = leader;
@@ -208,24 +208,24 @@
 }
 
 void Service::ReviewLead(double now) {
-  lead::Leadership& leadership = *deps_.leadership;
-  if (!leadership.leading()) {
+  election::LeaderElection& election = *deps_.election;
+  if (!election.leading()) {
     // A judged leader's lease is ended for it. It can't have led again since: it must have joined
     // anew for that, and its record would say so.
-    if (table_.Failed(leadership.leader())) leadership.Suspect(leadership.leader());
+    if (table_.Failed(election.leader())) election.Suspect(election.leader());
     return;
   }
-  if (table_.Judged()) leadership.Resign(0, "this node was judged as failed");
+  if (table_.Judged()) election.Resign(0, "this node was judged as failed");
   if (table_.Superseded()) {
-    leadership.Resign(deps_.settings->lease_s, "another process runs under this node's name");
+    election.Resign(deps_.settings->lease_s, "another process runs under this node's name");
   }
   if (now < next_review_ || !reports_.Complete(now)) return;
-  next_review_ = now + deps_.settings->report_s / kReviews;
+  next_review_ = now + deps_.settings->heartbeat_interval_s / kReviews;
   auto yield = yield_policy_.Decide(Vitals(now), deps_.machines(), table_.FreshVitals(now), now);
   if (!yield) return;
   table_.SetYieldsTo(yield->to);
   SendProbes(now);
-  leadership.Resign(deps_.settings->lease_s, yield->reason + "; " + yield->to + " is to lead");
+  election.Resign(deps_.settings->lease_s, yield->reason + "; " + yield->to + " is to lead");
 }
 
 double Service::TakeDelayS() const {
@@ -234,27 +234,28 @@
   return another ? kSuccessorIntervals * probe_s_ : 0;
 }
 
-rt::Task<bool> Service::Write(const Proposal& proposal) {
+async::Task<bool> Service::Write(const Proposal& proposal) {
   const std::string key = store::MemberKey(proposal.node);
   const std::string value = WriteMember(proposal.record);
-  std::vector<wire::Write> writes = {{key, value, 0}};
+  std::vector<model::KeyWrite> writes = {{key, value, 0}};
   const double asked = Now();
-  auto r = co_await deps_.client->Txn(proposal.guards, std::move(writes), store::Urgent::kYes);
+  auto r =
+      co_await deps_.client->Commit(proposal.preconditions, std::move(writes), store::Urgent::kYes);
   if (r.ok()) {
     table_.OnStateRoundTrip(Now() - asked);
-    deps_.replica->Apply(key, value, r.value.revision);
+    deps_.cache->Apply(key, value, r.value.revision);
     co_return true;
   }
   if (r.status == store::Status::kConflict) {
     for (const std::string& failed : r.value.failed) {
-      bool read = co_await deps_.replica->Refresh(failed);
+      bool read = co_await deps_.cache->Refresh(failed);
       if (!read) break;
     }
   }
   co_return false;
 }
 
-rt::Task<> Service::Carry(Proposal proposal) {
+async::Task<> Service::Carry(Proposal proposal) {
   bool written = co_await Write(proposal);
   if (written) {
     spdlog::info("membership: {} of {} recorded (session {}, refutation {}){}",
@@ -265,14 +266,14 @@
   table_.OnProposalDone(proposal.node, Now());
 }
 
-rt::Task<> Service::Leave() {
+async::Task<> Service::Leave() {
   table_.SetLeaving();
   SendProbes(Now());
-  deps_.leadership->Resign(deps_.settings->lease_s, "this node ends");
-  const double limit_s = kLeavePart * deps_.settings->report_s;
+  deps_.election->Resign(deps_.settings->lease_s, "this node ends");
+  const double limit_s = kLeavePart * deps_.settings->heartbeat_interval_s;
   const double end = Now() + limit_s;
-  while (!scope_.cancelled() && deps_.leadership->holding() && Now() < end) {
-    rt::Sleep pause(scope_, limit_s / kLeavePolls);
+  while (!scope_.cancelled() && deps_.election->holding() && Now() < end) {
+    async::Sleep pause(scope_, limit_s / kLeavePolls);
     co_await pause;
   }
   auto leave = table_.Leave();
@@ -287,7 +288,7 @@
   report.node = deps_.settings->node;
   report.enabled = true;
   report.rows = table_.Rows(now);
-  const std::string leader = deps_.leadership->leader();
+  const std::string leader = deps_.election->leader();
   for (wire::MemberRow& row : report.rows) row.leading = row.node == leader;
   report.handover_from = handover_from_;
   report.handover_to = handover_to_;
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -8,14 +8,16 @@
 #include <string>
 #include <vector>
 
+#include "async/event_loop.h"
 #include "config/settings.h"
-#include "lead/leadership.h"
+#include "election/leader_election.h"
 #include "membership/member_table.h"
 #include "membership/report_counter.h"
 #include "membership/yield_policy.h"
-#include "rt/loop.h"
+#include "model/key_value.h"
+#include "model/member.h"
 #include "store/client.h"
-#include "store/replica.h"
+#include "store/watch_cache.h"
 #include "wire/peer.h"
 
 namespace hallpier::membership {
@@ -26,8 +28,8 @@
     const config::Settings* settings;
     const config::Membership* options;
     store::Client* client;
-    store::Replica* replica;
-    lead::Leadership* leadership;
+    store::WatchCache* cache;
+    election::LeaderElection* election;
     // Puts a message on the link to a node; nothing happens while there is none.
     std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
     // Whether a node has said that it understands the messages of wire::MemberProbe and after.
@@ -35,10 +37,10 @@
     // Machines that should report to the leader.
     std::function<size_t()> machines;
   };
-  Service(rt::Scope& scope, Dependencies dependencies);
+  Service(async::Scope& scope, Dependencies dependencies);
 
   // The routine that probes and proposes for as long as its scope lives.
-  rt::Task<> Run();
+  async::Task<> Run();
 
   // A member's record on the state service has changed; an empty value: it was dropped.
   void OnRecord(const std::string& node, const std::string& value);
@@ -58,10 +60,10 @@
   bool MayLead() const { return table_.InGoodStanding(); }
   // How long a named successor is left to take the lead first.
   double TakeDelayS() const;
-  std::vector<wire::Guard> LeadGuards() const { return table_.OwnGuards(); }
+  std::vector<model::Precondition> LeadPreconditions() const { return table_.OwnPreconditions(); }
 
   // An orderly end: the lead is given up, and the record says that this node has left.
-  rt::Task<> Leave();
+  async::Task<> Leave();
   wire::MembersReport Report() const;
 
  private:
@@ -78,12 +80,12 @@
   void SendProbes(double now);
   bool MayProbe(const std::string& node, const Link& link, double now) const;
   void ReviewLead(double now);
-  wire::MemberVitals Vitals(double now);
-  rt::Task<> Carry(Proposal proposal);
-  rt::Task<bool> Write(const Proposal& proposal);
+  model::MemberVitals Vitals(double now);
+  async::Task<> Carry(Proposal proposal);
+  async::Task<bool> Write(const Proposal& proposal);
   double Now() const { return scope_.loop().Now(); }
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const Dependencies deps_;
   const double probe_s_;
   MemberTable table_;
--- a/src/membership/yield_policy.cc
+++ b/src/membership/yield_policy.cc
@@ -49,9 +49,9 @@
     case Reason::kStateService:
       return options_.relayed_leases * options_.lease_s;
     case Reason::kWorkers:
-      return kSustainReports * options_.report_s;
+      return kSustainReports * options_.heartbeat_interval_s;
     case Reason::kTurns:
-      return kSustainTurnsReports * options_.report_s;
+      return kSustainTurnsReports * options_.heartbeat_interval_s;
   }
   return 0;
 }
@@ -69,8 +69,8 @@
 }
 
 std::optional<YieldPolicy::Candidate> YieldPolicy::Find(
-    const wire::MemberVitals& own, size_t machines,
-    const std::map<std::string, wire::MemberVitals>& others) const {
+    const model::MemberVitals& own, size_t machines,
+    const std::map<std::string, model::MemberVitals>& others) const {
   const double expected = kCountedPart * static_cast<double>(machines);
   const auto heard = static_cast<double>(own.worker_reports);
   // A worker that can't reach the leader tries the others in turn, so that they are one count.
@@ -80,8 +80,8 @@
   }
   const bool workers_lost = machines >= kLeastMachines && heard < kHeardPart * expected &&
                             elsewhere >= kElsewherePart * (expected - heard);
-  const bool late =
-      static_cast<double>(own.turn_delay_ms) / kMsPerS > kLateTurnPart * options_.report_s;
+  const bool late = static_cast<double>(own.turn_delay_ms) / kMsPerS >
+                    kLateTurnPart * options_.heartbeat_interval_s;
   std::optional<Candidate> best;
   uint64_t best_reports = 0;
   for (const auto& [node, vitals] : others) {
@@ -109,8 +109,8 @@
   return now - changes_.back() < HoldS(now);
 }
 
-std::optional<Yield> YieldPolicy::Decide(const wire::MemberVitals& own, size_t machines,
-                                         const std::map<std::string, wire::MemberVitals>& others,
+std::optional<Yield> YieldPolicy::Decide(const model::MemberVitals& own, size_t machines,
+                                         const std::map<std::string, model::MemberVitals>& others,
                                          double now) {
   const std::optional<Candidate> candidate = Find(own, machines, others);
   if (!candidate) {
--- a/src/membership/yield_policy.h
+++ b/src/membership/yield_policy.h
@@ -8,6 +8,7 @@
 #include <optional>
 #include <string>
 
+#include "model/member.h"
 #include "wire/peer.h"
 
 namespace hallpier::membership {
@@ -20,7 +21,7 @@
 class YieldPolicy {
  public:
   struct Options {
-    double report_s = 0;
+    double heartbeat_interval_s = 0;
     double lease_s = 0;
     // Least time between two changes of the leader, in leases.
     double hold_leases = 1;
@@ -38,8 +39,8 @@
 
   // `own`: of this node, which leads; `machines`: those that are up and should report to it.
   // `others`: of all nodes that answer. Something only if a reason has stood for long enough.
-  std::optional<Yield> Decide(const wire::MemberVitals& own, size_t machines,
-                              const std::map<std::string, wire::MemberVitals>& others, double now);
+  std::optional<Yield> Decide(const model::MemberVitals& own, size_t machines,
+                              const std::map<std::string, model::MemberVitals>& others, double now);
 
  private:
   enum class Reason { kStateService, kWorkers, kTurns };
@@ -47,8 +48,8 @@
     Reason reason;
     std::string node;
   };
-  std::optional<Candidate> Find(const wire::MemberVitals& own, size_t machines,
-                                const std::map<std::string, wire::MemberVitals>& others) const;
+  std::optional<Candidate> Find(const model::MemberVitals& own, size_t machines,
+                                const std::map<std::string, model::MemberVitals>& others) const;
   double SustainS(Reason reason) const;
   double HoldS(double now);
   // True while a change would come too soon after others.
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -38,9 +38,10 @@
   }
 }
 
-rt::Task<std::optional<wire::HttpResponse>> HttpClient::Call(rt::Scope& scope, std::string endpoint,
-                                                             wire::HttpRequest request,
-                                                             double timeout_s, bool repeatable) {
+async::Task<std::optional<wire::HttpResponse>> HttpClient::Call(async::Scope& scope,
+                                                                std::string endpoint,
+                                                                wire::HttpRequest request,
+                                                                double timeout_s, bool repeatable) {
   const double deadline = scope.loop().Now() + timeout_s;
   const std::string bytes = wire::Serialize(request, endpoint);
   struct Busy {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -27,9 +27,9 @@
 
   // Nothing means that no answer came in time: the request may have been executed, or may yet be.
   // A call that finds its kept connection closed is sent again only if `repeatable`.
-  rt::Task<std::optional<wire::HttpResponse>> Call(rt::Scope& scope, std::string endpoint,
-                                                   wire::HttpRequest request, double timeout_s,
-                                                   bool repeatable);
+  async::Task<std::optional<wire::HttpResponse>> Call(async::Scope& scope, std::string endpoint,
+                                                      wire::HttpRequest request, double timeout_s,
+                                                      bool repeatable);
 
  private:
   std::optional<Stream> TakeIdle(const std::string& endpoint);
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -70,7 +70,7 @@
   return true;
 }
 
-rt::Task<> HttpServer::AcceptLoop(Listener listener) {
+async::Task<> HttpServer::AcceptLoop(Listener listener) {
   // A few more may come in than there is room for: their first request tells whose share they are
   // of, and who can't be taken is told so. Beyond that they are closed at once and go elsewhere.
   const size_t most = limits_.max_connections + limits_.max_connections / kSlack + 1;
@@ -79,7 +79,7 @@
     if (!stream) {
       // Out of sockets: those in use must end before another can be taken.
       MakeRoom();
-      rt::Sleep pause(scope_, limits_.request_s / 50);
+      async::Sleep pause(scope_, limits_.request_s / 50);
       co_await pause;
       continue;
     }
@@ -87,7 +87,7 @@
   }
 }
 
-rt::Task<> HttpServer::Serve(Stream stream) {
+async::Task<> HttpServer::Serve(Stream stream) {
   Connection c(std::move(stream));
   c.heard = scope_.loop().Now();
   c.position = by_silence_.insert(by_silence_.end(), &c);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -13,7 +13,7 @@
 
 class HttpServer {
  public:
-  using Handler = std::function<rt::Task<wire::HttpResponse>(wire::HttpRequest)>;
+  using Handler = std::function<async::Task<wire::HttpResponse>(wire::HttpRequest)>;
   // Whose requests `takes` holds for may always have so many connections, and more while there is
   // room; what is borrowed so is given back as soon as others need it.
   struct Share {
@@ -33,7 +33,7 @@
     std::vector<Share> shares = {};  // the first that takes a request counts
   };
 
-  HttpServer(rt::Scope& scope, Limits limits, Handler handler)
+  HttpServer(async::Scope& scope, Limits limits, Handler handler)
       : scope_(scope),
         limits_(std::move(limits)),
         handler_(std::move(handler)),
@@ -44,8 +44,8 @@
 
  private:
   struct Connection;
-  rt::Task<> AcceptLoop(Listener listener);
-  rt::Task<> Serve(Stream stream);
+  async::Task<> AcceptLoop(Listener listener);
+  async::Task<> Serve(Stream stream);
   // False if its share has no room left, not even for one request.
   bool Admit(Connection& c, const wire::HttpRequest& request);
   // Ends the connection that has been silent for longest among those that must give way; false if
@@ -53,7 +53,7 @@
   bool MakeRoom();
   void Remove(Connection& c);
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const Limits limits_;
   const Handler handler_;
   std::list<Connection*> by_silence_;  // longest first
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-PeerMesh::PeerMesh(rt::Scope& scope, const config::Settings& settings, Hooks hooks)
+PeerMesh::PeerMesh(async::Scope& scope, const config::Settings& settings, Hooks hooks)
     : scope_(scope), settings_(settings), hooks_(std::move(hooks)) {
   for (const config::Seed& s : settings_.OtherSeeds()) {
     peers_.push_back(std::make_unique<Peer>());
@@ -30,7 +30,7 @@
   }
 }
 
-double PeerMesh::beat() const { return settings_.report_s / kBeats; }
+double PeerMesh::beat() const { return settings_.heartbeat_interval_s / kBeats; }
 
 bool PeerMesh::Start(std::string* error) {
   auto at = ParseAddress(settings_.peer_bind);
@@ -60,7 +60,7 @@
                      [&](const auto& p) { return Fresh(*p) && p->status.state_good; });
 }
 
-rt::Task<Relayed> PeerMesh::Relay(wire::HttpRequest request) {
+async::Task<Relayed> PeerMesh::Relay(wire::HttpRequest request) {
   Peer* best = nullptr;
   for (auto& p : peers_) {
     if (!Fresh(*p) || !p->status.state_good || p->pending.size() >= kMaxPending) continue;
@@ -121,7 +121,7 @@
   if (hooks_.on_link) hooks_.on_link(peer->seed.node, up);
 }
 
-rt::Task<> PeerMesh::DialLoop(Peer* peer) {
+async::Task<> PeerMesh::DialLoop(Peer* peer) {
   auto to = ParseAddress(peer->seed.endpoint);
   while (!scope_.cancelled()) {
     int error = 0;
@@ -144,13 +144,13 @@
       peer->broke = false;
       hooks_.on_refused(peer->seed.node);
     }
-    rt::Sleep pause(scope_, beat());
+    async::Sleep pause(scope_, beat());
     co_await pause;
   }
 }
 
-rt::Task<> PeerMesh::WriteLoop(Peer* peer, std::shared_ptr<Stream> stream,
-                               std::shared_ptr<bool> open) {
+async::Task<> PeerMesh::WriteLoop(Peer* peer, std::shared_ptr<Stream> stream,
+                                  std::shared_ptr<bool> open) {
   double next_ping = 0;
   while (*open && !scope_.cancelled()) {
     const double now = scope_.loop().Now();
@@ -216,8 +216,8 @@
   return true;
 }
 
-rt::Task<> PeerMesh::ReadLoop(Peer* peer, std::shared_ptr<Stream> stream,
-                              std::shared_ptr<bool> open) {
+async::Task<> PeerMesh::ReadLoop(Peer* peer, std::shared_ptr<Stream> stream,
+                                 std::shared_ptr<bool> open) {
   wire::FrameBuffer frames(wire::kMaxPeerFrame);
   bool readable = true;
   while (!scope_.cancelled() && !frames.corrupt()) {
@@ -234,19 +234,19 @@
   *open = false;
 }
 
-rt::Task<> PeerMesh::AcceptLoop(Listener listener) {
+async::Task<> PeerMesh::AcceptLoop(Listener listener) {
   while (!scope_.cancelled()) {
     std::optional<Stream> stream = co_await listener.Accept(scope_);
     if (stream) {
       scope_.Spawn(Serve(std::move(*stream)));
       continue;
     }
-    rt::Sleep pause(scope_, beat());
+    async::Sleep pause(scope_, beat());
     co_await pause;
   }
 }
 
-rt::Task<std::optional<std::string>> PeerMesh::Answer(std::string payload) {
+async::Task<std::optional<std::string>> PeerMesh::Answer(std::string payload) {
   std::string fault;
   auto m = wire::ReadPeerMessage(payload, &fault);
   if (!m) {
@@ -280,7 +280,7 @@
   co_return answer ? wire::Frame(wire::WritePeerMessage(*answer)) : std::string();
 }
 
-rt::Task<> PeerMesh::Serve(Stream stream) {
+async::Task<> PeerMesh::Serve(Stream stream) {
   wire::FrameBuffer frames(wire::kMaxPeerFrame);
   while (!scope_.cancelled() && !frames.corrupt()) {
     std::string out;
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -24,7 +24,7 @@
   struct Hooks {
     std::function<wire::PeerStatus()> status;
     // Executes a peer's request to the state service.
-    std::function<rt::Task<std::optional<wire::HttpResponse>>(wire::HttpRequest)> execute;
+    std::function<async::Task<std::optional<wire::HttpResponse>>(wire::HttpRequest)> execute;
     std::function<void(const wire::PeerStatus&)> on_status;
     // A node has answered with its status, which was asked for then. May be empty, like all below.
     std::function<void(const std::string& node, double asked)> on_status_answered;
@@ -52,12 +52,12 @@
     std::function<void(const wire::CancelNotice&)> on_cancelled;
   };
 
-  PeerMesh(rt::Scope& scope, const config::Settings& settings, Hooks hooks);
+  PeerMesh(async::Scope& scope, const config::Settings& settings, Hooks hooks);
 
   bool Start(std::string* error);
 
   // By way of a peer that the state service answers; nothing if there is none, or no answer.
-  rt::Task<Relayed> Relay(wire::HttpRequest request);
+  async::Task<Relayed> Relay(wire::HttpRequest request);
   // True if every other node says, just now, that it can't reach the state service either.
   bool AllConfirmOutage() const;
   // Tells all nodes that understand it of a cancellation that was just recorded.
@@ -71,7 +71,7 @@
   struct Pending {
     bool done = false;
     std::optional<wire::HttpResponse> answer;
-    rt::Event event;
+    async::Event event;
   };
   struct Peer {
     config::Seed seed;
@@ -83,26 +83,26 @@
     std::deque<double> cancellation_report_asked;  // steady times of cancellation report requests
                                                    // without an answer yet
     std::string outbox;                            // frames to be written
-    rt::Event wake;
+    async::Event wake;
     std::map<uint64_t, std::shared_ptr<Pending>> pending;
   };
 
-  rt::Task<> DialLoop(Peer* peer);
-  rt::Task<> ReadLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
-  rt::Task<> WriteLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
+  async::Task<> DialLoop(Peer* peer);
+  async::Task<> ReadLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
+  async::Task<> WriteLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
   // Takes in what came by the link that this node dialled; false: it can't be read.
   bool Take(Peer* peer, const std::string& payload);
   void OnStatus(Peer* peer, const wire::PeerStatus& status);
   // What a peer's message is answered with, as bytes to be written; nothing: it can't be read.
-  rt::Task<std::optional<std::string>> Answer(std::string payload);
+  async::Task<std::optional<std::string>> Answer(std::string payload);
   void SetLink(Peer* peer, bool up);
-  rt::Task<> AcceptLoop(Listener listener);
-  rt::Task<> Serve(Stream stream);
+  async::Task<> AcceptLoop(Listener listener);
+  async::Task<> Serve(Stream stream);
   bool Fresh(const Peer& peer) const;
   bool AnyFresh() const;
   double beat() const;
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const config::Settings& settings_;
   const Hooks hooks_;
   std::vector<std::unique_ptr<Peer>> peers_;
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -53,7 +53,7 @@
   if (fd_ >= 0) close(fd_);
 }
 
-rt::Task<bool> Stream::Read(rt::Scope& scope, std::string& out, double deadline, bool later) {
+async::Task<bool> Stream::Read(async::Scope& scope, std::string& out, double deadline, bool later) {
   // One for all of a thread's routines: nothing is kept in it while a routine waits. In the routine
   // itself it would make every idle connection as large. Loops of other threads have their own;
   // sharing one mixed up what two of them read at a time.
@@ -70,13 +70,13 @@
     later = false;
     double left = deadline - scope.loop().Now();
     if (left <= 0) co_return false;
-    rt::FdWait wait(scope, fd_.get(), EV_READ, left);
-    rt::Wake wake = co_await wait;
-    if (wake != rt::Wake::kReady) co_return false;
+    async::FdWait wait(scope, fd_.get(), EV_READ, left);
+    async::WaitResult wake = co_await wait;
+    if (wake != async::WaitResult::kReady) co_return false;
   }
 }
 
-rt::Task<bool> Stream::Write(rt::Scope& scope, std::string_view data, double deadline) {
+async::Task<bool> Stream::Write(async::Scope& scope, std::string_view data, double deadline) {
   while (!data.empty()) {
     ssize_t n = send(fd_.get(), data.data(), data.size(), MSG_NOSIGNAL);
     if (n > 0) {
@@ -86,9 +86,9 @@
     if (!WouldBlock(errno)) co_return false;
     double left = deadline - scope.loop().Now();
     if (left <= 0) co_return false;
-    rt::FdWait wait(scope, fd_.get(), EV_WRITE, left);
-    rt::Wake wake = co_await wait;
-    if (wake != rt::Wake::kReady) co_return false;
+    async::FdWait wait(scope, fd_.get(), EV_WRITE, left);
+    async::WaitResult wake = co_await wait;
+    if (wake != async::WaitResult::kReady) co_return false;
   }
   co_return true;
 }
@@ -102,11 +102,11 @@
   return n >= 0 || !WouldBlock(errno);
 }
 
-rt::Task<std::optional<Stream>> Stream::Connect(rt::Scope& scope, const sockaddr_in& to,
-                                                double deadline,
-                                                // Written to by way of `reason`.
-                                                // NOLINTNEXTLINE(readability-non-const-parameter)
-                                                int* error) {
+async::Task<std::optional<Stream>> Stream::Connect(
+    async::Scope& scope, const sockaddr_in& to, double deadline,
+    // Written to by way of `reason`.
+    // NOLINTNEXTLINE(readability-non-const-parameter)
+    int* error) {
   int ignored = 0;
   int& reason = error == nullptr ? ignored : *error;
   Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -119,9 +119,9 @@
     reason = errno;
     const double left = deadline - scope.loop().Now();
     if (reason != EINPROGRESS || left <= 0) co_return std::nullopt;
-    rt::FdWait wait(scope, fd.get(), EV_WRITE, left);
-    rt::Wake wake = co_await wait;
-    if (wake != rt::Wake::kReady) co_return std::nullopt;
+    async::FdWait wait(scope, fd.get(), EV_WRITE, left);
+    async::WaitResult wake = co_await wait;
+    if (wake != async::WaitResult::kReady) co_return std::nullopt;
     socklen_t size = sizeof(reason);
     if (getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &reason, &size) != 0 || reason != 0) {
       co_return std::nullopt;
@@ -142,7 +142,7 @@
   return Listener(std::move(fd));
 }
 
-rt::Task<std::optional<Stream>> Listener::Accept(rt::Scope& scope) {
+async::Task<std::optional<Stream>> Listener::Accept(async::Scope& scope) {
   while (true) {
     int fd = accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
@@ -150,9 +150,9 @@
       co_return Stream(Fd(fd));
     }
     if (!WouldBlock(errno)) co_return std::nullopt;
-    rt::FdWait wait(scope, fd_.get(), EV_READ, -1);
-    rt::Wake wake = co_await wait;
-    if (wake != rt::Wake::kReady) co_return std::nullopt;
+    async::FdWait wait(scope, fd_.get(), EV_READ, -1);
+    async::WaitResult wake = co_await wait;
+    if (wake != async::WaitResult::kReady) co_return std::nullopt;
   }
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "rt/loop.h"
+#include "async/event_loop.h"
 
 namespace hallpier::net {
 
@@ -37,8 +37,9 @@
   // Appends what there is to `out`. False at the end of the stream, on errors, at the deadline
   // (steady seconds) or when the scope is cancelled.
   // `later`: nothing is expected to be there yet, so that a try at once would be in vain.
-  rt::Task<bool> Read(rt::Scope& scope, std::string& out, double deadline, bool later = false);
-  rt::Task<bool> Write(rt::Scope& scope, std::string_view data, double deadline);
+  async::Task<bool> Read(async::Scope& scope, std::string& out, double deadline,
+                         bool later = false);
+  async::Task<bool> Write(async::Scope& scope, std::string_view data, double deadline);
   // Ends it in both directions; who waits in Read() is told at once.
   void Shutdown();
   // True if the peer has closed it and all that it sent has been read.
@@ -47,8 +48,8 @@
   bool Stale() const;
 
   // `error`, if given, gets the reason where the other side or the system names one.
-  static rt::Task<std::optional<Stream>> Connect(rt::Scope& scope, const sockaddr_in& to,
-                                                 double deadline, int* error = nullptr);
+  static async::Task<std::optional<Stream>> Connect(async::Scope& scope, const sockaddr_in& to,
+                                                    double deadline, int* error = nullptr);
 
  private:
   Fd fd_;
@@ -58,7 +59,7 @@
  public:
   static std::optional<Listener> Open(const sockaddr_in& at, std::string* error);
   // Nothing when the scope is cancelled or the process is out of sockets just now.
-  rt::Task<std::optional<Stream>> Accept(rt::Scope& scope);
+  async::Task<std::optional<Stream>> Accept(async::Scope& scope);
 
  private:
   explicit Listener(Fd fd) : fd_(std::move(fd)) {}
--- a/src/plan/demand.cc
+++ b/src/plan/demand.cc
@@ -12,7 +12,7 @@
 // Tasks that need next to nothing still take a slot each.
 constexpr double kMostPerMachine = 1e6;
 
-double TasksPerMachine(const wire::JobSpec& spec, const wire::Flavor& type) {
+double TasksPerMachine(const model::JobSpec& spec, const model::MachineType& type) {
   constexpr double kRounding = 1e-9;
   double fit = kMostPerMachine;
   if (spec.cpus > 0) fit = std::min(fit, std::floor(type.cpus / spec.cpus + kRounding));
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-std::optional<Want> WantFor(const wire::JobSpec& spec, size_t tasks,
-                            const std::vector<wire::Flavor>& types) {
+std::optional<CapacityDemand> DemandFor(const model::JobSpec& spec, size_t tasks,
+                                        const std::vector<model::MachineType>& types) {
   const Room need{spec.cpus, spec.gpus, spec.memory_gb};
-  std::vector<std::pair<double, Want::Choice>> choices;
-  for (const wire::Flavor& type : types) {
+  std::vector<std::pair<double, CapacityDemand::Choice>> choices;
+  for (const model::MachineType& type : types) {
     const Room capacity{type.cpus, type.gpus, type.memory_gb};
-    if (!spec.AllowsFlavor(type.name) || !capacity.Fits(need)) continue;
+    if (!spec.AllowsMachineType(type.name) || !capacity.Fits(need)) continue;
     const double fit = TasksPerMachine(spec, type);
     const double price = (spec.spot ? type.spot_price : type.price) / fit;
     choices.push_back({price, {type.name, static_cast<size_t>(fit)}});
@@ -39,12 +39,12 @@
   if (choices.empty()) return std::nullopt;
   std::sort(choices.begin(), choices.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  Want want;
-  for (auto& [price, choice] : choices) want.choices.push_back(std::move(choice));
-  want.zone = spec.zone;
-  want.spot = spec.spot;
-  want.tasks = tasks;
-  return want;
+  CapacityDemand demand;
+  for (auto& [price, choice] : choices) demand.choices.push_back(std::move(choice));
+  demand.zone = spec.zone;
+  demand.spot = spec.spot;
+  demand.tasks = tasks;
+  return demand;
 }
 
 double MissingShare(double work_s, double cpus, double time_s) {
--- a/src/plan/demand.h
+++ b/src/plan/demand.h
@@ -5,14 +5,15 @@
 #include <optional>
 #include <vector>
 
+#include "model/job.h"
+#include "model/machine_type.h"
 #include "plan/round.h"
-#include "wire/messages.h"
 
 namespace hallpier::plan {
 
 // Machines that could take tasks of the job, cheapest per task first; nothing if no type can.
-std::optional<Want> WantFor(const wire::JobSpec& spec, size_t tasks,
-                            const std::vector<wire::Flavor>& types);
+std::optional<CapacityDemand> DemandFor(const model::JobSpec& spec, size_t tasks,
+                                        const std::vector<model::MachineType>& types);
 
 // The part of `work_s` processor seconds that `cpus` processors can't do in `time_s`; 0 if they
 // can.
--- a/src/plan/duplex.cc
+++ b/src/plan/duplex.cc
@@ -161,7 +161,7 @@
 
 }  // namespace
 
-Map MapTier(Order order, const std::vector<TaskClass>& classes, std::vector<Slots>& machines,
+Map MapTier(MappingOrder order, const std::vector<TaskClass>& classes, std::vector<Slots>& machines,
             size_t limit, std::vector<Touched>* touched) {
   std::vector<ClassState> states;
   states.reserve(classes.size());
@@ -174,8 +174,8 @@
     for (size_t c = 0; c < states.size(); ++c) {
       const Candidate* b = states[c].best();
       if (b == nullptr) continue;
-      if (best == nullptr || (order == Order::kMinMin ? b->completion < best->completion
-                                                      : b->completion > best->completion)) {
+      if (best == nullptr || (order == MappingOrder::kMinMin ? b->completion < best->completion
+                                                             : b->completion > best->completion)) {
         best = b;
         chosen = c;
       }
@@ -203,13 +203,13 @@
 
 Map Duplex(const std::vector<TaskClass>& classes, std::vector<Slots>& machines, size_t limit) {
   // Tasks that are all alike leave nothing to order.
-  if (classes.size() == 1) return MapTier(Order::kMinMin, classes, machines, limit);
+  if (classes.size() == 1) return MapTier(MappingOrder::kMinMin, classes, machines, limit);
   std::vector<Touched> undo;
-  Map min_min = MapTier(Order::kMinMin, classes, machines, limit, &undo);
+  Map min_min = MapTier(MappingOrder::kMinMin, classes, machines, limit, &undo);
   // From here on `undo` holds how min-min leaves the machines.
   for (Touched& t : undo) std::swap(machines[t.machine].timeline, t.before);
   std::vector<Touched> undo_max;
-  Map min_max = MapTier(Order::kMinMax, classes, machines, limit, &undo_max);
+  Map min_max = MapTier(MappingOrder::kMinMax, classes, machines, limit, &undo_max);
   // A map that serves more tasks is better however much they add to the sum.
   const bool more = min_max.assignments.size() > min_min.assignments.size();
   const bool same = min_max.assignments.size() == min_min.assignments.size();
--- a/src/plan/duplex.h
+++ b/src/plan/duplex.h
@@ -68,7 +68,7 @@
   double cost = 0;  // summed run times and delays
 };
 
-enum class Order { kMinMin, kMinMax };
+enum class MappingOrder { kMinMin, kMinMax };
 
 // A machine's timeline as it was before a map changed it.
 struct Touched {
@@ -78,7 +78,7 @@
 
 // Maps at most `limit` tasks; what does not fit anywhere stays out. `touched`, if given, gets what
 // is needed to undo the map.
-Map MapTier(Order order, const std::vector<TaskClass>& classes, std::vector<Slots>& machines,
+Map MapTier(MappingOrder order, const std::vector<TaskClass>& classes, std::vector<Slots>& machines,
             size_t limit, std::vector<Touched>* touched = nullptr);
 // Both orders; `machines` is left as the better map has it.
 Map Duplex(const std::vector<TaskClass>& classes, std::vector<Slots>& machines, size_t limit);
--- a/src/plan/job_order.cc
+++ b/src/plan/job_order.cc
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "model/job.h"
+#include "model/machine_type.h"
+
 namespace hallpier::plan {
 namespace {
 
@@ -17,8 +20,8 @@
 }  // namespace
 
 double BootTime(const Context& context) {
-  double boot = context.settings->report_s;
-  for (const wire::Flavor& type : context.flavors) boot = std::max(boot, type.ready_s);
+  double boot = context.settings->heartbeat_interval_s;
+  for (const model::MachineType& type : context.machine_types) boot = std::max(boot, type.boot_s);
   return boot;
 }
 
@@ -27,8 +30,8 @@
 // a swarm of another team's urgent work could keep a team from what it is owed.
 int JobOrder::Tier(const jobs::Job& job, bool within) const {
   int priority = static_cast<int>(job.priority);
-  const bool urgent = job.priority <= wire::Priority::kUrgent;
-  if (job.priority == wire::Priority::kBestEffort && Pressing(job)) --priority;
+  const bool urgent = job.priority <= model::Priority::kUrgent;
+  if (job.priority == model::Priority::kBestEffort && Pressing(job)) --priority;
   if (within && urgent) return priority;
   if (Overdue(job, within)) return kOverdueTier;
   return kFirstOrdinaryTier + 2 * priority + (within ? 0 : 1);
@@ -39,7 +42,7 @@
 int JobOrder::Band(const jobs::Job& job) const {
   const double run = job.MeanRun().value_or(job.spec.estimate_s);
   const double left = static_cast<double>(job.spec.tasks - job.done()) * run * job.spec.cpus;
-  const double unit = kBandReports * context_.settings->report_s;
+  const double unit = kBandReports * context_.settings->heartbeat_interval_s;
   int band = std::clamp(static_cast<int>(std::log2(left / unit + 1) / 2), 0, kBands / 2 - 1);
   const double age = wall_now_ - job.since;
   // A job class may have several aims: the nearest that can still be met counts.
--- a/src/plan/job_order.h
+++ b/src/plan/job_order.h
@@ -2,7 +2,7 @@
 // what is left of a job and whether it can still make its aim. Pure.
 #pragma once
 
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
 #include "plan/round.h"
 
 namespace hallpier::plan {
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -26,12 +26,12 @@
 // What a stop takes beyond saving, as a part of the reaction time.
 constexpr double kStopReactions = 1.0 / 3;
 
-Room NeedOf(const wire::JobSpec& s) { return {s.cpus, s.gpus, s.memory_gb}; }
+Room NeedOf(const model::JobSpec& s) { return {s.cpus, s.gpus, s.memory_gb}; }
 
-bool Allowed(const wire::JobSpec& s, const fleet::Machine& m) {
+bool Allowed(const model::JobSpec& s, const fleet::Machine& m) {
   if (m.spot && !s.spot) return false;
   if (!s.zone.empty() && s.zone != m.zone) return false;
-  return s.AllowsFlavor(m.flavor);
+  return s.AllowsMachineType(m.machine_type);
 }
 
 // Room is kept for this many jobs of a latency-sensitive job class, of usual size, within the
@@ -67,11 +67,11 @@
 
 class Round {
  public:
-  Round(Context& context, const jobs::Ledger& ledger, const fleet::Roster& roster, double now,
-        double wall_now, const Scope* scope)
+  Round(Context& context, const jobs::JobTable& job_table, const fleet::WorkerRegistry& registry,
+        double now, double wall_now, const Scope* scope)
       : context_(context),
-        ledger_(ledger),
-        roster_(roster),
+        job_table_(job_table),
+        registry_(registry),
         now_(now),
         wall_now_(wall_now),
         scope_(scope),
@@ -89,7 +89,7 @@
     for (size_t i = 0; i < waiters_.size() && left > 0;) {
       size_t j = i;
       while (j < waiters_.size() && waiters_[j].tier == waiters_[i].tier) ++j;
-      if (!reserved && waiters_[i].job->priority > wire::Priority::kUrgent) {
+      if (!reserved && waiters_[i].job->priority > model::Priority::kUrgent) {
         ReserveForLatencySensitive();
         reserved = true;
       }
@@ -114,7 +114,7 @@
   }
 
   void SortJobs() {
-    for (const auto& [id, job] : ledger_.all()) jobs_.push_back(&job);
+    for (const auto& [id, job] : job_table_.all()) jobs_.push_back(&job);
     std::sort(jobs_.begin(), jobs_.end(), [](const jobs::Job* a, const jobs::Job* b) {
       return std::tie(a->since, a->spec.id) < std::tie(b->since, b->spec.id);
     });
@@ -123,12 +123,12 @@
   // Machines that are about to be taken: what can't end in time saves, if it can, or starts anew
   // elsewhere now rather than after its machine is found to be gone.
   void LeaveNoticed() {
-    for (const auto& [name, m] : roster_.all()) {
-      if (!m.noticed()) continue;
+    for (const auto& [name, m] : registry_.all()) {
+      if (!m.HasSpotNotice()) continue;
       const double left = m.reclaim_at - now_;
-      for (const auto& [task, attempt] : ledger_.On(name)) {
-        const jobs::Job* job = ledger_.Find(task.job);
-        if (job == nullptr || roster_.Stopping(task, attempt)) continue;
+      for (const auto& [task, attempt] : job_table_.On(name)) {
+        const jobs::Job* job = job_table_.Find(task.job);
+        if (job == nullptr || registry_.Stopping(task, attempt)) continue;
         if (Remaining(*job, m, task, attempt) < left - kStopReactions * Reaction()) continue;
         const bool saves = job->spec.checkpoint_every_s > 0 && job->spec.checkpoint_s < left;
         result_.preemptions.push_back(
@@ -142,60 +142,61 @@
   }
 
   // Seconds until a placed task frees its room.
-  double Remaining(const jobs::Job& job, const fleet::Machine& m, const wire::TaskId& task,
+  double Remaining(const jobs::Job& job, const fleet::Machine& m, const model::TaskId& task,
                    uint64_t attempt) const {
-    const double run = PredictRun(job, m.flavor);
-    auto held = m.held.find(task);
-    if (roster_.Stopping(task, attempt)) {
+    const double run = PredictRun(job, m.machine_type);
+    auto reported = m.reported_tasks.find(task);
+    if (registry_.Stopping(task, attempt)) {
       return job.spec.checkpoint_s + kStopReactions * Reaction();
     }
-    if (held == m.held.end() || held->second.attempt != attempt ||
-        held->second.state != wire::TaskPhase::kRunning) {
+    if (reported == m.reported_tasks.end() || reported->second.attempt != attempt ||
+        reported->second.state != model::TaskPhase::kRunning) {
       return run;
     }
-    return std::max(run - (now_ - held->second.since), kOverdue * run);
+    return std::max(run - (now_ - reported->second.since), kOverdue * run);
   }
 
   void BuildMachines() {
-    for (const auto& [name, m] : roster_.all()) {
-      const wire::Flavor* f = context_.FindFlavor(m.flavor);
+    for (const auto& [name, m] : registry_.all()) {
+      const model::MachineType* f = context_.FindMachineType(m.machine_type);
       size_t holder = 0;
       if (f == nullptr || !InScope(name, &holder)) continue;
       const Room capacity{f->cpus, f->gpus, f->memory_gb};
-      const bool usable = roster_.Usable(m, now_);
-      const bool coming = !m.reported() && m.booting && !m.returning && !roster_.Late(m, *f, now_);
+      const bool usable = registry_.Usable(m, now_);
+      const bool coming =
+          !m.has_reported() && m.booting && !m.returning && !registry_.Late(m, *f, now_);
       if (!usable && !coming) continue;
       total_cpus_ += f->cpus;
       Room free = usable ? capacity : Room{};
       std::vector<std::pair<double, Room>> releases;
       if (coming) {
-        const double boot = roster_.boot_times().Expected(m.flavor, f->ready_s);
-        const double ready = m.rented_at + boot - now_;
-        releases.emplace_back(std::max(ready, context_.settings->report_s), capacity);
+        const double boot = registry_.boot_times().Expected(m.machine_type, f->boot_s);
+        const double ready = m.requested_at + boot - now_;
+        releases.emplace_back(std::max(ready, context_.settings->heartbeat_interval_s), capacity);
       }
-      const auto& placements = ledger_.On(name);
+      const auto& placements = job_table_.On(name);
       for (const auto& [task, attempt] : placements) {
-        const jobs::Job* job = ledger_.Find(task.job);
+        const jobs::Job* job = job_table_.Find(task.job);
         if (job == nullptr) continue;
         const Room need = NeedOf(job->spec);
-        if (auto held = m.held.find(task); held != m.held.end() &&
-                                           held->second.attempt == attempt &&
-                                           held->second.state == wire::TaskPhase::kExited) {
+        if (auto reported = m.reported_tasks.find(task);
+            reported != m.reported_tasks.end() && reported->second.attempt == attempt &&
+            reported->second.state == model::TaskPhase::kExited) {
           // Over, whether that is recorded yet or not: its room on the machine is free at once. Its
           // part of the team's limit is only if it is done: whoever leads next finds the attempt
           // recorded, and starts it again if the machine has lost its lease by then.
-          const bool done =
-              held->second.cause == wire::Cause::kDone && job->spec.shape != wire::Shape::kService;
+          const bool done = reported->second.cause == model::ExitCause::kDone &&
+                            job->spec.kind != model::JobKind::kService;
           if (done) ended_[job->spec.team] += need;
           continue;
         }
         free -= need;
         releases.emplace_back(Remaining(*job, m, task, attempt), need);
       }
-      for (const auto& [task, held] : m.held) {
+      for (const auto& [task, reported] : m.reported_tasks) {
         // What runs there without being recorded there is being stopped.
-        if (placements.contains(task) || held.state == wire::TaskPhase::kExited) continue;
-        const jobs::Job* job = ledger_.Find(task.job);
+        if (placements.contains(task) || reported.state == model::TaskPhase::kExited) continue;
+        const jobs::Job* job = job_table_.Find(task.job);
         if (job == nullptr) continue;
         free -= NeedOf(job->spec);
         releases.emplace_back(Reaction(), NeedOf(job->spec));
@@ -203,7 +204,7 @@
       Slots slots{Timeline(free), ZoneIndex(m.zone)};
       for (const auto& [time, room] : releases) slots.timeline.Release(time, room);
       machines_.push_back(&m);
-      flavors_.push_back(f);
+      machine_types_.push_back(f);
       holders_.push_back(holder);
       slots_.push_back(std::move(slots));
     }
@@ -247,7 +248,7 @@
     std::map<std::string, TeamState> teams = OfOneHolder() ? TeamsByShares() : TeamsByLimits();
     for (const jobs::Job* job : jobs_) {
       // Who waits for other jobs holds no part of a guarantee, and makes nobody rent.
-      if (job->cancelled || job->held) continue;
+      if (job->cancelled || job->blocked) continue;
       TeamState& s = teams[job->spec.team];
       const config::Team* team = context_.settings->FindTeam(job->spec.team);
       const double unfinished = job->spec.tasks - job->done();
@@ -261,7 +262,7 @@
       tiers_[job] = tier;
       if (job->waiting() == 0 || !MayPlaceHere(*job)) continue;
       Waiter w{job, within, tier * kBands + order_.Band(*job), job->waiting()};
-      if (roster_.failures().Suspected(job->spec.id)) {
+      if (registry_.failures().Suspected(job->spec.id)) {
         // Within a tier last of all: nobody else waits for what most likely fails again.
         w.retry = true;
         w.tier = tier * kBands + kBands - 1;
@@ -276,7 +277,7 @@
                      [](const Waiter& a, const Waiter& b) { return a.tier < b.tier; });
     // Tasks over their team's limit stay out.
     for (Waiter& w : waiters_) {
-      const wire::JobSpec& spec = w.job->spec;
+      const model::JobSpec& spec = w.job->spec;
       TeamState& s = teams[spec.team];
       auto fit = [&](double left, double need) {
         return need <= 0 || left == std::numeric_limits<double>::infinity()
@@ -315,8 +316,8 @@
   // One task of a job that fails everywhere may be started at a time, within what the retries of
   // all such jobs may take together.
   bool MayRetry(const jobs::Job& job) {
-    if (!roster_.failures().RetryDue(job.spec.id, now_)) return false;
-    if (retries_ >= roster_.failures().RetryBudget(now_)) return false;
+    if (!registry_.failures().RetryDue(job.spec.id, now_)) return false;
+    if (retries_ >= registry_.failures().RetryBudget(now_)) return false;
     const double most = kRetryShare * total_cpus_;
     const double in_use = suspected_cpus_ + static_cast<double>(job.placed()) * job.spec.cpus;
     if (in_use > 0 && in_use + job.spec.cpus > most) return false;
@@ -328,10 +329,10 @@
   double Reaction() const { return config::ReactionS(*context_.settings, *context_.operators); }
 
   void LearnLatencySensitive(const jobs::Job& job) {
-    if (job.spec.priority > wire::Priority::kUrgent) return;
+    if (job.spec.priority > model::Priority::kUrgent) return;
     for (const config::Objective& o : context_.settings->objectives) {
       if (o.kind == "wait" && o.job_class == job.spec.job_class &&
-          o.within_s <= kLatencySensitiveReports * context_.settings->report_s) {
+          o.within_s <= kLatencySensitiveReports * context_.settings->heartbeat_interval_s) {
         auto [job_class, fresh] = context_.latency_sensitive.try_emplace(job.spec.job_class);
         const double tasks = job.spec.tasks;
         job_class->second.need = NeedOf(job.spec);
@@ -351,12 +352,12 @@
       tc.count = static_cast<size_t>(std::ceil(std::min(most, kReserveJobs * job_class.tasks)));
       constexpr double kLong = 1e6;
       tc.run_s.assign(machines_.size(), kLong);
-      MapTier(Order::kMinMin, {tc}, slots_, tc.count);
+      MapTier(MappingOrder::kMinMin, {tc}, slots_, tc.count);
     }
   }
 
   // True if a job has failed on every machine that could take it.
-  bool AllFailed(const wire::JobSpec& spec, const std::set<std::string>& failed) const {
+  bool AllFailed(const model::JobSpec& spec, const std::set<std::string>& failed) const {
     return std::all_of(machines_.begin(), machines_.end(), [&](const fleet::Machine* m) {
       return !Allowed(spec, *m) || failed.contains(m->name);
     });
@@ -376,10 +377,10 @@
   // lacks it; negative where the task may not run. `failed`: machines that it failed on; null:
   // none.
   std::vector<double> RunTimes(const jobs::Job& job, const std::set<std::string>* failed) const {
-    const wire::JobSpec& spec = job.spec;
-    std::map<const wire::Flavor*, double> runs;
-    for (const wire::Flavor& f : context_.flavors) runs[&f] = PredictRun(job, f.name);
-    const auto image = roster_.ImageId(spec.image);
+    const model::JobSpec& spec = job.spec;
+    std::map<const model::MachineType*, double> runs;
+    for (const model::MachineType& f : context_.machine_types) runs[&f] = PredictRun(job, f.name);
+    const auto image = registry_.ImageId(spec.image);
     const std::vector<char> open = HoldersOpenTo(job);
     std::vector<double> times;
     times.reserve(machines_.size());
@@ -390,38 +391,38 @@
         times.push_back(-1);
         continue;
       }
-      const double rate = flavors_[i]->fetch_gb_per_s;
+      const double rate = machine_types_[i]->fetch_gb_per_s;
       const bool there = image && *image < m.images.size() && m.images[*image];
       const double fetch = there || rate <= 0 ? 0 : spec.image_gb / rate;
-      times.push_back(runs[flavors_[i]] + fetch);
+      times.push_back(runs[machine_types_[i]] + fetch);
     }
     return times;
   }
 
   TaskClass ClassOf(const Waiter& w) {
-    const wire::JobSpec& spec = w.job->spec;
+    const model::JobSpec& spec = w.job->spec;
     TaskClass tc;
     tc.need = NeedOf(spec);
     tc.count = w.count;
     // Whole machines stay free for large tasks; what is urgent starts faster where little else
     // does.
-    tc.pack = w.job->priority > wire::Priority::kUrgent;
+    tc.pack = w.job->priority > model::Priority::kUrgent;
     tc.one_zone = spec.one_zone;
-    const std::set<std::string>* failed = roster_.failures().FailedOn(spec.id);
+    const std::set<std::string>* failed = registry_.failures().FailedOn(spec.id);
     if (failed != nullptr && AllFailed(spec, *failed)) {
       // There is no machine that it has not failed on: it is retried there, but not at once.
       failed = nullptr;
-      if (!w.retry) tc.count = roster_.failures().RetryDue(spec.id, now_) ? 1 : 0;
+      if (!w.retry) tc.count = registry_.failures().RetryDue(spec.id, now_) ? 1 : 0;
     }
     tc.run_s = RunTimes(*w.job, failed);
     if (!spec.one_zone && !spec.spread) return tc;
     std::map<std::string, size_t> by_zone;
     bool unclear = false;
-    for (const auto& [number, shard] : w.job->shards()) {
-      for (const auto& [index, task] : shard.open) {
+    for (const auto& [number, task_group] : w.job->task_groups()) {
+      for (const auto& [index, task] : task_group.open) {
         if (task.machine.empty()) continue;
-        auto m = roster_.all().find(task.machine);
-        if (m == roster_.all().end()) {
+        auto m = registry_.all().find(task.machine);
+        if (m == registry_.all().end()) {
           unclear = true;
         } else {
           ++by_zone[m->second.zone];
@@ -457,18 +458,19 @@
         result_.planned[holders_[a.machine]][w.job->spec.team] += NeedOf(w.job->spec);
       }
       if (a.start > kNow) {
-        const bool coming = !machines_[a.machine]->reported();
-        if (coming || a.start < kWorthRenting * flavors_[a.machine]->ready_s) ++later[a.task_class];
+        const bool coming = !machines_[a.machine]->has_reported();
+        if (coming || a.start < kWorthRenting * machine_types_[a.machine]->boot_s)
+          ++later[a.task_class];
         laters[a.task_class].push_back({a.start, a.start + a.run_s});
         continue;
       }
       auto& list = numbers[a.task_class];
       // Never more than the map holds: a job may have 100,000 tasks waiting.
-      if (list.empty()) list = ledger_.Waiting(*w.job, map.assignments.size());
-      jobs::Mutation m;
-      m.kind = jobs::Mutation::Kind::kPlace;
+      if (list.empty()) list = job_table_.Waiting(*w.job, map.assignments.size());
+      jobs::TaskTransition m;
+      m.kind = jobs::TaskTransition::Kind::kPlace;
       m.task = {w.job->spec.id, list.at(started[a.task_class]++)};
-      m.attempt = ledger_.NextAttempt(*w.job, m.task.index);
+      m.attempt = job_table_.NextAttempt(*w.job, m.task.index);
       m.machine = machines_[a.machine]->name;
       if (Retried(w, m.machine)) result_.retried_jobs.push_back(w.job->spec.id);
       result_.places.push_back(std::move(m));
@@ -487,13 +489,13 @@
 
   // True if a placement is a retry that the next ones are to be spaced from.
   bool Retried(const Waiter& w, const std::string& machine) const {
-    const std::set<std::string>* failed = roster_.failures().FailedOn(w.job->spec.id);
+    const std::set<std::string>* failed = registry_.failures().FailedOn(w.job->spec.id);
     return w.retry || (failed != nullptr && failed->contains(machine));
   }
 
   void AddWant(const Waiter& w, size_t tasks) {
-    auto want = WantFor(w.job->spec, tasks, context_.flavors);
-    if (want) result_.wants.push_back(std::move(*want));
+    auto demand = DemandFor(w.job->spec, tasks, context_.machine_types);
+    if (demand) result_.demands.push_back(std::move(*demand));
   }
 
   // Machines for what no round could look at yet: as many as would be through with it by the time
@@ -501,7 +503,7 @@
   void WantForRest(size_t begin) {
     double work = 0;
     for (size_t i = begin; i < waiters_.size(); ++i) {
-      const wire::JobSpec& spec = waiters_[i].job->spec;
+      const model::JobSpec& spec = waiters_[i].job->spec;
       const double run = waiters_[i].job->MeanRun().value_or(spec.estimate_s);
       work += static_cast<double>(waiters_[i].count) * run * spec.cpus;
     }
@@ -515,7 +517,7 @@
 
   // What runs on a machine and could be stopped for somebody.
   struct Victim {
-    wire::TaskId task;
+    model::TaskId task;
     uint64_t attempt = 0;
     const jobs::Job* job = nullptr;
     int tier = 0;
@@ -535,21 +537,24 @@
 
   void FindVictims(size_t i) {
     const fleet::Machine& m = *machines_[i];
-    if (!roster_.Usable(m, now_)) return;
-    for (const auto& [task, attempt] : ledger_.On(m.name)) {
-      const jobs::Job* job = ledger_.Find(task.job);
-      auto held = m.held.find(task);
-      if (job == nullptr || held == m.held.end() || held->second.attempt != attempt ||
-          held->second.state != wire::TaskPhase::kRunning || roster_.Stopping(task, attempt)) {
+    if (!registry_.Usable(m, now_)) return;
+    for (const auto& [task, attempt] : job_table_.On(m.name)) {
+      const jobs::Job* job = job_table_.Find(task.job);
+      auto reported = m.reported_tasks.find(task);
+      if (job == nullptr || reported == m.reported_tasks.end() ||
+          reported->second.attempt != attempt ||
+          reported->second.state != model::TaskPhase::kRunning ||
+          registry_.Stopping(task, attempt)) {
         continue;
       }
       auto tier = tiers_.find(job);
       const int rank = tier == tiers_.end() ? std::numeric_limits<int>::max() : tier->second;
       // A new leader has not seen it start: it may have run for most of its time by then. Were it
       // taken for new, a takeover under load would stop what has run longest.
-      const double unseen = held->second.seen_start ? 0 : kUnseenRun * PredictRun(*job, m.flavor);
+      const double unseen =
+          reported->second.seen_start ? 0 : kUnseenRun * PredictRun(*job, m.machine_type);
       victims_[i].push_back(
-          {task, attempt, job, rank, unseen + now_ - held->second.since, NeedOf(job->spec)});
+          {task, attempt, job, rank, unseen + now_ - reported->second.since, NeedOf(job->spec)});
     }
   }
 
@@ -563,16 +568,16 @@
 
   // Work that would be lost, in seconds.
   double Loss(const Victim& v, double grace) const {
-    const wire::JobSpec& spec = v.job->spec;
+    const model::JobSpec& spec = v.job->spec;
     if (spec.checkpoint_every_s <= 0) return v.ran_s;
     return grace > 0 ? spec.checkpoint_s : std::fmod(v.ran_s, spec.checkpoint_every_s);
   }
 
   // How long a task may still wait before others are stopped for it.
   double Patience(const Waiter& w) const {
-    const wire::JobSpec& spec = w.job->spec;
+    const model::JobSpec& spec = w.job->spec;
     const double soon = Reaction();
-    if (w.job->priority > wire::Priority::kUrgent) return BootTime(context_);
+    if (w.job->priority > model::Priority::kUrgent) return BootTime(context_);
     const config::Objective* o = context_.settings->FindObjective("wait", spec.job_class);
     if (o == nullptr) return 2 * soon;
     return std::max(soon, o->within_s - std::max(0.0, wall_now_ - w.job->since) - soon);
@@ -622,7 +627,7 @@
   // for the class, and again only after it has given something up.
   void Preempt(const Waiter& w, const TaskClass& tc, std::vector<Later> laters) {
     // Only who comes first in the order keeps the room that is made.
-    if (w.job->priority > wire::Priority::kUrgent && !order_.Overdue(*w.job, w.guaranteed)) return;
+    if (w.job->priority > model::Priority::kUrgent && !order_.Overdue(*w.job, w.guaranteed)) return;
     const double patience = Patience(w);
     std::erase_if(laters, [&](const Later& l) { return l.start <= patience; });
     if (laters.empty()) return;
@@ -667,8 +672,8 @@
   }
 
   Context& context_;
-  const jobs::Ledger& ledger_;
-  const fleet::Roster& roster_;
+  const jobs::JobTable& job_table_;
+  const fleet::WorkerRegistry& registry_;
   const double now_;
   const double wall_now_;
   const Scope* const scope_;  // null: all machines
@@ -678,8 +683,8 @@
   std::vector<Waiter> waiters_;
   std::map<std::string, size_t> zones_;
   std::vector<const fleet::Machine*> machines_;
-  std::vector<const wire::Flavor*> flavors_;  // of machines_
-  std::vector<size_t> holders_;               // of machines_; with a scope
+  std::vector<const model::MachineType*> machine_types_;  // of machines_
+  std::vector<size_t> holders_;                           // of machines_; with a scope
   std::vector<Slots> slots_;
   std::unordered_map<const jobs::Job*, int> tiers_;
   std::vector<std::vector<Victim>> victims_;  // by machine; empty until somebody asks
@@ -694,33 +699,34 @@
 
 }  // namespace
 
-const wire::Flavor* Context::FindFlavor(const std::string& name) const {
-  return wire::FindFlavor(flavors, name);
+const model::MachineType* Context::FindMachineType(const std::string& name) const {
+  return model::FindMachineType(machine_types, name);
 }
 
 size_t OldestTasks(const config::Settings& settings) {
   constexpr size_t kLeast = 500;
-  return std::max(kLeast, store::TasksPerShard(settings.value_kb) *
+  return std::max(kLeast, store::TasksPerGroup(settings.value_kb) *
                               static_cast<size_t>(std::max(settings.txn_ops, 1)));
 }
 
-double PredictRun(const jobs::Job& job, const std::string& flavor) {
+double PredictRun(const jobs::Job& job, const std::string& machine_type) {
   constexpr double kUntilCancelled = 1e5;
-  if (job.spec.shape == wire::Shape::kService) return kUntilCancelled;
-  if (auto mean = job.MeanRun(flavor)) return *mean;
+  if (job.spec.kind == model::JobKind::kService) return kUntilCancelled;
+  if (auto mean = job.MeanRun(machine_type)) return *mean;
   if (auto mean = job.MeanRun()) return *mean;
   return job.spec.estimate_s;
 }
 
-RoundResult PlanRound(Context& context, const jobs::Ledger& ledger, const fleet::Roster& roster,
-                      double now, double wall_now, const Scope* scope) {
-  return Round(context, ledger, roster, now, wall_now, scope).Run();
+RoundResult PlanRound(Context& context, const jobs::JobTable& job_table,
+                      const fleet::WorkerRegistry& registry, double now, double wall_now,
+                      const Scope* scope) {
+  return Round(context, job_table, registry, now, wall_now, scope).Run();
 }
 
-bool CouldRun(const wire::JobSpec& spec, const fleet::Machine& machine,
-              const wire::Flavor& flavor) {
+bool CouldRun(const model::JobSpec& spec, const fleet::Machine& machine,
+              const model::MachineType& machine_type) {
   return Allowed(spec, machine) &&
-         Room{flavor.cpus, flavor.gpus, flavor.memory_gb}.Fits(NeedOf(spec));
+         Room{machine_type.cpus, machine_type.gpus, machine_type.memory_gb}.Fits(NeedOf(spec));
 }
 
 }  // namespace hallpier::plan
--- a/src/plan/round.h
+++ b/src/plan/round.h
@@ -8,16 +8,19 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/roster.h"
-#include "jobs/ledger.h"
+#include "fleet/worker_registry.h"
+#include "jobs/job_table.h"
+#include "model/job.h"
+#include "model/machine_type.h"
+#include "model/task.h"
 #include "plan/duplex.h"
 
 namespace hallpier::plan {
 
 // Tasks that new machines would serve sooner than those that are there or about to be.
-struct Want {
+struct CapacityDemand {
   struct Choice {
-    std::string flavor;
+    std::string machine_type;
     size_t fit = 1;  // tasks that a machine of the type holds
   };
   std::vector<Choice> choices;  // cheapest per task first
@@ -27,7 +30,7 @@
 };
 
 struct Preemption {
-  wire::TaskId task;
+  model::TaskId task;
   uint64_t attempt = 0;
   std::string machine;
   double grace_s = 0;
@@ -48,9 +51,9 @@
 };
 
 struct RoundResult {
-  std::vector<jobs::Mutation> places;
+  std::vector<jobs::TaskTransition> places;
   std::vector<Preemption> preemptions;
-  std::vector<Want> wants;
+  std::vector<CapacityDemand> demands;
   // Jobs that fail everywhere and of which a task is started once more.
   std::vector<std::string> retried_jobs;
   size_t waiting = 0;
@@ -64,7 +67,7 @@
 struct Context {
   const config::Settings* settings = nullptr;
   const config::Operator* operators = nullptr;
-  std::vector<wire::Flavor> flavors;
+  std::vector<model::MachineType> machine_types;
   // Lanes whose aim is to start at once, with the room that a task takes and the usual size of a
   // job; learned from their jobs.
   struct LatencySensitiveClass {
@@ -73,7 +76,7 @@
   };
   std::map<std::string, LatencySensitiveClass> latency_sensitive;
 
-  const wire::Flavor* FindFlavor(const std::string& name) const;
+  const model::MachineType* FindMachineType(const std::string& name) const;
 };
 
 // Waiting tasks that a round looks at: what one transaction can record, and never less than 500.
@@ -81,14 +84,16 @@
 
 // `now` is steady, `wall_now` the time of day that submissions are stamped with.
 // `scope`: null where machines are not divided.
-RoundResult PlanRound(Context& context, const jobs::Ledger& ledger, const fleet::Roster& roster,
-                      double now, double wall_now, const Scope* scope = nullptr);
+RoundResult PlanRound(Context& context, const jobs::JobTable& job_table,
+                      const fleet::WorkerRegistry& registry, double now, double wall_now,
+                      const Scope* scope = nullptr);
 
 // True if a machine, were it empty, could run tasks of a job.
-bool CouldRun(const wire::JobSpec& spec, const fleet::Machine& machine, const wire::Flavor& flavor);
+bool CouldRun(const model::JobSpec& spec, const fleet::Machine& machine,
+              const model::MachineType& machine_type);
 
 // Expected run time of a job's task on a machine type: the learned mean there, else over all types,
 // else the owner's estimate.
-double PredictRun(const jobs::Job& job, const std::string& flavor);
+double PredictRun(const jobs::Job& job, const std::string& machine_type);
 
 }  // namespace hallpier::plan
--- a/src/quota/usage.cc
+++ b/src/quota/usage.cc
@@ -2,14 +2,14 @@
 
 namespace hallpier::quota {
 
-Amount TaskAmount(const wire::JobSpec& spec) { return {spec.cpus, spec.gpus}; }
+Amount TaskAmount(const model::JobSpec& spec) { return {spec.cpus, spec.gpus}; }
 
-AmountByTeam LeastTasks(const jobs::Ledger& ledger) {
+AmountByTeam LeastTasks(const jobs::JobTable& job_table) {
   AmountByTeam least;
   auto take = [](double need, double* smallest) {
     if (need > 0 && (*smallest <= 0 || need < *smallest)) *smallest = need;
   };
-  for (const auto& [id, job] : ledger.all()) {
+  for (const auto& [id, job] : job_table.all()) {
     if (job.cancelled) continue;
     Amount& team = least[job.spec.team];
     take(job.spec.cpus, &team.cpus);
@@ -18,14 +18,14 @@
   return least;
 }
 
-Usage CountPlaced(const jobs::Ledger& ledger, size_t holders, const HolderOf& holder_of) {
+Usage CountPlaced(const jobs::JobTable& job_table, size_t holders, const HolderOf& holder_of) {
   Usage usage;
   usage.by_holder.resize(holders);
-  for (const auto& [machine, placements] : ledger.by_machine()) {
+  for (const auto& [machine, placements] : job_table.by_machine()) {
     const std::optional<size_t> holder = holder_of(machine);
     AmountByTeam& there = holder ? usage.by_holder.at(*holder) : usage.outside;
     for (const auto& [task, attempt] : placements) {
-      const jobs::Job* job = ledger.Find(task.job);
+      const jobs::Job* job = job_table.Find(task.job);
       if (job != nullptr) there[job->spec.team] += TaskAmount(job->spec);
     }
   }
--- a/src/quota/usage.h
+++ b/src/quota/usage.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "jobs/ledger.h"
+#include "jobs/job_table.h"
+#include "model/job.h"
 #include "quota/share_record.h"
 
 namespace hallpier::quota {
@@ -22,12 +23,12 @@
 
 // Everything that is recorded as placed counts, ended or not: it may be alive until the records say
 // otherwise.
-Usage CountPlaced(const jobs::Ledger& ledger, size_t holders, const HolderOf& holder_of);
+Usage CountPlaced(const jobs::JobTable& job_table, size_t holders, const HolderOf& holder_of);
 
 // By team, the smallest amount of each kind that a task of an unfinished job takes.
-AmountByTeam LeastTasks(const jobs::Ledger& ledger);
+AmountByTeam LeastTasks(const jobs::JobTable& job_table);
 
 // What one task of a job takes of its team's limit.
-Amount TaskAmount(const wire::JobSpec& spec);
+Amount TaskAmount(const model::JobSpec& spec);
 
 }  // namespace hallpier::quota
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "wire/state_codec.h"
+
 namespace hallpier::store {
 namespace {
 
@@ -47,7 +49,7 @@
 
 }  // namespace
 
-Client::Client(rt::Scope& scope, Options options)
+Client::Client(async::Scope& scope, Options options)
     : scope_(scope),
       options_(std::move(options)),
       share_(kShareUsed / options_.size),
@@ -104,7 +106,7 @@
   }
 }
 
-rt::Task<std::optional<wire::HttpResponse>> Client::Direct(wire::HttpRequest request) {
+async::Task<std::optional<wire::HttpResponse>> Client::Direct(wire::HttpRequest request) {
   const double writes = request.target == "/txn" ? 1 : 0;
   const double wait = requests_.Take(scope_.loop().Now(), 1, Urgent::kNo, 0);
   const double w = writes_.Take(scope_.loop().Now(), writes, Urgent::kNo, 0);
@@ -116,9 +118,10 @@
   co_return r;
 }
 
-rt::Task<std::optional<wire::HttpResponse>> Client::Call(wire::HttpRequest request, double writes,
-                                                         Urgent urgent, double timeout_s,
-                                                         double patience_s, Route route) {
+async::Task<std::optional<wire::HttpResponse>> Client::Call(wire::HttpRequest request,
+                                                            double writes, Urgent urgent,
+                                                            double timeout_s, double patience_s,
+                                                            Route route) {
   const double max_wait_s = patience_s < 0 ? options_.timeout_s * kQueueRatio : patience_s;
   double wait = requests_.Take(scope_.loop().Now(), 1, urgent, max_wait_s);
   if (wait >= 0 && writes > 0) {
@@ -131,7 +134,7 @@
     co_return wire::HttpResponse{.status = 429, .body = {}};
   }
   if (wait > 0) {
-    rt::Sleep pause(scope_, wait);
+    async::Sleep pause(scope_, wait);
     co_await pause;
   }
   const bool repeatable = request.method == "GET";
@@ -163,24 +166,24 @@
   co_return r;
 }
 
-rt::Task<Result<wire::Entry>> Client::Get(std::string key, Urgent urgent) {
+async::Task<Result<model::KeyValue>> Client::Get(std::string key, Urgent urgent) {
   wire::HttpRequest q{.method = "GET", .target = "/store/" + key, .body = {}};
   auto r = co_await Call(std::move(q), 0, urgent, options_.timeout_s);
-  if (!r || r->status != 200) co_return Failed<wire::Entry>(r);
-  co_return Made(wire::ReadEntry(r->body));
+  if (!r || r->status != 200) co_return Failed<model::KeyValue>(r);
+  co_return Made(wire::ReadKeyValue(r->body));
 }
 
-rt::Task<Result<wire::EntryList>> Client::List(std::string prefix, std::string after) {
+async::Task<Result<model::KeyValueList>> Client::List(std::string prefix, std::string after) {
   std::string target = "/store?starts=" + wire::EscapeQuery(prefix) + "&limit=1000";
   if (!after.empty()) target += "&from=" + wire::EscapeQuery(after);
   wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = {}};
   // A full page takes a small machine longer to read than a single value does.
   auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s * 5);
-  if (!r || r->status != 200) co_return Failed<wire::EntryList>(r);
-  co_return Made(wire::ReadEntryList(r->body));
+  if (!r || r->status != 200) co_return Failed<model::KeyValueList>(r);
+  co_return Made(wire::ReadKeyValueList(r->body));
 }
 
-rt::Task<Result<uint64_t>> Client::Revision(double timeout_s) {
+async::Task<Result<uint64_t>> Client::Revision(double timeout_s) {
   wire::HttpRequest q{.method = "GET",
                       .target = "/store?starts=" + wire::EscapeQuery(kNothing) + "&limit=1",
                       .body = {}};
@@ -189,29 +192,30 @@
   co_return Made(wire::ReadRevision(r->body));
 }
 
-rt::Task<Result<Client::TxnOutcome>> Client::Txn(std::vector<wire::Guard> guards,
-                                                 std::vector<wire::Write> writes, Urgent urgent,
-                                                 double patience_s) {
-  wire::HttpRequest q{.method = "POST", .target = "/txn", .body = wire::WriteTxn(guards, writes)};
+async::Task<Result<Client::CommitResult>> Client::Commit(
+    std::vector<model::Precondition> preconditions, std::vector<model::KeyWrite> writes,
+    Urgent urgent, double patience_s) {
+  wire::HttpRequest q{
+      .method = "POST", .target = "/txn", .body = wire::WriteTransaction(preconditions, writes)};
   auto r = co_await Call(std::move(q), static_cast<double>(writes.size()), urgent,
                          options_.timeout_s, patience_s);
   if (r && r->status == 409) {
-    co_return Result<TxnOutcome>{Status::kConflict, {0, wire::ReadFailed(r->body)}};
+    co_return Result<CommitResult>{Status::kConflict, {0, wire::ReadFailedPreconditions(r->body)}};
   }
-  if (!r || r->status != 200) co_return Failed<TxnOutcome>(r);
+  if (!r || r->status != 200) co_return Failed<CommitResult>(r);
   auto revision = wire::ReadRevision(r->body);
-  if (!revision) co_return Result<TxnOutcome>{Status::kUnknown};
-  co_return Result<TxnOutcome>{Status::kOk, {*revision, {}}};
+  if (!revision) co_return Result<CommitResult>{Status::kUnknown};
+  co_return Result<CommitResult>{Status::kOk, {*revision, {}}};
 }
 
-rt::Task<Result<uint64_t>> Client::Grant(double ttl_s) {
+async::Task<Result<uint64_t>> Client::Grant(double ttl_s) {
   wire::HttpRequest q{.method = "POST", .target = "/holds", .body = wire::WriteLeaseRequest(ttl_s)};
   auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s);
   if (!r || r->status != 200) co_return Failed<uint64_t>(r);
   co_return Made(wire::ReadLeaseId(r->body));
 }
 
-rt::Task<Result<bool>> Client::Extend(uint64_t lease_id, Route route) {
+async::Task<Result<bool>> Client::Extend(uint64_t lease_id, Route route) {
   wire::HttpRequest q{
       .method = "POST", .target = "/holds/" + std::to_string(lease_id) + "/extend", .body = "{}"};
   auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s, -1, route);
@@ -219,7 +223,7 @@
   co_return Result<bool>{Status::kOk, true};
 }
 
-rt::Task<Result<bool>> Client::End(uint64_t lease_id, Route route) {
+async::Task<Result<bool>> Client::End(uint64_t lease_id, Route route) {
   wire::HttpRequest q{
       .method = "DELETE", .target = "/holds/" + std::to_string(lease_id), .body = {}};
   auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s, -1, route);
@@ -229,16 +233,16 @@
   co_return Result<bool>{Status::kOk, true};
 }
 
-rt::Task<Result<wire::ChangeList>> Client::Follow(std::string prefix, uint64_t revision,
-                                                  double block_s) {
+async::Task<Result<model::WatchResponse>> Client::Follow(std::string prefix, uint64_t revision,
+                                                         double block_s) {
   wire::HttpRequest q{.method = "GET",
                       .target = "/follow?starts=" + wire::EscapeQuery(prefix) +
                                 "&from=" + std::to_string(revision) +
                                 "&blockMs=" + std::to_string(static_cast<int>(block_s * 1000)),
                       .body = {}};
   auto r = co_await Call(std::move(q), 0, Urgent::kYes, block_s + options_.timeout_s);
-  if (!r || r->status != 200) co_return Failed<wire::ChangeList>(r);
-  co_return Made(wire::ReadChanges(r->body));
+  if (!r || r->status != 200) co_return Failed<model::WatchResponse>(r);
+  co_return Made(wire::ReadWatchResponse(r->body));
 }
 
 }  // namespace hallpier::store
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "model/key_value.h"
 #include "net/http_client.h"
-#include "store/budget.h"
-#include "wire/messages.h"
+#include "store/rate_limiter.h"
 
 namespace hallpier::store {
 
@@ -44,9 +44,9 @@
     size_t max_body = 0;
   };
   // How a request reaches the service when this node is refused: by way of a peer, if set.
-  using Relay = std::function<rt::Task<net::Relayed>(wire::HttpRequest)>;
+  using Relay = std::function<async::Task<net::Relayed>(wire::HttpRequest)>;
 
-  Client(rt::Scope& scope, Options options);
+  Client(async::Scope& scope, Options options);
 
   // The leader writes more than the others; each takes its share of what all may use.
   void SetLeading(bool leading);
@@ -57,24 +57,26 @@
   // they have been, and what they allow is kept to from then on.
   void ExpectLowered() { may_be_lowered_ = true; }
 
-  rt::Task<Result<wire::Entry>> Get(std::string key, Urgent urgent = Urgent::kNo);
-  rt::Task<Result<wire::EntryList>> List(std::string prefix, std::string after);
+  async::Task<Result<model::KeyValue>> Get(std::string key, Urgent urgent = Urgent::kNo);
+  async::Task<Result<model::KeyValueList>> List(std::string prefix, std::string after);
   // How far the service is: the revision of its last change.
-  rt::Task<Result<uint64_t>> Revision(double timeout_s);
+  async::Task<Result<uint64_t>> Revision(double timeout_s);
   // The revision, or with kConflict the keys whose guards did not hold.
-  struct TxnOutcome {
+  struct CommitResult {
     uint64_t revision = 0;
     std::vector<std::string> failed;
   };
   // `patience_s`: how long it may wait for its budget; negative: for a part of a call's time limit.
-  rt::Task<Result<TxnOutcome>> Txn(std::vector<wire::Guard> guards, std::vector<wire::Write> writes,
-                                   Urgent urgent = Urgent::kNo, double patience_s = -1);
-  rt::Task<Result<uint64_t>> Grant(double ttl_s);
+  async::Task<Result<CommitResult>> Commit(std::vector<model::Precondition> preconditions,
+                                           std::vector<model::KeyWrite> writes,
+                                           Urgent urgent = Urgent::kNo, double patience_s = -1);
+  async::Task<Result<uint64_t>> Grant(double ttl_s);
   // Whether a call may go by way of a peer while this node alone is refused.
   enum class Route { kDirect, kAny };
-  rt::Task<Result<bool>> Extend(uint64_t lease_id, Route route);
-  rt::Task<Result<bool>> End(uint64_t lease_id, Route route = Route::kDirect);
-  rt::Task<Result<wire::ChangeList>> Follow(std::string prefix, uint64_t revision, double block_s);
+  async::Task<Result<bool>> Extend(uint64_t lease_id, Route route);
+  async::Task<Result<bool>> End(uint64_t lease_id, Route route = Route::kDirect);
+  async::Task<Result<model::WatchResponse>> Follow(std::string prefix, uint64_t revision,
+                                                   double block_s);
 
   // True once the service has refused what only the lower limits forbid.
   bool lowered() const { return lowered_; }
@@ -85,13 +87,13 @@
   // Requests a second that this node may send.
   double request_rate() const;
   // Executes a peer's request here, without relaying it any further.
-  rt::Task<std::optional<wire::HttpResponse>> Direct(wire::HttpRequest request);
+  async::Task<std::optional<wire::HttpResponse>> Direct(wire::HttpRequest request);
 
  private:
-  rt::Task<std::optional<wire::HttpResponse>> Call(wire::HttpRequest request, double writes,
-                                                   Urgent urgent, double timeout_s,
-                                                   double patience_s = -1,
-                                                   Route route = Route::kDirect);
+  async::Task<std::optional<wire::HttpResponse>> Call(wire::HttpRequest request, double writes,
+                                                      Urgent urgent, double timeout_s,
+                                                      double patience_s = -1,
+                                                      Route route = Route::kDirect);
   // Counts an answer, or none, for down().
   void Note(const std::optional<wire::HttpResponse>& r);
 
@@ -100,7 +102,7 @@
   void SetShare();
   void SetRates();
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const Options options_;
   bool leading_ = false;
   bool divided_ = false;
@@ -108,8 +110,8 @@
   bool may_be_lowered_ = false;
   bool lowered_ = false;
   net::HttpClient http_;
-  Budget requests_;
-  Budget writes_;
+  RateLimiter requests_;
+  RateLimiter writes_;
   Relay relay_;
   int failures_ = 0;
 };
--- a/src/store/formats.cc
+++ b/src/store/formats.cc
@@ -5,19 +5,20 @@
 #include <algorithm>
 #include <random>
 
-#include "store/packed.h"
+#include "model/key_value.h"
+#include "store/packed_task_group.h"
 
 namespace hallpier::store {
 
 Layout CommonLayout(const config::Settings& settings) {
-  const uint32_t whole = TasksPerShard(settings.value_kb);
+  const uint32_t whole = TasksPerGroup(settings.value_kb);
   const uint32_t fit = TasksPerPacked(settings.least().value_kb);
   return {whole, (whole + fit - 1) / fit};
 }
 
-Formats::Formats(rt::Scope& scope, const config::Settings& settings, Client& client,
-                 Replica& replica, uint64_t mark)
-    : scope_(scope), settings_(settings), client_(client), replica_(replica), mark_(mark) {}
+Formats::Formats(async::Scope& scope, const config::Settings& settings, Client& client,
+                 WatchCache& cache, uint64_t mark)
+    : scope_(scope), settings_(settings), client_(client), cache_(cache), mark_(mark) {}
 
 size_t Formats::value_bytes() const {
   const double kb = packed() ? settings_.least().value_kb : settings_.value_kb;
@@ -30,8 +31,8 @@
   return packed() ? TasksPerPacked(settings_.least().value_kb) : 0;
 }
 
-void Formats::OnMark(const std::string& node, const std::string& value) {
-  marks_[node] = ReadMark(value);
+void Formats::OnNodeFormat(const std::string& node, const std::string& value) {
+  marks_[node] = ReadNodeFormat(value);
   wake_.Notify();
 }
 
@@ -51,38 +52,39 @@
   wake_.Notify();
 }
 
-uint64_t Formats::MarkOf(const std::string& node) const {
+uint64_t Formats::NodeFormatOf(const std::string& node) const {
   auto it = marks_.find(node);
   return it == marks_.end() ? 0 : it->second;
 }
 
 bool Formats::AllMarked(uint64_t least) const {
-  return MarkOf(settings_.node) >= least &&
+  return NodeFormatOf(settings_.node) >= least &&
          std::all_of(settings_.seeds.begin(), settings_.seeds.end(),
-                     [&](const config::Seed& s) { return MarkOf(s.node) >= least; });
+                     [&](const config::Seed& s) { return NodeFormatOf(s.node) >= least; });
 }
 
-rt::Task<bool> Formats::Record(std::string key, uint64_t version, std::string value) {
-  std::vector<wire::Guard> guards = {{key, version}};
-  std::vector<wire::Write> writes = {{key, value, 0}};
-  auto r = co_await client_.Txn(std::move(guards), std::move(writes), Urgent::kYes);
-  if (r.ok()) replica_.Apply(key, value, r.value.revision);
+async::Task<bool> Formats::Record(std::string key, uint64_t version, std::string value) {
+  std::vector<model::Precondition> preconditions = {{key, version}};
+  std::vector<model::KeyWrite> writes = {{key, value, 0}};
+  auto r = co_await client_.Commit(std::move(preconditions), std::move(writes), Urgent::kYes);
+  if (r.ok()) cache_.Apply(key, value, r.value.revision);
   co_return r.ok();
 }
 
-rt::Task<> Formats::Run() {
+async::Task<> Formats::Run() {
   std::mt19937 random{std::random_device{}()};
   // Nodes that see the last mark at the same moment do not all try at once.
-  std::uniform_real_distribution<double> pause(0.1 * settings_.report_s, 0.3 * settings_.report_s);
+  std::uniform_real_distribution<double> pause(0.1 * settings_.heartbeat_interval_s,
+                                               0.3 * settings_.heartbeat_interval_s);
   // Not one that says more either: what was switched off since must not be asked of this node.
-  auto marked = [&] { return MarkOf(settings_.node) == mark_; };
+  auto marked = [&] { return NodeFormatOf(settings_.node) == mark_; };
   while (!scope_.cancelled() && !(packed() && marked())) {
-    const bool known = replica_.loaded();
+    const bool known = cache_.loaded();
     auto due = [&] { return !packed() && (AllMarked(kFormat) || changing()); };
     if (known && !marked()) {
       // A node's own mark of an older version is written over...
-      const std::string key = MarkKey(settings_.node);
-      co_await Record(key, replica_.Version(key), WriteMark(mark_));
+      const std::string key = NodeFormatKey(settings_.node);
+      co_await Record(key, cache_.Version(key), WriteNodeFormat(mark_));
     } else if (known && due()) {
       // ...but the format never, not even one that can't be read here: whoever comes second finds
       // it.
@@ -90,10 +92,10 @@
     }
     if ((packed() && marked()) || scope_.cancelled()) break;
     if (!known || !marked() || due()) {
-      rt::Sleep rest(scope_, pause(random));
+      async::Sleep rest(scope_, pause(random));
       co_await rest;
     } else {
-      auto wait = wake_.Await(scope_, settings_.report_s);
+      auto wait = wake_.Await(scope_, settings_.heartbeat_interval_s);
       co_await wait;
     }
   }
--- a/src/store/formats.h
+++ b/src/store/formats.h
@@ -12,38 +12,40 @@
 #include <optional>
 #include <string>
 
+#include "async/event_loop.h"
 #include "config/settings.h"
-#include "rt/loop.h"
 #include "store/client.h"
-#include "store/replica.h"
 #include "store/schema.h"
+#include "store/watch_cache.h"
 
 namespace hallpier::store {
 
 class Formats {
  public:
   // `mark`: what this node records that it reads.
-  Formats(rt::Scope& scope, const config::Settings& settings, Client& client, Replica& replica,
+  Formats(async::Scope& scope, const config::Settings& settings, Client& client, WatchCache& cache,
           uint64_t mark = kCancellationReportFormat);
 
   // The routine that records what this node reads, and the change once all do.
-  rt::Task<> Run();
-  void OnMark(const std::string& node, const std::string& value);
+  async::Task<> Run();
+  void OnNodeFormat(const std::string& node, const std::string& value);
   void OnRecord(const std::string& value);
   // Something has shown that every node is new, whatever is recorded.
   void Prove(const std::string& why);
 
   // True if a node's mark says that it understands cancellation reports between nodes.
   bool UnderstandsCancellationReports(const std::string& node) const {
-    return MarkOf(node) >= kCancellationReportFormat;
+    return NodeFormatOf(node) >= kCancellationReportFormat;
   }
 
   // True if a node's mark says that membership is on there.
   bool UnderstandsMembership(const std::string& node) const {
-    return MarkOf(node) >= kMembershipFormat;
+    return NodeFormatOf(node) >= kMembershipFormat;
   }
 
-  bool UnderstandsBlocks(const std::string& node) const { return MarkOf(node) >= kBlocksFormat; }
+  bool UnderstandsBlocks(const std::string& node) const {
+    return NodeFormatOf(node) >= kBlocksFormat;
+  }
   // True if blocks are on at every node of the settings, as their marks say.
   bool AllUnderstandBlocks() const { return AllMarked(kBlocksFormat); }
 
@@ -60,19 +62,19 @@
 
  private:
   bool AllMarked(uint64_t least) const;
-  uint64_t MarkOf(const std::string& node) const;
+  uint64_t NodeFormatOf(const std::string& node) const;
   // Writes a key if its version is the given one; 0: if nobody has written it.
-  rt::Task<bool> Record(std::string key, uint64_t version, std::string value);
+  async::Task<bool> Record(std::string key, uint64_t version, std::string value);
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const config::Settings& settings_;
   Client& client_;
-  Replica& replica_;
+  WatchCache& cache_;
   const uint64_t mark_;
   std::map<std::string, uint64_t> marks_;  // by node
   std::optional<FormatRecord> record_;
   std::string proof_;
-  rt::Event wake_;
+  async::Event wake_;
 };
 
 // The layout that jobs without one of their own have after the change: groups as the versions
--- a/src/store/barrier.cc
+++ b/src/store/linearizable_read.cc
@@ -1,4 +1,4 @@
-#include "store/barrier.h"
+#include "store/linearizable_read.h"
 
 namespace hallpier::store {
 namespace {
@@ -8,8 +8,8 @@
 
 }  // namespace
 
-rt::Task<bool> Barrier::Reached() {
-  if (client_.down() || !replica_.loaded()) co_return false;
+async::Task<bool> LinearizableRead::Reached() {
+  if (client_.down() || !cache_.loaded()) co_return false;
   // A read that is under way may be older than this question: only the next one will do.
   if (!next_) next_ = std::make_shared<Batch>();
   std::shared_ptr<Batch> batch = next_;
@@ -22,10 +22,10 @@
   co_return batch->reached;
 }
 
-rt::Task<> Barrier::Run() {
+async::Task<> LinearizableRead::Run() {
   while (next_ && !scope_.cancelled()) {
     const double interval = 1 / (kReadShare * client_.request_rate());
-    rt::Sleep spacing(scope_, last_read_ + interval - scope_.loop().Now());
+    async::Sleep spacing(scope_, last_read_ + interval - scope_.loop().Now());
     co_await spacing;
     if (scope_.cancelled()) break;
     const std::shared_ptr<Batch> batch = std::exchange(next_, nullptr);
@@ -33,14 +33,14 @@
     const double deadline = asked + limit_s_;
     last_read_ = asked;
     auto revision = co_await client_.Revision(limit_s_);
-    while (revision.ok() && replica_.revision() < revision.value) {
+    while (revision.ok() && cache_.revision() < revision.value) {
       const double left = deadline - scope_.loop().Now();
       if (left <= 0 || scope_.cancelled()) break;
-      auto wait = replica_.changed().Await(scope_, left);
+      auto wait = cache_.changed().Await(scope_, left);
       co_await wait;
     }
-    batch->reached = revision.ok() && replica_.revision() >= revision.value;
-    if (batch->reached) replica_.SetComplete(asked);
+    batch->reached = revision.ok() && cache_.revision() >= revision.value;
+    if (batch->reached) cache_.SetComplete(asked);
     batch->event.Notify();
   }
   running_ = false;
--- a/src/store/barrier.h
+++ b/src/store/linearizable_read.h
@@ -6,31 +6,31 @@
 #include <limits>
 #include <memory>
 
-#include "rt/loop.h"
+#include "async/event_loop.h"
 #include "store/client.h"
-#include "store/replica.h"
+#include "store/watch_cache.h"
 
 namespace hallpier::store {
 
-class Barrier {
+class LinearizableRead {
  public:
   // Whoever waits longer than `limit_s` is told no.
-  Barrier(rt::Scope& scope, Client& client, Replica& replica, double limit_s)
-      : scope_(scope), client_(client), replica_(replica), limit_s_(limit_s) {}
+  LinearizableRead(async::Scope& scope, Client& client, WatchCache& cache, double limit_s)
+      : scope_(scope), client_(client), cache_(cache), limit_s_(limit_s) {}
 
   // True once the warm copy holds all that had been written when this was called.
-  rt::Task<bool> Reached();
+  async::Task<bool> Reached();
 
  private:
   struct Batch {
     bool reached = false;
-    rt::Event event;
+    async::Event event;
   };
-  rt::Task<> Run();
+  async::Task<> Run();
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   Client& client_;
-  Replica& replica_;
+  WatchCache& cache_;
   const double limit_s_;
   std::shared_ptr<Batch> next_;  // those who came since the last read was sent
   bool running_ = false;
--- a/src/store/flavor_pages.h
+++ b/src/store/machine_type_pages.h
@@ -12,23 +12,23 @@
 #include <string>
 #include <vector>
 
-#include "wire/messages.h"
+#include "model/machine_type.h"
 
 namespace hallpier::store {
 
-std::vector<std::string> WriteFlavorPages(const std::vector<wire::Flavor>& flavors,
-                                          size_t value_bytes);
+std::vector<std::string> WriteMachineTypePages(const std::vector<model::MachineType>& machine_types,
+                                               size_t value_bytes);
 
-class FlavorPages {
+class MachineTypePages {
  public:
   // An empty value: the page was dropped.
   void Put(uint32_t page, const std::string& value);
   // Nothing unless the list is there as a whole.
-  std::optional<std::vector<wire::Flavor>> All() const;
+  std::optional<std::vector<model::MachineType>> All() const;
 
  private:
   struct Page {
-    std::vector<wire::Flavor> flavors;
+    std::vector<model::MachineType> machine_types;
     uint64_t pages = 1;  // of the first
   };
   std::map<uint32_t, Page> pages_;
--- a/src/store/packed.cc
+++ b/src/store/packed_task_group.cc
@@ -1,4 +1,4 @@
-#include "store/packed.h"
+#include "store/packed_task_group.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,6 +6,7 @@
 #include <utility>
 #include <vector>
 
+#include "model/job.h"
 #include "wire/digits.h"
 
 namespace hallpier::store {
@@ -24,9 +25,9 @@
 // no machine.
 class HostCoder {
  public:
-  static HostCoder For(const Shard& shard) {
+  static HostCoder For(const TaskGroup& task_group) {
     std::map<std::pair<std::string_view, size_t>, std::pair<uint64_t, uint64_t>> bounds;
-    for (const auto& [index, task] : shard.open) {
+    for (const auto& [index, task] : task_group.open) {
       if (task.machine.empty()) continue;
       const Name name = Cut(task.machine);
       auto [it, fresh] =
@@ -144,15 +145,15 @@
 
 }  // namespace
 
-std::optional<Shard> ReadPacked(const wire::JsonValue& v) {
+std::optional<TaskGroup> ReadPacked(const wire::JsonValue& v) {
   auto first = wire::GetCount(v, "first");
   auto count = wire::GetCount(v, "of");
   auto done_text = wire::GetText(v, "done");
   auto open_text = wire::GetText(v, "open");
   auto on = wire::GetText(v, "on");
   auto hosts = HostCoder::Read(v);
-  if (!first || !count || !done_text || !open_text || !on || !hosts || *first > wire::kMaxTasks ||
-      *count > wire::kMaxTasks || *first + *count > wire::kMaxTasks) {
+  if (!first || !count || !done_text || !open_text || !on || !hosts || *first > model::kMaxTasks ||
+      *count > model::kMaxTasks || *first + *count > model::kMaxTasks) {
     return std::nullopt;
   }
   auto done = wire::UnpackFlags(*done_text, *count);
@@ -160,7 +161,7 @@
   if (!done || !open) return std::nullopt;
   const std::string tries_text = wire::GetText(v, "tries").value_or("");
   std::string_view on_left = *on, tries_left = tries_text;
-  Shard s;
+  TaskGroup s;
   for (uint32_t i = 0; i < *count; ++i) {
     const auto index = static_cast<uint32_t>(*first) + i;
     if ((*done)[i]) s.done.Insert(index);
@@ -186,19 +187,19 @@
   return s;
 }
 
-std::string WritePacked(const Shard& shard, uint32_t first, uint32_t count) {
+std::string WritePacked(const TaskGroup& task_group, uint32_t first, uint32_t count) {
   std::vector<bool> done(count), open(count);
   auto inside = [&](uint32_t index) { return index >= first && index - first < count; };
-  for (const auto& [from, last] : shard.done.ranges()) {
-    if (!inside(from) || !inside(last)) return WriteShard(shard);
+  for (const auto& [from, last] : task_group.done.ranges()) {
+    if (!inside(from) || !inside(last)) return WriteTaskGroup(task_group);
     for (uint32_t i = from; i <= last; ++i) done[i - first] = true;
   }
-  const HostCoder hosts = HostCoder::For(shard);
+  const HostCoder hosts = HostCoder::For(task_group);
   std::string on, tries;
   std::vector<std::pair<uint32_t, uint64_t>> many;
   bool repeated = false;
-  for (const auto& [index, task] : shard.open) {
-    if (!inside(index)) return WriteShard(shard);
+  for (const auto& [index, task] : task_group.open) {
+    if (!inside(index)) return WriteTaskGroup(task_group);
     open[index - first] = true;
     wire::PutDigits(on, hosts.Code(task.machine), hosts.width());
     wire::PutDigits(tries, std::min(task.attempt, kManyAttempts), 1);
@@ -222,7 +223,7 @@
     }
     w.EndArray();
   }
-  WriteRuns(w, shard);
+  WriteRuns(w, task_group);
   w.EndObject();
   return w.Take();
 }
--- a/src/store/packed.h
+++ b/src/store/packed_task_group.h
@@ -5,14 +5,15 @@
 #include <optional>
 #include <string>
 
-#include "store/shard.h"
+#include "store/task_group.h"
+#include "wire/json.h"
 
 namespace hallpier::store {
 
 // Of the tasks from `first` on, `count` of them. A group that holds others is written as text:
 // nothing of it may get lost.
-std::string WritePacked(const Shard& shard, uint32_t first, uint32_t count);
-std::optional<Shard> ReadPacked(const wire::JsonValue& v);
+std::string WritePacked(const TaskGroup& task_group, uint32_t first, uint32_t count);
+std::optional<TaskGroup> ReadPacked(const wire::JsonValue& v);
 
 // Tasks that share a value in the packed form.
 uint32_t TasksPerPacked(double value_kb);
--- a/src/store/budget.cc
+++ b/src/store/rate_limiter.cc
@@ -1,16 +1,16 @@
-#include "store/budget.h"
+#include "store/rate_limiter.h"
 
 #include <algorithm>
 
 namespace hallpier::store {
 
-void Budget::SetRate(double rate, double burst_s) {
+void RateLimiter::SetRate(double rate, double burst_s) {
   rate_ = rate;
   burst_ = rate * burst_s;
   level_ = std::min(level_, burst_);
 }
 
-double Budget::Take(double now, double cost, Urgent urgent, double max_wait_s) {
+double RateLimiter::Take(double now, double cost, Urgent urgent, double max_wait_s) {
   if (last_ >= 0) level_ = std::min(burst_, level_ + (now - last_) * rate_);
   last_ = now;
   const double keep = urgent == Urgent::kYes ? 0 : burst_ * reserve_;
--- a/src/store/budget.h
+++ b/src/store/rate_limiter.h
@@ -6,10 +6,10 @@
 // What leases, cancellations and completions need must not queue behind new placements.
 enum class Urgent { kNo, kYes };
 
-class Budget {
+class RateLimiter {
  public:
   // `reserve` is the share of the bucket that only urgent requests may empty.
-  Budget(double rate, double burst_s, double reserve)
+  RateLimiter(double rate, double burst_s, double reserve)
       : rate_(rate), burst_(rate * burst_s), reserve_(reserve), level_(rate * burst_s) {}
 
   void SetRate(double rate, double burst_s);
--- a/src/store/schema.cc
+++ b/src/store/schema.cc
@@ -3,6 +3,9 @@
 #include <charconv>
 #include <cstdio>
 
+#include "wire/json.h"
+#include "wire/user_codec.h"
+
 namespace hallpier::store {
 namespace {
 
@@ -23,8 +26,11 @@
 }  // namespace
 
 std::string LeaderKey() { return std::string(kActive) + "leader"; }
-std::string BlockKey(int block) { return std::string(kActive) + "block/" + std::to_string(block); }
-std::string FlavorsKey(uint32_t page) {
+std::string FencingTokenKey() { return std::string(kActive) + "block/0"; }
+model::Precondition TokenPrecondition(model::FencingToken token) {
+  return {FencingTokenKey(), token.value()};
+}
+std::string MachineTypesKey(uint32_t page) {
   const std::string first = std::string(kActive) + "flavors";
   return page == 0 ? first : first + "." + std::to_string(page);
 }
@@ -32,20 +38,20 @@
 std::string FinalKey(std::string_view id) { return std::string(kFinals).append(id); }
 
 std::string FormatKey() { return std::string(kActive) + "format"; }
-std::string MarkKey(std::string_view node) { return std::string(kMarks).append(node); }
+std::string NodeFormatKey(std::string_view node) { return std::string(kMarks).append(node); }
 
 std::string MemberKey(std::string_view node) { return std::string(kMembers).append(node); }
 
 std::string DivisionKey() { return std::string(kActive) + "division"; }
 std::string ShareKey(std::string_view node) { return std::string(kShares).append(node); }
 
-std::string PartKey(std::string_view id, uint32_t shard, uint32_t part) {
-  return ShardKey(id, shard) + "." + std::to_string(part);
+std::string TaskGroupPartKey(std::string_view id, uint32_t task_group, uint32_t part) {
+  return TaskGroupKey(id, task_group) + "." + std::to_string(part);
 }
 
-std::string ShardKey(std::string_view id, uint32_t shard) {
+std::string TaskGroupKey(std::string_view id, uint32_t task_group) {
   char number[16];
-  std::snprintf(number, sizeof(number), "/%05u", shard);
+  std::snprintf(number, sizeof(number), "/%05u", task_group);
   return std::string(kShards).append(id).append(number);
 }
 
@@ -53,19 +59,19 @@
   ParsedKey out;
   if (key == LeaderKey()) {
     out.kind = KeyKind::kLeader;
-  } else if (key == BlockKey(0)) {
-    out.kind = KeyKind::kBlock;
-  } else if (key == FlavorsKey()) {
-    out.kind = KeyKind::kFlavors;
-  } else if (key.starts_with(FlavorsKey() + ".")) {
-    auto page = ParseIndex(key.substr(FlavorsKey().size() + 1));
+  } else if (key == FencingTokenKey()) {
+    out.kind = KeyKind::kFencingToken;
+  } else if (key == MachineTypesKey()) {
+    out.kind = KeyKind::kMachineTypes;
+  } else if (key.starts_with(MachineTypesKey() + ".")) {
+    auto page = ParseIndex(key.substr(MachineTypesKey().size() + 1));
     if (!page || *page == 0) return out;
-    out.kind = KeyKind::kFlavors;
-    out.shard = *page;
+    out.kind = KeyKind::kMachineTypes;
+    out.task_group = *page;
   } else if (key == FormatKey()) {
     out.kind = KeyKind::kFormat;
   } else if (key.starts_with(kMarks)) {
-    out.kind = KeyKind::kMark;
+    out.kind = KeyKind::kNodeFormat;
     out.job = key.substr(kMarks.size());
   } else if (key.starts_with(kMembers)) {
     out.kind = KeyKind::kMember;
@@ -93,9 +99,9 @@
     }
     auto n = ParseIndex(number);
     if (!n) return out;
-    out.kind = KeyKind::kShard;
+    out.kind = KeyKind::kTaskGroup;
     out.job = rest.substr(0, slash);
-    out.shard = *n;
+    out.task_group = *n;
   }
   return out;
 }
@@ -119,7 +125,7 @@
   // Nothing of it is ever placed again, and who awaits it names it, not the other way round. Its
   // team, size and groups still count for what is on machines.
   const std::string none = "-";
-  job.spec.flavors.clear();
+  job.spec.machine_types.clear();
   job.spec.awaits.clear();
   job.spec.zone.clear();
   job.spec.job_class = job.spec.image = none;
@@ -139,7 +145,7 @@
   job.submitted = wire::GetAmount(*d, "at").value_or(0);
   job.cancelled = wire::GetFlag(*d, "cancelled").value_or(false);
   const uint64_t group = wire::GetCount(*d, "group").value_or(0);
-  if (group > wire::kMaxTasks) return std::nullopt;
+  if (group > model::kMaxTasks) return std::nullopt;
   job.group = static_cast<uint32_t>(group);
   return job;
 }
@@ -147,7 +153,7 @@
 std::string WriteFinal(const FinalRecord& r) {
   wire::JsonWriter w;
   w.StartObject();
-  w.Field("phase").Text(wire::PhaseName(r.phase));
+  w.Field("phase").Text(wire::JobPhaseName(r.phase));
   w.Field("done").Uint64(r.done);
   if (r.at > 0) w.Field("at").Double(r.at);
   w.EndObject();
@@ -157,8 +163,8 @@
 std::optional<FinalRecord> ReadFinal(std::string_view json) {
   auto d = wire::ParseObject(json);
   auto name = d ? wire::GetText(*d, "phase") : std::nullopt;
-  auto phase = name ? wire::ParsePhase(*name) : std::nullopt;
-  if (!phase || (*phase != wire::Phase::kDone && *phase != wire::Phase::kCancelled)) {
+  auto phase = name ? wire::ParseJobPhase(*name) : std::nullopt;
+  if (!phase || (*phase != model::JobPhase::kDone && *phase != model::JobPhase::kCancelled)) {
     return std::nullopt;
   }
   return FinalRecord{*phase, wire::GetCount(*d, "done").value_or(0),
@@ -181,7 +187,7 @@
   return LeaderRecord{std::move(*node), wire::GetCount(*d, "permit").value_or(0)};
 }
 
-std::string WriteBlock(std::string_view holder) {
+std::string WriteFencingTokenRecord(std::string_view holder) {
   wire::JsonWriter w;
   w.StartObject();
   w.Field("holder").Text(holder);
@@ -205,14 +211,14 @@
   auto format = wire::GetCount(*d, "format");
   auto group = wire::GetCount(*d, "group");
   auto parts = wire::GetCount(*d, "parts");
-  if (!format || !group || !parts || *group < 1 || *group > wire::kMaxTasks || *parts < 1 ||
+  if (!format || !group || !parts || *group < 1 || *group > model::kMaxTasks || *parts < 1 ||
       *parts > *group) {
     return std::nullopt;
   }
   return FormatRecord{*format, {static_cast<uint32_t>(*group), static_cast<uint32_t>(*parts)}};
 }
 
-std::string WriteMark(uint64_t format) {
+std::string WriteNodeFormat(uint64_t format) {
   wire::JsonWriter w;
   w.StartObject();
   w.Field("format").Uint64(format);
@@ -220,7 +226,7 @@
   return w.Take();
 }
 
-uint64_t ReadMark(std::string_view json) {
+uint64_t ReadNodeFormat(std::string_view json) {
   auto d = wire::ParseObject(json);
   return d ? wire::GetCount(*d, "format").value_or(0) : 0;
 }
--- a/src/store/schema.h
+++ b/src/store/schema.h
@@ -6,8 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "store/shard.h"
-#include "wire/messages.h"
+#include "model/ids.h"
+#include "model/job.h"
+#include "model/key_value.h"
+#include "store/task_group.h"
 
 namespace hallpier::store {
 
@@ -15,14 +17,17 @@
 inline constexpr std::string_view kActive = "hallpier/a/";
 
 std::string LeaderKey();
-std::string BlockKey(int block);
-std::string FlavorsKey(uint32_t page = 0);
+// The record that every new leader rewrites: its version is the fencing token.
+std::string FencingTokenKey();
+// Holds for as long as nobody has a higher token.
+model::Precondition TokenPrecondition(model::FencingToken token);
+std::string MachineTypesKey(uint32_t page = 0);
 std::string JobKey(std::string_view id);
-std::string ShardKey(std::string_view id, uint32_t shard);
-std::string PartKey(std::string_view id, uint32_t shard, uint32_t part);
+std::string TaskGroupKey(std::string_view id, uint32_t task_group);
+std::string TaskGroupPartKey(std::string_view id, uint32_t task_group, uint32_t part);
 std::string FinalKey(std::string_view id);
 std::string FormatKey();
-std::string MarkKey(std::string_view node);
+std::string NodeFormatKey(std::string_view node);
 std::string MemberKey(std::string_view node);
 // How machines are divided among controllers (blocks/division.h).
 std::string DivisionKey();
@@ -31,22 +36,22 @@
 
 enum class KeyKind {
   kLeader,
-  kBlock,
-  kFlavors,
+  kFencingToken,
+  kMachineTypes,
   kFormat,
-  kMark,
+  kNodeFormat,
   kMember,
   kDivision,
   kShare,
   kJob,
-  kShard,
+  kTaskGroup,
   kFinal,
   kOther
 };
 struct ParsedKey {
   KeyKind kind = KeyKind::kOther;
-  std::string job;               // kMark, kMember, kShare: the node
-  uint32_t shard = 0;            // kFlavors: the page
+  std::string job;               // kNodeFormat, kMember, kShare: the node
+  uint32_t task_group = 0;       // kFlavors: the page
   std::optional<uint32_t> part;  // of the shard; nothing: the whole
 };
 ParsedKey ParseKey(std::string_view key);
@@ -54,7 +59,7 @@
 // A field that is not set is not written: a record without any of the newer ones is, byte for byte,
 // what versions without pipelines write.
 struct JobRecord {
-  wire::JobSpec spec;
+  model::JobSpec spec;
   double submitted = 0;  // time of day
   bool cancelled = false;
   uint32_t group = 0;  // tasks in a group; 0: as the format record says, for all such jobs
@@ -67,7 +72,7 @@
 std::optional<JobRecord> ReadJob(std::string_view json);
 
 struct FinalRecord {
-  wire::Phase phase = wire::Phase::kDone;
+  model::JobPhase phase = model::JobPhase::kDone;
   uint64_t done = 0;
   double at = 0;  // time of day when it was recorded; 0: not known
 };
@@ -80,7 +85,7 @@
 };
 std::string WriteLeader(const LeaderRecord& r);
 std::optional<LeaderRecord> ReadLeader(std::string_view json);
-std::string WriteBlock(std::string_view holder);
+std::string WriteFencingTokenRecord(std::string_view holder);
 
 // The newest format that this version reads and writes, as nodes record it for themselves and, once
 // all have, for the whole service.
@@ -99,8 +104,8 @@
 inline constexpr uint64_t kMembershipFormat = 4;
 // From this number on it reads the records of blocks and shares, and blocks are on there.
 inline constexpr uint64_t kBlocksFormat = 5;
-std::string WriteMark(uint64_t format);
+std::string WriteNodeFormat(uint64_t format);
 // The format that a node's mark names; 0 if it can't be read.
-uint64_t ReadMark(std::string_view json);
+uint64_t ReadNodeFormat(std::string_view json);
 
 }  // namespace hallpier::store
--- a/src/store/shard.cc
+++ b/src/store/task_group.cc
@@ -1,9 +1,10 @@
-#include "store/shard.h"
+#include "store/task_group.h"
 
 #include <utility>
 #include <vector>
 
-#include "store/packed.h"
+#include "model/job.h"
+#include "store/packed_task_group.h"
 
 namespace hallpier::store {
 namespace {
@@ -12,8 +13,8 @@
 constexpr double kTaskBytes = 22;
 // Part of a value that open tasks may fill.
 constexpr double kOpenShare = 0.9;
-std::optional<Shard> ReadText(const wire::JsonValue& v) {
-  Shard s;
+std::optional<TaskGroup> ReadText(const wire::JsonValue& v) {
+  TaskGroup s;
   const wire::JsonValue* done = wire::Find(v, "done");
   const wire::JsonValue* on = wire::Find(v, "on");
   if (done == nullptr || !done->IsArray() || done->Size() % 2 != 0 || on == nullptr ||
@@ -23,7 +24,7 @@
   for (rapidjson::SizeType i = 0; i < done->Size(); i += 2) {
     const auto& first = (*done)[i];
     const auto& last = (*done)[i + 1];
-    if (!first.IsUint() || !last.IsUint() || last.GetUint() >= wire::kMaxTasks) {
+    if (!first.IsUint() || !last.IsUint() || last.GetUint() >= model::kMaxTasks) {
       return std::nullopt;
     }
     for (uint32_t n = first.GetUint(); n <= last.GetUint(); ++n) s.done.Insert(n);
@@ -36,7 +37,7 @@
       if (number.IsUint()) {
         // A task that stands on two machines would be one that nobody can find again.
         auto [it, fresh] = s.open.try_emplace(number.GetUint());
-        if (!fresh || number.GetUint() >= wire::kMaxTasks) return std::nullopt;
+        if (!fresh || number.GetUint() >= model::kMaxTasks) return std::nullopt;
         task = &it->second;
         *task = {1, machine};
       } else if (number.IsInt64() && task != nullptr && number.GetInt64() < 0) {
@@ -53,10 +54,10 @@
 
 }  // namespace
 
-void WriteRuns(wire::JsonWriter& w, const Shard& shard) {
+void WriteRuns(wire::JsonWriter& w, const TaskGroup& task_group) {
   w.Field("runs").StartObject();
-  for (const auto& [flavor, stats] : shard.runs) {
-    w.Key(flavor.c_str());
+  for (const auto& [machine_type, stats] : task_group.runs) {
+    w.Key(machine_type.c_str());
     w.StartArray();
     w.Uint64(stats.count);
     w.Double(stats.sum_s);
@@ -65,7 +66,7 @@
   w.EndObject();
 }
 
-bool ReadRuns(const wire::JsonValue& v, Shard* s) {
+bool ReadRuns(const wire::JsonValue& v, TaskGroup* s) {
   const wire::JsonValue* runs = wire::Find(v, "runs");
   if (runs == nullptr || !runs->IsObject()) return true;
   for (const auto& m : runs->GetObject()) {
@@ -100,22 +101,22 @@
   }
 }
 
-uint32_t Shard::placed() const {
+uint32_t TaskGroup::placed() const {
   return static_cast<uint32_t>(std::count_if(
       open.begin(), open.end(), [](const auto& entry) { return !entry.second.machine.empty(); }));
 }
 
-std::string WriteShard(const Shard& shard) {
+std::string WriteTaskGroup(const TaskGroup& task_group) {
   wire::JsonWriter w;
   w.StartObject();
   w.Field("done").StartArray();
-  for (const auto& [first, last] : shard.done.ranges()) {
+  for (const auto& [first, last] : task_group.done.ranges()) {
     w.Uint(first);
     w.Uint(last);
   }
   w.EndArray();
   std::map<std::string_view, std::vector<std::pair<uint32_t, uint64_t>>> by_machine;
-  for (const auto& [index, task] : shard.open) {
+  for (const auto& [index, task] : task_group.open) {
     by_machine[task.machine].emplace_back(index, task.attempt);
   }
   w.Field("on").StartObject();
@@ -129,28 +130,28 @@
     w.EndArray();
   }
   w.EndObject();
-  WriteRuns(w, shard);
+  WriteRuns(w, task_group);
   w.EndObject();
   return w.Take();
 }
 
-std::optional<Shard> ReadShard(std::string_view json) {
+std::optional<TaskGroup> ReadTaskGroup(std::string_view json) {
   auto d = wire::ParseObject(json);
   if (!d) return std::nullopt;
   return wire::Find(*d, "of") != nullptr ? ReadPacked(*d) : ReadText(*d);
 }
 
-uint32_t TasksPerShard(double value_kb) {
+uint32_t TasksPerGroup(double value_kb) {
   return std::max(1U, static_cast<uint32_t>(value_kb * 1024 * kOpenShare / kTaskBytes));
 }
 
-Shard Slice(const Shard& shard, uint32_t first, uint32_t end, bool with_runs) {
-  Shard out;
-  for (const auto& [from, last] : shard.done.ranges()) {
+TaskGroup Slice(const TaskGroup& task_group, uint32_t first, uint32_t end, bool with_runs) {
+  TaskGroup out;
+  for (const auto& [from, last] : task_group.done.ranges()) {
     for (uint32_t i = std::max(from, first); i <= last && i < end; ++i) out.done.Insert(i);
   }
-  out.open.insert(shard.open.lower_bound(first), shard.open.lower_bound(end));
-  if (with_runs) out.runs = shard.runs;
+  out.open.insert(task_group.open.lower_bound(first), task_group.open.lower_bound(end));
+  if (with_runs) out.runs = task_group.runs;
   return out;
 }
 
--- a/src/store/shard.h
+++ b/src/store/task_group.h
@@ -1,6 +1,7 @@
 // Groups of a job's tasks, many in one value, and how tasks are divided into groups.
 //
-// The text form is what versions without pipelines read and write; store/packed.h has the other.
+// The text form is what versions without pipelines read and write; store/packed_task_group.h has
+// the other.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "wire/messages.h"
+#include "wire/json.h"
 
 namespace hallpier::store {
 
@@ -40,24 +41,25 @@
 };
 
 // Many tasks of a job in one value. Tasks that are neither done nor open were never placed.
-struct Shard {
+struct TaskGroup {
   IndexSet done;
   std::map<uint32_t, TaskState> open;
   std::map<std::string, RunStats> runs;  // by machine type
   uint32_t placed() const;
   bool empty() const { return done.size() == 0 && open.empty() && runs.empty(); }
 };
-std::string WriteShard(const Shard& shard);
+std::string WriteTaskGroup(const TaskGroup& task_group);
 // Takes either form.
-std::optional<Shard> ReadShard(std::string_view json);
+std::optional<TaskGroup> ReadTaskGroup(std::string_view json);
 // What both forms have alike.
-void WriteRuns(wire::JsonWriter& w, const Shard& shard);
-bool ReadRuns(const wire::JsonValue& v, Shard* s);
+void WriteRuns(wire::JsonWriter& w, const TaskGroup& task_group);
+bool ReadRuns(const wire::JsonValue& v, TaskGroup* s);
 
 // Tasks that share a value in the text form, so that with names of usual length the largest stays
-// within `value_kb`. Where names are longer, placements that no longer fit wait (jobs::BuildTxns).
-// Versions without pipelines reckon the same: a group's number means nothing without it.
-uint32_t TasksPerShard(double value_kb);
+// within `value_kb`. Where names are longer, placements that no longer fit wait
+// (jobs::BuildTransactions). Versions without pipelines reckon the same: a group's number means
+// nothing without it.
+uint32_t TasksPerGroup(double value_kb);
 // How a job's tasks are divided into groups. A group's key names a whole; where wholes had become
 // too large for the limits, each was carried over to parts with keys of their own.
 struct Layout {
@@ -80,6 +82,6 @@
 
 // What a shard says of the tasks from `first` to `end`, the latter not included. Its run times go
 // with the first of all.
-Shard Slice(const Shard& shard, uint32_t first, uint32_t end, bool with_runs);
+TaskGroup Slice(const TaskGroup& task_group, uint32_t first, uint32_t end, bool with_runs);
 
 }  // namespace hallpier::store
--- a/src/store/replica.cc
+++ b/src/store/watch_cache.cc
@@ -1,4 +1,4 @@
-#include "store/replica.h"
+#include "store/watch_cache.h"
 
 #include <spdlog/spdlog.h>
 
@@ -11,21 +11,21 @@
 constexpr double kGapS = 0.05;
 }  // namespace
 
-Replica::Replica(rt::Scope& scope, Client& client, double block_s, Sink sink)
+WatchCache::WatchCache(async::Scope& scope, Client& client, double block_s, Sink sink)
     : scope_(scope), client_(client), block_s_(block_s), sink_(std::move(sink)) {}
 
-uint64_t Replica::Version(const std::string& key) const {
+uint64_t WatchCache::Version(const std::string& key) const {
   auto it = versions_.find(key);
   return it == versions_.end() ? 0 : it->second;
 }
 
-void Replica::Apply(const std::string& key, const std::string& value, uint64_t version) {
+void WatchCache::Apply(const std::string& key, const std::string& value, uint64_t version) {
   // The watch may have passed this write, and what came after it, while its answer was under way:
   // a job that was cancelled here and ended by the leader at once would be back for ever.
   if (version > revision_ && key.starts_with(kActive)) Take(key, value, version);
 }
 
-rt::Task<bool> Replica::Refresh(std::string key) {
+async::Task<bool> WatchCache::Refresh(std::string key) {
   const uint64_t known = Version(key);
   auto now = co_await client_.Get(key, Urgent::kYes);
   if (now.ok()) {
@@ -37,7 +37,7 @@
   co_return now.ok() || now.status == Status::kNotFound;
 }
 
-void Replica::Take(const std::string& key, const std::string& value, uint64_t version) {
+void WatchCache::Take(const std::string& key, const std::string& value, uint64_t version) {
   if (auto it = dropped_.find(key); it != dropped_.end() && version <= it->second) return;
   auto known = versions_.find(key);
   if (known != versions_.end() && version <= known->second) return;
@@ -51,7 +51,7 @@
   sink_(key, value);
 }
 
-rt::Task<bool> Replica::Load() {
+async::Task<bool> WatchCache::Load() {
   std::unordered_set<std::string> seen;
   std::string after;
   uint64_t first = 0;
@@ -78,14 +78,14 @@
   co_return true;
 }
 
-void Replica::SetComplete(double asked) {
+void WatchCache::SetComplete(double asked) {
   const bool confirmed = complete_at_ < scope_.loop().resumed_at();
   complete_at_ = std::max(complete_at_, asked);
   // After a pause of the process, those who wait for a copy that counts hear of it.
   if (confirmed) changed_.Notify();
 }
 
-rt::Task<> Replica::Run() {
+async::Task<> WatchCache::Run() {
   bool fresh = false;
   while (!scope_.cancelled()) {
     if (!fresh) {
@@ -95,7 +95,7 @@
         spdlog::info("state loaded at revision {}: {} keys", revision_, versions_.size());
         changed_.Notify();
       } else {
-        rt::Sleep pause(scope_, kRetryS);
+        async::Sleep pause(scope_, kRetryS);
         co_await pause;
         continue;
       }
@@ -103,17 +103,17 @@
     const double asked = scope_.loop().Now();
     auto news = co_await client_.Follow(std::string(kActive), revision_, block_s_);
     if (news.ok()) {
-      for (const auto& c : news.value.changes) Take(c.key, c.value, c.version);
+      for (const auto& c : news.value.events) Take(c.key, c.value, c.version);
       revision_ = std::max(revision_, news.value.revision);
       SetComplete(asked);
       std::erase_if(dropped_, [&](const auto& d) { return d.second <= revision_; });
-      if (!news.value.changes.empty()) changed_.Notify();
-      rt::Sleep pause(scope_, kGapS);
+      if (!news.value.events.empty()) changed_.Notify();
+      async::Sleep pause(scope_, kGapS);
       co_await pause;
       continue;
     }
     if (news.status == Status::kGone) fresh = false;
-    rt::Sleep pause(scope_, kRetryS);
+    async::Sleep pause(scope_, kRetryS);
     co_await pause;
   }
 }
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -1,5 +1,9 @@
 #include "wire/block_codec.h"
 
+#include "model/job.h"
+#include "model/machine_view.h"
+#include "model/task.h"
+
 namespace hallpier::wire {
 namespace {
 
@@ -37,7 +41,7 @@
   return last;
 }
 
-void PutTaskView(std::string& out, const TaskView& view) {
+void PutTaskView(std::string& out, const model::TaskView& view) {
   PutBytes(out, view.task.job);
   PutVarint(out, view.task.index);
   PutVarint(out, view.attempt);
@@ -47,22 +51,22 @@
   PutVarint(out, view.for_ms);
 }
 
-TaskView ReadTaskView(VarintReader& reader) {
-  TaskView view;
+model::TaskView ReadTaskView(VarintReader& reader) {
+  model::TaskView view;
   view.task.job = reader.Bytes();
-  view.task.index = static_cast<uint32_t>(reader.Count("a task's number", kMaxTasks));
+  view.task.index = static_cast<uint32_t>(reader.Count("a task's number", model::kMaxTasks));
   view.attempt = reader.Varint();
-  view.phase = ReadEnum(reader, "a task's phase", TaskPhase::kExited);
-  view.cause = ReadEnum(reader, "the cause of a task's end", Cause::kUnknown);
+  view.phase = ReadEnum(reader, "a task's phase", model::TaskPhase::kExited);
+  view.cause = ReadEnum(reader, "the cause of a task's end", model::ExitCause::kUnknown);
   view.seen_start = ReadFlag(reader);
   view.for_ms = reader.Varint();
   return view;
 }
 
-MachineView ReadMachineView(VarintReader& reader) {
-  MachineView view;
+model::MachineView ReadMachineView(VarintReader& reader) {
+  model::MachineView view;
   view.machine = reader.Bytes();
-  view.flavor = reader.Bytes();
+  view.machine_type = reader.Bytes();
   view.zone = reader.Bytes();
   view.spot = ReadFlag(reader);
   view.usable = ReadFlag(reader);
@@ -71,15 +75,15 @@
   return view;
 }
 
-void PutJobFailures(std::string& out, const JobFailures& failures) {
+void PutJobFailures(std::string& out, const model::JobFailures& failures) {
   PutBytes(out, failures.job);
   PutFlag(out, failures.suspected);
   PutFlag(out, failures.retry_due);
   PutNames(out, failures.failed_on);
 }
 
-JobFailures ReadJobFailures(VarintReader& reader) {
-  JobFailures failures;
+model::JobFailures ReadJobFailures(VarintReader& reader) {
+  model::JobFailures failures;
   failures.job = reader.Bytes();
   failures.suspected = ReadFlag(reader);
   failures.retry_due = ReadFlag(reader);
@@ -89,30 +93,30 @@
 
 }  // namespace
 
-void PutMachineView(std::string& out, const MachineView& view) {
+void PutMachineView(std::string& out, const model::MachineView& view) {
   PutBytes(out, view.machine);
-  PutBytes(out, view.flavor);
+  PutBytes(out, view.machine_type);
   PutBytes(out, view.zone);
   PutFlag(out, view.spot);
   PutFlag(out, view.usable);
   PutNames(out, view.images);
   PutVarint(out, view.tasks.size());
-  for (const TaskView& task : view.tasks) PutTaskView(out, task);
+  for (const model::TaskView& task : view.tasks) PutTaskView(out, task);
 }
 
 void PutBlockView(std::string& out, const BlockView& view) {
-  PutVarint(out, view.token);
+  PutVarint(out, view.token.value());
   PutVarint(out, view.sequence);
   PutVarint(out, view.changed.size());
-  for (const MachineView& machine : view.changed) PutMachineView(out, machine);
+  for (const model::MachineView& machine : view.changed) PutMachineView(out, machine);
   PutNames(out, view.gone);
   PutVarint(out, view.failures.size());
-  for (const JobFailures& failures : view.failures) PutJobFailures(out, failures);
+  for (const model::JobFailures& failures : view.failures) PutJobFailures(out, failures);
 }
 
 BlockView ReadBlockView(VarintReader& reader) {
   BlockView view;
-  view.token = reader.Varint();
+  view.token = model::FencingToken(reader.Varint());
   view.sequence = reader.Varint();
   view.changed = ReadSeveral(reader, "the number of machines", ReadMachineView);
   view.gone = ReadNames(reader, "the number of machines that are gone");
--- a/src/wire/block_codec.h
+++ b/src/wire/block_codec.h
@@ -3,6 +3,7 @@
 
 #include <string>
 
+#include "model/machine_view.h"
 #include "wire/peer.h"
 #include "wire/varint.h"
 
@@ -16,6 +17,6 @@
 BlockAcknowledgement ReadBlockAcknowledgement(VarintReader& reader);
 
 // One machine's part of a view.
-void PutMachineView(std::string& out, const MachineView& view);
+void PutMachineView(std::string& out, const model::MachineView& view);
 
 }  // namespace hallpier::wire
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -10,6 +10,7 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
 namespace hallpier::wire {
 
@@ -78,6 +79,16 @@
   return v->GetBool();
 }
 
+// The texts in a list; what is not a text is left out. Null, or no list: none.
+inline std::vector<std::string> GetTexts(const JsonValue* list) {
+  std::vector<std::string> out;
+  if (list == nullptr || !list->IsArray()) return out;
+  for (const auto& v : list->GetArray()) {
+    if (v.IsString()) out.emplace_back(v.GetString(), v.GetStringLength());
+  }
+  return out;
+}
+
 inline std::string Dump(const JsonValue& v) {
   JsonWriter w;
   v.Accept(w);
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <limits>
 
+#include "model/member.h"
+
 namespace hallpier::wire {
 namespace {
 
@@ -10,13 +12,13 @@
 // anything is reserved for it.
 constexpr uint64_t kMaxMembers = 10000;
 
-void PutIncarnation(std::string& out, const Incarnation& incarnation) {
+void PutIncarnation(std::string& out, const model::Incarnation& incarnation) {
   PutVarint(out, incarnation.session);
   PutVarint(out, incarnation.refutation);
 }
 
-Incarnation ReadIncarnation(VarintReader& reader) {
-  Incarnation incarnation;
+model::Incarnation ReadIncarnation(VarintReader& reader) {
+  model::Incarnation incarnation;
   incarnation.session = reader.Varint();
   incarnation.refutation = reader.Varint();
   return incarnation;
@@ -24,13 +26,13 @@
 
 void PutFlag(std::string& out, bool flag) { PutVarint(out, flag ? 1 : 0); }
 
-MemberState ReadState(VarintReader& reader) {
+model::MemberState ReadState(VarintReader& reader) {
   const uint64_t number = reader.Varint();
-  if (number > static_cast<uint64_t>(MemberState::kLeft)) {
+  if (number > static_cast<uint64_t>(model::MemberState::kLeft)) {
     reader.Refuse("a member's state", number);
-    return MemberState::kAlive;
+    return model::MemberState::kAlive;
   }
-  return static_cast<MemberState>(number);
+  return static_cast<model::MemberState>(number);
 }
 
 // 0 stands for never, so that all others are one more than they are; the largest can't be.
@@ -45,15 +47,15 @@
   return heard - 1;
 }
 
-void PutObservation(std::string& out, const MemberObservation& observation) {
+void PutObservation(std::string& out, const model::MemberObservation& observation) {
   PutBytes(out, observation.node);
   PutIncarnation(out, observation.incarnation);
   PutVarint(out, static_cast<uint64_t>(observation.state));
   PutHeard(out, observation.heard_ms_ago);
 }
 
-MemberObservation ReadObservation(VarintReader& reader) {
-  MemberObservation observation;
+model::MemberObservation ReadObservation(VarintReader& reader) {
+  model::MemberObservation observation;
   observation.node = reader.Bytes();
   observation.incarnation = ReadIncarnation(reader);
   observation.state = ReadState(reader);
@@ -61,15 +63,15 @@
   return observation;
 }
 
-void PutVitals(std::string& out, const MemberVitals& vitals) {
+void PutVitals(std::string& out, const model::MemberVitals& vitals) {
   PutFlag(out, vitals.leading);
   PutFlag(out, vitals.state_direct);
   PutVarint(out, vitals.turn_delay_ms);
   PutVarint(out, vitals.worker_reports);
 }
 
-MemberVitals ReadVitals(VarintReader& reader) {
-  MemberVitals vitals;
+model::MemberVitals ReadVitals(VarintReader& reader) {
+  model::MemberVitals vitals;
   vitals.leading = reader.Varint() != 0;
   vitals.state_direct = reader.Varint() != 0;
   vitals.turn_delay_ms = reader.Varint();
@@ -114,7 +116,7 @@
   PutVitals(out, status.vitals);
   PutBytes(out, status.yields_to);
   PutVarint(out, status.observations.size());
-  for (const MemberObservation& observation : status.observations) {
+  for (const model::MemberObservation& observation : status.observations) {
     PutObservation(out, observation);
   }
 }
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -40,7 +40,7 @@
   void operator()(const PeerStatus& s) {
     PutVarint(out, kStatus);
     PutBytes(out, s.node);
-    PutVarint(out, s.token);
+    PutVarint(out, s.token.value());
     PutVarint(out, static_cast<uint64_t>(s.leading));
     PutVarint(out, static_cast<uint64_t>(s.state_good));
   }
@@ -135,7 +135,7 @@
 PeerStatus ReadStatus(VarintReader& r) {
   PeerStatus status;
   status.node = r.Bytes();
-  status.token = r.Varint();
+  status.token = model::FencingToken(r.Varint());
   status.leading = r.Varint() != 0;
   status.state_good = r.Varint() != 0;
   return status;
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -1,7 +1,6 @@
 // What controllers say to each other, in the varint codec.
 #pragma once
 
-#include <compare>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -9,15 +8,17 @@
 #include <variant>
 #include <vector>
 
+#include "model/ids.h"
+#include "model/machine_view.h"
+#include "model/member.h"
 #include "wire/http.h"
-#include "wire/messages.h"
 
 namespace hallpier::wire {
 
 // How a node sees the world; sent as a ping, and back as its answer.
 struct PeerStatus {
   std::string node;
-  uint64_t token = 0;  // the highest it knows
+  model::FencingToken token;  // the highest it knows
   bool leading = false;
   bool state_good = false;  // the state service answers it
   bool operator==(const PeerStatus&) const = default;
@@ -67,42 +68,13 @@
 // Membership (src/membership). Understood by nodes whose mark says so (store::kMembershipFormat),
 // and sent to no other.
 
-// One life of a node's process, and how often that process has refuted a suspicion. A higher one
-// overrides all that was said of a lower one.
-struct Incarnation {
-  uint64_t session = 0;     // 0: none is known
-  uint64_t refutation = 0;  // within the session
-  auto operator<=>(const Incarnation&) const = default;
-};
-
-enum class MemberState : uint8_t { kAlive = 0, kSuspect = 1, kFailed = 2, kLeft = 3 };
-
-// What the sender of a status has observed of another node.
-struct MemberObservation {
-  std::string node;
-  Incarnation incarnation;
-  MemberState state = MemberState::kAlive;
-  // How long before it was sent the node was known to be alive; nothing: never.
-  std::optional<uint64_t> heard_ms_ago;
-  bool operator==(const MemberObservation&) const = default;
-};
-
-// How well a node is placed to lead.
-struct MemberVitals {
-  bool leading = false;
-  bool state_direct = false;    // the state service answers it without a relay
-  uint64_t turn_delay_ms = 0;   // how late its event loop gets its turns, lately
-  uint64_t worker_reports = 0;  // that reached it in the last half of a report period
-  bool operator==(const MemberVitals&) const = default;
-};
-
 struct MemberStatus {
   std::string node;
-  Incarnation incarnation;
-  MemberState state = MemberState::kAlive;  // kLeft: it is about to end
-  MemberVitals vitals;
+  model::Incarnation incarnation;
+  model::MemberState state = model::MemberState::kAlive;  // kLeft: it is about to end
+  model::MemberVitals vitals;
   std::string yields_to;  // a leader that gives up the lead names who is to take it
-  std::vector<MemberObservation> observations;
+  std::vector<model::MemberObservation> observations;
   bool operator==(const MemberStatus&) const = default;
 };
 
@@ -122,8 +94,8 @@
 
 struct MemberRow {
   std::string node;
-  Incarnation incarnation;
-  MemberState state = MemberState::kAlive;
+  model::Incarnation incarnation;
+  model::MemberState state = model::MemberState::kAlive;
   bool known = false;  // false: it has no record; an older version, or without membership
   bool leading = false;
   uint64_t since_ms = 0;  // how long it has been in its state, as far as this node knows
@@ -145,45 +117,13 @@
 // Blocks of machines (src/blocks). Understood by nodes whose mark says so (store::kBlocksFormat),
 // and sent to no other.
 
-// A task as its machine last reported it to the leader.
-struct TaskView {
-  TaskId task;
-  uint64_t attempt = 0;
-  TaskPhase phase = TaskPhase::kFetching;
-  Cause cause = Cause::kNone;
-  bool seen_start = false;  // the leader saw it start to run
-  uint64_t for_ms = 0;      // how long it has been in this phase; not kept up to date
-  bool operator==(const TaskView&) const = default;
-};
-
-// A machine as the leader sees it. Of one in another block only its zone is told.
-struct MachineView {
-  std::string machine;
-  std::string flavor;
-  std::string zone;
-  bool spot = false;
-  bool usable = false;              // it may get new tasks
-  std::vector<std::string> images;  // there, of those that unfinished jobs need
-  std::vector<TaskView> tasks;
-  bool operator==(const MachineView&) const = default;
-};
-
-// What the leader knows of the failures of a job's tasks.
-struct JobFailures {
-  std::string job;
-  bool suspected = false;  // it fails because of itself
-  bool retry_due = false;  // its holder may start one more task of it
-  std::vector<std::string> failed_on;
-  bool operator==(const JobFailures&) const = default;
-};
-
 // What a holder has to know of machines, as far as it has changed since the view before.
 struct BlockView {
-  uint64_t token = 0;     // of the leader that tells it; the highest one counts
-  uint64_t sequence = 0;  // 1: all that was told before is void
-  std::vector<MachineView> changed;
+  model::FencingToken token;  // of the leader that tells it; the highest one counts
+  uint64_t sequence = 0;      // 1: all that was told before is void
+  std::vector<model::MachineView> changed;
   std::vector<std::string> gone;
-  std::vector<JobFailures> failures;  // all there are
+  std::vector<model::JobFailures> failures;  // all there are
   bool operator==(const BlockView&) const = default;
 };
 
--- /dev/null
+++ b/src/wire/state_codec.h
@@ -0,0 +1,27 @@
+// The state service's JSON: reads, compare-and-swap transactions, watches and leases.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "model/key_value.h"
+
+namespace hallpier::wire {
+
+// Each is nothing, or empty, if the body is malformed.
+std::optional<model::KeyValue> ReadKeyValue(std::string_view body);
+std::optional<model::KeyValueList> ReadKeyValueList(std::string_view body);
+std::optional<model::WatchResponse> ReadWatchResponse(std::string_view body);
+std::optional<uint64_t> ReadRevision(std::string_view body);
+// The keys whose preconditions did not hold.
+std::vector<std::string> ReadFailedPreconditions(std::string_view body);
+std::optional<uint64_t> ReadLeaseId(std::string_view body);
+
+std::string WriteTransaction(const std::vector<model::Precondition>& preconditions,
+                             const std::vector<model::KeyWrite>& writes);
+std::string WriteLeaseRequest(double ttl_s);
+
+}  // namespace hallpier::wire
--- a/tests/blocks_cluster.h
+++ b/tests/blocks_cluster.h
@@ -20,7 +20,12 @@
 #include "blocks/machine_mirror.h"
 #include "blocks/view_sender.h"
 #include "fixtures.h"
-#include "jobs/batch.h"
+#include "jobs/transaction_builder.h"
+#include "model/heartbeat.h"
+#include "model/ids.h"
+#include "model/job.h"
+#include "model/key_value.h"
+#include "model/task.h"
 
 namespace hallpier::testing_support {
 
@@ -49,7 +54,7 @@
 
   explicit BlocksCluster(Options options) : options_(std::move(options)), random_(options_.seed) {
     settings_ = SettingsOf();
-    settings_.report_s = 2;
+    settings_.heartbeat_interval_s = 2;
     settings_.lease_s = 12;
     settings_.node = "node-0";
     settings_.teams = {{"team", 0, options_.limit, 0, 0}, {"other", 0, 0, 0, 0}};
@@ -63,7 +68,7 @@
     for (int i = 0; i < options_.machines; ++i) {
       Worker& worker = workers_["vm-" + std::to_string(100000 + i)];
       worker.answered_at = 0;
-      At(Uniform(0, settings_.report_s),
+      At(Uniform(0, settings_.heartbeat_interval_s),
          [this, i] { ReportLoop("vm-" + std::to_string(100000 + i)); });
     }
     WatchIdle();
@@ -94,7 +99,7 @@
   }
 
   // Users.
-  void Submit(const wire::JobSpec& spec) {
+  void Submit(const model::JobSpec& spec) {
     Execute({{store::JobKey(spec.id), 0}},
             {{store::JobKey(spec.id), store::WriteJob({spec, now_, false, 0}), 0}});
     submitted_.insert(spec.id);
@@ -241,7 +246,7 @@
     uint64_t process = 0, session = 0;
     std::vector<std::function<void()>> backlog;
     // The copy.
-    jobs::Ledger ledger{store::TasksPerShard(8)};
+    jobs::JobTable job_table{store::TasksPerGroup(8)};
     blocks::BlockRecords records;
     std::map<std::string, uint64_t> versions, seen;
     uint64_t revision = 0;
@@ -250,13 +255,13 @@
     std::unique_ptr<blocks::MachineMirror> mirror;
     plan::Context context;
     bool busy = false;
-    std::deque<jobs::Txn> queue;
-    std::deque<jobs::Txn> unanswered;
+    std::deque<jobs::Transaction> queue;
+    std::deque<jobs::Transaction> unanswered;
     // The lead.
     bool leads = false;
     bool divides = false;  // it knows blocks
-    uint64_t token = 0;
-    std::unique_ptr<fleet::Roster> roster;
+    model::FencingToken token;
+    std::unique_ptr<fleet::WorkerRegistry> registry;
     std::unique_ptr<blocks::Lending> lending;
     std::map<std::string, blocks::ViewSender> senders;
     Fate next_fate = Fate::kUsual;
@@ -268,20 +273,23 @@
     double cpus = 0;
     double ends = 0;
     bool ended = false;
-    wire::Cause cause = wire::Cause::kNone;
+    model::ExitCause cause = model::ExitCause::kNone;
   };
   struct Worker {
-    uint64_t session = 1, sequence = 0, token = 0;
+    uint64_t agent_epoch = 1, sequence = 0;
+    model::FencingToken token;
     double answered_at = 0;
-    std::map<wire::TaskId, Run> tasks;
+    std::map<model::TaskId, Run> tasks;
     bool poked = false;
     bool cut = false;
   };
 
   Node& NodeOf(const std::string& name) { return *nodes_.at(name); }
-  bool Without(const std::string& guard) const { return options_.without.contains(guard); }
-  fleet::Roster::Options RosterOptions() const {
-    return {settings_.report_s, settings_.lease_s, 1, 3};
+  bool Without(const std::string& precondition) const {
+    return options_.without.contains(precondition);
+  }
+  fleet::WorkerRegistry::Options RosterOptions() const {
+    return {settings_.heartbeat_interval_s, settings_.lease_s, 1, 3};
   }
   std::string Value(const std::string& key) const {
     auto it = state_.find(key);
@@ -302,7 +310,7 @@
     node.mirror = std::make_unique<blocks::MachineMirror>(RosterOptions());
     node.context.settings = &settings_;
     node.context.operators = &operators_;
-    node.context.flavors = {FlavorOf("c4", kMachineCpus)};
+    node.context.machine_types = {MachineTypeOf("c4", kMachineCpus)};
     Tick(name, node.process);
   }
 
@@ -319,17 +327,17 @@
   bool Reaches(const Node& node) const { return node.running && !outage_ && !node.state_cut; }
 
   // The state service.
-  std::vector<std::string> Execute(const std::vector<wire::Guard>& guards,
-                                   const std::vector<wire::Write>& writes) {
+  std::vector<std::string> Execute(const std::vector<model::Precondition>& preconditions,
+                                   const std::vector<model::KeyWrite>& writes) {
     std::vector<std::string> failed;
-    for (const wire::Guard& guard : guards) {
-      auto it = state_.find(guard.key);
-      if ((it == state_.end() ? 0 : it->second.version) != guard.version)
-        failed.push_back(guard.key);
+    for (const model::Precondition& precondition : preconditions) {
+      auto it = state_.find(precondition.key);
+      if ((it == state_.end() ? 0 : it->second.version) != precondition.version)
+        failed.push_back(precondition.key);
     }
     if (!failed.empty()) return failed;
     ++revision_;
-    for (const wire::Write& write : writes) {
+    for (const model::KeyWrite& write : writes) {
       ++writes_;
       if (write.value.empty()) {
         state_.erase(write.key);
@@ -350,12 +358,13 @@
     node.seen[key] = version;
     node.versions[key] = value.empty() ? 0 : version;
     const store::ParsedKey parsed = store::ParseKey(key);
-    if (parsed.kind == store::KeyKind::kJob || parsed.kind == store::KeyKind::kShard) {
-      node.ledger.Apply(parsed, value);
+    if (parsed.kind == store::KeyKind::kJob || parsed.kind == store::KeyKind::kTaskGroup) {
+      node.job_table.Apply(parsed, value);
     }
     if (parsed.kind == store::KeyKind::kDivision) node.records.PutDivision(value, version);
     if (parsed.kind == store::KeyKind::kShare) node.records.PutShare(parsed.job, value, version);
-    if (key == store::BlockKey(0) && node.leads && version != node.token) node.leads = false;
+    if (key == store::FencingTokenKey() && node.leads && version != node.token.value())
+      node.leads = false;
   }
   void Follow(Node& node) {
     if (!Reaches(node)) return;
@@ -401,14 +410,14 @@
     }
     leader_ = node.name;
     leader_seen_ = now_;
-    Execute({}, {{store::BlockKey(0), store::WriteBlock(node.name), 0}});
+    Execute({}, {{store::FencingTokenKey(), store::WriteFencingTokenRecord(node.name), 0}});
     node.leads = true;
     node.divides = options_.most_holders >= 2 && leaders_divide_;
-    node.token = revision_;
+    node.token = model::FencingToken(revision_);
     node.unanswered.clear();
-    Put(node, store::BlockKey(0), store::WriteBlock(node.name), revision_);
-    node.roster = std::make_unique<fleet::Roster>(RosterOptions());
-    node.roster->BeginTerm(node.token, now_, now_ + settings_.lease_s / 2);
+    Put(node, store::FencingTokenKey(), store::WriteFencingTokenRecord(node.name), revision_);
+    node.registry = std::make_unique<fleet::WorkerRegistry>(RosterOptions());
+    node.registry->BeginTerm(node.token, now_, now_ + settings_.lease_s / 2);
     node.lending = std::make_unique<blocks::Lending>(settings_, operators_.blocks);
     for (const std::string& other : names_) TellMember(node, other);
     node.lending->BeginTerm(node.token, node.records, now_);
@@ -428,9 +437,10 @@
 
   blocks::CopyState Copy(const Node& node) const {
     const uint64_t revision = Without("copy") ? UINT64_MAX : node.revision;
-    return {revision, node.leads ? node.token : VersionIn(node, store::BlockKey(0))};
+    return {revision, node.leads ? node.token
+                                 : model::FencingToken(VersionIn(node, store::FencingTokenKey()))};
   }
-  double WidenS() const { return operators_.blocks.widen_ratio * settings_.report_s; }
+  double WidenS() const { return operators_.blocks.widen_ratio * settings_.heartbeat_interval_s; }
 
   void Round(Node& node) {
     if (!node.unanswered.empty()) {
@@ -443,42 +453,43 @@
     const auto holder = node.records.Holding(node.name, node.session, Copy(node));
     if (!holder) return;
     const plan::Scope scope =
-        node.records.HolderScope(*holder, WidenS(), now_, settings_, node.ledger);
+        node.records.HolderScope(*holder, WidenS(), now_, settings_, node.job_table);
     const plan::RoundResult plan =
-        plan::PlanRound(node.context, node.ledger, node.mirror->roster(), now_, now_, &scope);
-    Send(node, plan.places, node.records.PlacementGuards(*holder), true);
+        plan::PlanRound(node.context, node.job_table, node.mirror->registry(), now_, now_, &scope);
+    Send(node, plan.places, node.records.PlacementPreconditions(*holder), true);
   }
 
   void LeaderRound(Node& node) {
-    if (node.revision < node.token && node.followed < log_.size()) return;
+    if (node.revision < node.token.value() && node.followed < log_.size()) return;
     std::optional<plan::Scope> scope;
     if (node.divides && node.records.division().divided())
       scope = node.records.WholeScope(WidenS(), now_);
-    node.roster->Learn(node.ledger);
-    std::vector<jobs::Mutation> mutations = node.roster->Collect(node.ledger, now_);
-    plan::RoundResult plan = plan::PlanRound(node.context, node.ledger, *node.roster, now_, now_,
-                                             scope ? &*scope : nullptr);
+    node.registry->Learn(node.job_table);
+    std::vector<jobs::TaskTransition> transitions = node.registry->Collect(node.job_table, now_);
+    plan::RoundResult plan = plan::PlanRound(node.context, node.job_table, *node.registry, now_,
+                                             now_, scope ? &*scope : nullptr);
     for (const plan::Preemption& p : plan.preemptions)
-      node.roster->Stop(p.task, p.attempt, p.grace_s);
-    std::vector<wire::Guard> guards = {{store::BlockKey(0), node.token}};
+      node.registry->Stop(p.task, p.attempt, p.grace_s);
+    std::vector<model::Precondition> preconditions = {store::TokenPrecondition(node.token)};
     if (node.divides) {
       if (Lend(node, plan, scope)) return;
       SendViews(node);
       plan.places.clear();
       const auto holder = node.records.Holding(node.name, node.session, Copy(node));
       if (!scope && !node.records.division().divided() && node.revision >= node.records.newest()) {
-        plan.places = plan::PlanRound(node.context, node.ledger, *node.roster, now_, now_).places;
+        plan.places =
+            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_).places;
       } else if (holder) {
         const plan::Scope own =
-            node.records.HolderScope(*holder, WidenS(), now_, settings_, node.ledger);
+            node.records.HolderScope(*holder, WidenS(), now_, settings_, node.job_table);
         plan.places =
-            plan::PlanRound(node.context, node.ledger, *node.roster, now_, now_, &own).places;
-        guards = node.records.PlacementGuards(*holder);
+            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_, &own).places;
+        preconditions = node.records.PlacementPreconditions(*holder);
       }
     }
-    mutations.insert(mutations.end(), plan.places.begin(), plan.places.end());
-    Send(node, mutations, guards, false);
-    for (const auto& [name, machine] : node.roster->all()) Poke(node, name);
+    transitions.insert(transitions.end(), plan.places.begin(), plan.places.end());
+    Send(node, transitions, preconditions, false);
+    for (const auto& [name, machine] : node.registry->all()) Poke(node, name);
   }
 
   // True if a write on records of blocks is under way.
@@ -486,44 +497,46 @@
     for (const std::string& other : names_) TellMember(node, other);
     auto change = node.lending->ReviewDivision(node.records, Copy(node), true, now_);
     if (!change && scope) {
-      change = node.lending->ReviewShares(node.records, Copy(node), node.ledger, *node.roster,
+      change = node.lending->ReviewShares(node.records, Copy(node), node.job_table, *node.registry,
                                           node.context, plan, *scope, {8, 8192});
     }
     if (!change) return false;
-    jobs::Txn txn;
-    txn.guards = std::move(change->guards);
-    txn.writes = std::move(change->writes);
-    node.queue.push_back(std::move(txn));
+    jobs::Transaction transaction;
+    transaction.preconditions = std::move(change->preconditions);
+    transaction.writes = std::move(change->writes);
+    node.queue.push_back(std::move(transaction));
     SendNext(node);
     return true;
   }
 
-  void Send(Node& node, const std::vector<jobs::Mutation>& mutations,
-            std::vector<wire::Guard> guards, bool placements_only) {
-    jobs::BatchLimits limits;
+  void Send(Node& node, const std::vector<jobs::TaskTransition>& transitions,
+            std::vector<model::Precondition> preconditions, bool placements_only) {
+    jobs::TransactionLimits limits;
     limits.ops = 8;
     limits.value_bytes = 8192;
-    limits.guards = std::move(guards);
+    limits.preconditions = std::move(preconditions);
     limits.packed = true;
     limits.time_of_day = now_;
     limits.placements_only = placements_only;
     limits.others_place = true;
     auto version = [&](const std::string& key) { return VersionIn(node, key); };
-    for (jobs::Txn& txn : jobs::BuildTxns(node.ledger, mutations, limits, version)) {
-      node.queue.push_back(std::move(txn));
+    for (jobs::Transaction& transaction :
+         jobs::BuildTransactions(node.job_table, transitions, limits, version)) {
+      node.queue.push_back(std::move(transaction));
     }
     SendNext(node);
   }
 
-  std::vector<wire::Guard> Kept(const std::vector<wire::Guard>& guards) const {
-    std::vector<wire::Guard> kept;
-    for (const wire::Guard& guard : guards) {
-      const store::KeyKind kind = store::ParseKey(guard.key).kind;
-      const bool out = (kind == store::KeyKind::kBlock && Without("token")) ||
+  std::vector<model::Precondition> Kept(
+      const std::vector<model::Precondition>& preconditions) const {
+    std::vector<model::Precondition> kept;
+    for (const model::Precondition& precondition : preconditions) {
+      const store::KeyKind kind = store::ParseKey(precondition.key).kind;
+      const bool out = (kind == store::KeyKind::kFencingToken && Without("token")) ||
                        (kind == store::KeyKind::kDivision && Without("division")) ||
                        (kind == store::KeyKind::kShare && Without("share")) ||
                        (kind == store::KeyKind::kJob && Without("job"));
-      if (!out) kept.push_back(guard);
+      if (!out) kept.push_back(precondition);
     }
     return kept;
   }
@@ -531,9 +544,9 @@
   void SendNext(Node& node) {
     node.busy = !node.queue.empty();
     if (node.queue.empty()) return;
-    jobs::Txn txn = std::move(node.queue.front());
+    jobs::Transaction transaction = std::move(node.queue.front());
     node.queue.pop_front();
-    const bool places = !txn.machines.empty();
+    const bool places = !transaction.machines.empty();
     Fate fate = places ? std::exchange(node.next_fate, Fate::kUsual) : Fate::kUsual;
     if (fate == Fate::kUsual && Uniform(0, 1) < options_.lost) fate = Fate::kAnswerLost;
     if (fate == Fate::kUsual && Uniform(0, 1) < options_.late) fate = Fate::kLate;
@@ -542,17 +555,18 @@
     const std::string name = node.name;
     const uint64_t process = node.process;
     auto failed = std::make_shared<std::vector<std::string>>();
-    auto execute = [this, txn, failed, name] {
-      *failed = Execute(Kept(txn.guards), txn.writes);
+    auto execute = [this, transaction, failed, name] {
+      *failed = Execute(Kept(transaction.preconditions), transaction.writes);
       if (!failed->empty()) ++conflicts_;
-      if (failed->empty()) NodeOf(name).placements += static_cast<int>(txn.machines.size());
+      if (failed->empty()) NodeOf(name).placements += static_cast<int>(transaction.machines.size());
       return revision_;
     };
     const double there_s = options_.delay_s * Uniform(1, 2),
                  back_s = options_.delay_s * Uniform(1, 2);
     if (fate == Fate::kNeverSent || fate == Fate::kLate) {
       if (fate == Fate::kLate) At(Uniform(options_.late_least_s, options_.late_s), execute);
-      At(kTimeoutS, [=, this] { InProcess(name, process, [=, this] { NoAnswer(name, txn); }); });
+      At(kTimeoutS,
+         [=, this] { InProcess(name, process, [=, this] { NoAnswer(name, transaction); }); });
       return;
     }
     At(there_s, [=, this] {
@@ -561,9 +575,9 @@
       At(lost ? kTimeoutS : back_s, [=, this] {
         InProcess(name, process, [=, this] {
           if (lost) {
-            NoAnswer(name, txn);
+            NoAnswer(name, transaction);
           } else {
-            Answered(name, txn, revision, *failed);
+            Answered(name, transaction, revision, *failed);
           }
         });
       });
@@ -571,24 +585,24 @@
   }
   static constexpr double kTimeoutS = 1;
 
-  void NoAnswer(const std::string& name, const jobs::Txn& txn) {
+  void NoAnswer(const std::string& name, const jobs::Transaction& transaction) {
     Node& node = NodeOf(name);
-    if (!txn.machines.empty()) node.unanswered.push_back(txn);
+    if (!transaction.machines.empty()) node.unanswered.push_back(transaction);
     node.queue.clear();
     node.busy = false;
   }
-  void Answered(const std::string& name, const jobs::Txn& txn, uint64_t revision,
+  void Answered(const std::string& name, const jobs::Transaction& transaction, uint64_t revision,
                 const std::vector<std::string>& failed) {
     Node& node = NodeOf(name);
     if (failed.empty()) {
-      for (const wire::Write& write : txn.writes) {
+      for (const model::KeyWrite& write : transaction.writes) {
         if (revision > node.revision) Put(node, write.key, write.value, revision);
       }
       return SendNext(node);
     }
     for (const std::string& key : failed) {
       auto it = state_.find(key);
-      if (key == store::BlockKey(0)) continue;
+      if (key == store::FencingTokenKey()) continue;
       if (it != state_.end()) Put(node, key, it->second.value, it->second.version);
       if (it == state_.end() && VersionIn(node, key) != 0)
         Put(node, key, "", VersionIn(node, key) + 1);
@@ -598,7 +612,7 @@
   }
 
   void SendViews(Node& leader) {
-    const auto machines = blocks::DescribeMachines(*leader.roster, leader.ledger, now_);
+    const auto machines = blocks::DescribeMachines(*leader.registry, leader.job_table, now_);
     for (const std::string& other : names_) {
       Node& node = NodeOf(other);
       if (other == leader.name || !node.running || node.peer_cut || leader.peer_cut) continue;
@@ -642,7 +656,7 @@
       free = std::max(free, kMachineCpus - taken);
     }
     double most = 0;
-    for (const auto& [id, job] : NodeOf(leader_).ledger.all()) {
+    for (const auto& [id, job] : NodeOf(leader_).job_table.all()) {
       const bool fits = job.spec.cpus <= std::min(left, free) + 1e-6;
       if (!job.cancelled && job.waiting() > 0 && fits) most = std::max(most, job.spec.cpus);
     }
@@ -653,7 +667,7 @@
     if (leader_.empty() || !NodeOf(leader_).running) return;
     idle_cpu_s_ += IdleCpus(Used()) * kTick;
     double placed = 0;
-    for (const auto& [id, job] : NodeOf(leader_).ledger.all())
+    for (const auto& [id, job] : NodeOf(leader_).job_table.all())
       placed += job.placed() * job.spec.cpus;
     const bool stalled = IdleCpus(placed) > 0 && starts_ == starts_seen_;
     starts_seen_ = starts_;
@@ -663,10 +677,10 @@
 
   // Workers. Each reports to the leader, and at once where the leader has something to tell it.
   void Poke(Node& leader, const std::string& machine) {
-    fleet::Machine* m = leader.roster->Find(machine);
-    const auto& placements = leader.ledger.On(machine);
+    fleet::Machine* m = leader.registry->Find(machine);
+    const auto& placements = leader.job_table.On(machine);
     const bool due = std::any_of(placements.begin(), placements.end(), [&](const auto& p) {
-      return leader.roster->StartIsDue(m->name, p.first, p.second);
+      return leader.registry->StartIsDue(m->name, p.first, p.second);
     });
     Worker& worker = workers_.at(machine);
     if (!due || worker.poked) return;
@@ -675,18 +689,20 @@
   }
   void ReportLoop(const std::string& machine) {
     Report(machine);
-    At(settings_.report_s * Uniform(0.75, 1.25), [this, machine] { ReportLoop(machine); });
+    At(settings_.heartbeat_interval_s * Uniform(0.75, 1.25),
+       [this, machine] { ReportLoop(machine); });
   }
   void Report(const std::string& machine) {
     Worker& worker = workers_.at(machine);
     worker.poked = false;
     ExpireLeases();
     if (leader_.empty() || worker.cut) return;
-    wire::Report report = ReportOf(machine, worker.session, ++worker.sequence, worker.token);
+    model::Heartbeat report =
+        ReportOf(machine, worker.agent_epoch, ++worker.sequence, worker.token);
     for (const auto& [task, run] : worker.tasks) {
       report.tasks.push_back(TaskReportOf(
           task.job, task.index, run.attempt,
-          run.ended ? wire::TaskPhase::kExited : wire::TaskPhase::kRunning, run.cause));
+          run.ended ? model::TaskPhase::kExited : model::TaskPhase::kRunning, run.cause));
     }
     const double sent = now_;
     const std::string to = leader_;
@@ -696,44 +712,46 @@
     At(options_.delay_s,
        [=, this] { InProcess(to, process, [=, this] { Answer(to, report, sent); }); });
   }
-  void Answer(const std::string& name, const wire::Report& report, double sent) {
+  void Answer(const std::string& name, const model::Heartbeat& report, double sent) {
     Node& leader = NodeOf(name);
-    // As Leadership::Entitled has it: one that may have been followed answers nobody.
+    // As LeaderElection::Entitled has it: one that may have been followed answers nobody.
     if (!leader.leads || name != leader_ || now_ - sent > 1) return;
-    leader.roster->OnReport(report, now_, false);
-    fleet::Machine* machine = leader.roster->Find(report.machine);
-    std::vector<wire::Order> orders;
-    if (leader.revision >= leader.token)
-      orders = leader.roster->Orders(*machine, leader.ledger, false);
-    leader.roster->OnAnswered(report, orders, now_);
-    const uint64_t token = leader.token;
-    At(options_.delay_s, [=, this] { Obey(report, token, orders, sent); });
-  }
-  void Obey(const wire::Report& report, uint64_t token, const std::vector<wire::Order>& orders,
-            double sent) {
+    leader.registry->OnHeartbeat(report, now_, false);
+    fleet::Machine* machine = leader.registry->Find(report.machine);
+    std::vector<model::WorkerCommand> commands;
+    if (leader.revision >= leader.token.value())
+      commands = leader.registry->Reconcile(*machine, leader.job_table, false);
+    leader.registry->OnAnswered(report, commands, now_);
+    const model::FencingToken token = leader.token;
+    At(options_.delay_s, [=, this] { Obey(report, token, commands, sent); });
+  }
+  void Obey(const model::Heartbeat& report, model::FencingToken token,
+            const std::vector<model::WorkerCommand>& commands, double sent) {
     ExpireLeases();
     Worker& worker = workers_.at(report.machine);
-    if (worker.cut || token < worker.token || report.session != worker.session) return;
+    if (worker.cut || token < worker.token ||
+        report.agent_epoch != model::AgentEpoch(worker.agent_epoch))
+      return;
     worker.token = token;
     worker.answered_at = std::max(worker.answered_at, sent);
-    for (const wire::Order& order : orders) {
+    for (const model::WorkerCommand& order : commands) {
       auto it = worker.tasks.find(order.task);
       const bool here = it != worker.tasks.end() && it->second.attempt == order.attempt;
-      if (order.verb == wire::Verb::kRun && !here) StartTask(report.machine, order);
-      if (order.verb == wire::Verb::kStop && here)
-        End(report.machine, order.task, order.attempt, wire::Cause::kStopped);
-      if (order.verb == wire::Verb::kForget && here) worker.tasks.erase(it);
+      if (order.kind == model::CommandKind::kRun && !here) StartTask(report.machine, order);
+      if (order.kind == model::CommandKind::kStop && here)
+        End(report.machine, order.task, order.attempt, model::ExitCause::kStopped);
+      if (order.kind == model::CommandKind::kForget && here) worker.tasks.erase(it);
     }
   }
   void ExpireLeases() {
     for (auto& [name, worker] : workers_) {
       if (now_ - worker.answered_at <= settings_.lease_s) continue;
       worker.tasks.clear();
-      ++worker.session;
+      ++worker.agent_epoch;
       worker.answered_at = now_;
     }
   }
-  void StartTask(const std::string& machine, const wire::Order& order) {
+  void StartTask(const std::string& machine, const model::WorkerCommand& order) {
     for (const auto& [name, other] : workers_) {
       auto it = other.tasks.find(order.task);
       if (it != other.tasks.end() && !it->second.ended) ++started_twice_;
@@ -752,16 +770,16 @@
     if (used > peak_.used) peak_ = {used, limit};
     // What ran when a limit was lowered may go on; nothing may be added to it.
     if (limit > 0 && used > limit + 1e-6 && now_ - limit_changed_at_ > kSettleS) ++overshoots_;
-    const uint64_t session = workers_.at(machine).session;
-    At(options_.run_s * Uniform(0.7, 1.3), [this, machine, order, session] {
-      if (workers_.at(machine).session == session) {
-        End(machine, order.task, order.attempt, wire::Cause::kDone);
+    const uint64_t agent_epoch = workers_.at(machine).agent_epoch;
+    At(options_.run_s * Uniform(0.7, 1.3), [this, machine, order, agent_epoch] {
+      if (workers_.at(machine).agent_epoch == agent_epoch) {
+        End(machine, order.task, order.attempt, model::ExitCause::kDone);
       }
     });
   }
   static constexpr double kSettleS = 3;
-  void End(const std::string& machine, const wire::TaskId& task, uint64_t attempt,
-           wire::Cause cause) {
+  void End(const std::string& machine, const model::TaskId& task, uint64_t attempt,
+           model::ExitCause cause) {
     Worker& worker = workers_.at(machine);
     auto it = worker.tasks.find(task);
     if (it == worker.tasks.end() || it->second.attempt != attempt || it->second.ended) return;
--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -4,6 +4,8 @@
 
 #include <gtest/gtest.h>
 
+#include "model/job.h"
+
 namespace hallpier {
 namespace {
 
@@ -65,8 +67,8 @@
   Submit(1, 3);
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 3; }, 20));
   for (int i = 0; i < 3; ++i) {
-    wire::JobSpec spec = Spec("run-9" + std::to_string(i), 1);
-    spec.priority = wire::Priority::kUrgent;
+    model::JobSpec spec = Spec("run-9" + std::to_string(i), 1);
+    spec.priority = model::Priority::kUrgent;
     cluster_->Submit(spec);
   }
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 4; }, 10));
@@ -123,7 +125,7 @@
     Start(options);
     const blocks::Division division(cluster_->Division());
     const size_t holder = *division.IndexOf(other_);
-    wire::JobSpec spec = Spec("run-900", 4);
+    model::JobSpec spec = Spec("run-900", 4);
     for (int i = 901; !division.MayPlace(holder, spec, spec.priority, 0, 1); ++i) {
       spec.id = "run-" + std::to_string(i);
     }
@@ -137,8 +139,8 @@
   }
   void FillTheLimit() {
     for (int i = 0; i < 6; ++i) {
-      wire::JobSpec spec = Spec("run-80" + std::to_string(i), 4);
-      spec.priority = wire::Priority::kUrgent;
+      model::JobSpec spec = Spec("run-80" + std::to_string(i), 4);
+      spec.priority = model::Priority::kUrgent;
       cluster_->Submit(spec);
     }
     ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() >= 12; }, 9));
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -4,6 +4,7 @@
 
 #include "blocks/division.h"
 #include "end_to_end.h"
+#include "model/task.h"
 #include "quota/share_record.h"
 
 namespace hallpier {
@@ -29,7 +30,7 @@
   }
   // Reads only what the stand-in workers run; each task takes one processor.
   void Record() {
-    cloud_->WatchStarts([this](const wire::TaskId& /*task*/) {
+    cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
     });
     state_->Watch([this](const std::string& key, const std::string& value) {
@@ -47,20 +48,20 @@
       return holder.node == "node-" + std::to_string(node);
     });
   }
-  rt::Task<bool> Divided(size_t holders) {
+  async::Task<bool> Divided(size_t holders) {
     bool ok = co_await Within(10, [&] { return Division().holders.size() == holders; });
     EXPECT_TRUE(ok) << state_->Value(store::DivisionKey());
     co_return ok;
   }
   static std::string Name(int i) { return "run-" + std::to_string(100 + i); }
-  rt::Task<> SubmitAll(int jobs, uint32_t tasks, int nodes) {
+  async::Task<> SubmitAll(int jobs, uint32_t tasks, int nodes) {
     for (int i = 0; i < jobs; ++i) {
       bool ok = co_await Until(i % nodes, "POST", "/submissions", Body(Spec(Name(i), tasks)), 201,
                                "", 10);
       EXPECT_TRUE(ok);
     }
   }
-  rt::Task<> AllDone(int jobs, int node, double limit_s) {
+  async::Task<> AllDone(int jobs, int node, double limit_s) {
     for (int i = 0; i < jobs; ++i) {
       bool ok = co_await Until(node, "GET", "/submissions/" + Name(i), "", 200, R"("phase":"done")",
                                limit_s);
@@ -72,7 +73,7 @@
     return record ? record->node.back() - '0' : -1;
   }
 
-  rt::Task<> ManySubmissions() {
+  async::Task<> ManySubmissions() {
     co_await Divided(3);
     co_await SubmitAll(30, 4, 3);
     co_await AllDone(30, 0, 40);
@@ -81,7 +82,7 @@
     EXPECT_GT(lendings_, 2);
   }
 
-  rt::Task<> AHolderAndThenTheLeaderEnd() {
+  async::Task<> AHolderAndThenTheLeaderEnd() {
     co_await Divided(3);
     co_await SubmitAll(20, 4, 3);
     const int leader = Leader();
@@ -100,7 +101,7 @@
   }
 
   // A node is put back to a version, or to settings, without blocks, and then forward again.
-  rt::Task<> OneGoesBackAndForth() {
+  async::Task<> OneGoesBackAndForth() {
     co_await Divided(3);
     co_await SubmitAll(10, 4, 3);
     const int other = (Leader() + 1) % 3;
@@ -117,7 +118,7 @@
   }
 
   // Somebody's hand, or a fault, has left records that can't be so.
-  rt::Task<> RecordsContradict() {
+  async::Task<> RecordsContradict() {
     co_await Divided(3);
     bool ok = co_await Within(5, [&] { return lendings_ >= 3; });
     EXPECT_TRUE(ok);
@@ -137,12 +138,13 @@
     co_await AllDone(6, 0, 30);
   }
 
-  rt::Task<> Off() {
+  async::Task<> Off() {
     co_await SubmitAll(4, 4, 3);
     co_await AllDone(4, 0, 30);
     co_await Pause(5 * kReport);
     EXPECT_EQ(divisions_ + lendings_, 0);
-    EXPECT_EQ(store::ReadMark(state_->Value(store::MarkKey("node-0"))), store::kMembershipFormat);
+    EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-0"))),
+              store::kMembershipFormat);
   }
 
  protected:
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -7,13 +7,18 @@
 #include "blocks/machine_mirror.h"
 #include "blocks/view_sender.h"
 #include "fixtures.h"
+#include "model/heartbeat.h"
+#include "model/job.h"
+#include "model/task.h"
 
 namespace hallpier::blocks {
 namespace {
 
 using namespace testing_support;
 
-const DivisionRecord kThree = {40, {{"a", 1, 9}, {"b", 2, 9}, {"c", 3, 9}}};
+using Token = model::FencingToken;
+
+const DivisionRecord kThree = {Token(40), {{"a", 1, 9}, {"b", 2, 9}, {"c", 3, 9}}};
 
 std::string Machine(int i) { return std::string("vm-").append(std::to_string(100000 + i)); }
 
@@ -45,7 +50,7 @@
 TEST(Division, IsReadAsWrittenAndBadOnesCountAsNone) {
   EXPECT_EQ(ReadDivision(WriteDivision(kThree)), kThree);
   EXPECT_EQ(ReadDivision(WriteDivision({})), DivisionRecord());
-  const std::string twice = WriteDivision({1, {{"a", 1, 1}, {"a", 2, 1}}});
+  const std::string twice = WriteDivision({Token(1), {{"a", 1, 1}, {"a", 2, 1}}});
   for (const std::string& bad : {std::string(), std::string("{}"), std::string(R"({"token":1})"),
                                  std::string(R"({"token":1,"holders":[{"node":"a"}]})"), twice}) {
     EXPECT_EQ(ReadDivision(bad), std::nullopt) << bad;
@@ -54,26 +59,26 @@
 
 TEST(Division, AJobIsOpenToOneHolderAndToOneMoreAfterEachWait) {
   const Division division(kThree);
-  wire::JobSpec spec = Spec("run-7", 1);
-  auto open = [&](wire::Priority priority, double waited_s) {
+  model::JobSpec spec = Spec("run-7", 1);
+  auto open = [&](model::Priority priority, double waited_s) {
     int n = 0;
     for (size_t i = 0; i < 3; ++i) {
       if (division.MayPlace(i, spec, priority, waited_s, 2)) ++n;
     }
     return n;
   };
-  EXPECT_EQ(open(wire::Priority::kNormal, 0), 1);
-  EXPECT_EQ(open(wire::Priority::kNormal, -1), 1) << "clocks differ";
-  EXPECT_EQ(open(wire::Priority::kNormal, 2), 2);
-  EXPECT_EQ(open(wire::Priority::kBestEffort, 4), 3);
-  EXPECT_EQ(open(wire::Priority::kUrgent, 0), 3);
+  EXPECT_EQ(open(model::Priority::kNormal, 0), 1);
+  EXPECT_EQ(open(model::Priority::kNormal, -1), 1) << "clocks differ";
+  EXPECT_EQ(open(model::Priority::kNormal, 2), 2);
+  EXPECT_EQ(open(model::Priority::kBestEffort, 4), 3);
+  EXPECT_EQ(open(model::Priority::kUrgent, 0), 3);
 }
 
 class DividerTest : public testing::Test {
  protected:
-  DividerTest() { divider_.BeginTerm(40); }
+  DividerTest() { divider_.BeginTerm(Token(40)); }
   std::optional<DivisionRecord> Review(const Candidates& candidates, uint64_t token = 40) {
-    return divider_.Review(current_, token, 100, candidates);
+    return divider_.Review(current_, Token(token), 100, candidates);
   }
   Divider divider_{9};
   DivisionRecord current_ = kThree;
@@ -107,29 +112,29 @@
 }
 
 TEST_F(DividerTest, ANewLeaderTrustsNoShareOfATermBefore) {
-  divider_.BeginTerm(50);
+  divider_.BeginTerm(Token(50));
   const auto next = Review({{"a", 1}, {"b", 2}, {"c", 3}}, 50);
   ASSERT_TRUE(next);
-  EXPECT_EQ(next->token, 50U);
+  EXPECT_EQ(next->token, Token(50));
   for (const Holder& holder : next->holders) EXPECT_EQ(holder.grant, 100U);
 }
 
 TEST_F(DividerTest, AHigherTokenOfTheSameTermKeepsShares) {
   const auto next = Review({{"a", 1}, {"b", 2}, {"c", 3}}, 45);
   ASSERT_TRUE(next);
-  EXPECT_EQ(next->token, 45U);
+  EXPECT_EQ(next->token, Token(45));
   EXPECT_EQ(next->holders, kThree.holders);
 }
 
 TEST_F(DividerTest, FewerThanTwoHoldNothing) {
-  EXPECT_EQ(Review({{"b", 2}}), (DivisionRecord{40, {}}));
-  EXPECT_EQ(Review({}), (DivisionRecord{40, {}}));
+  EXPECT_EQ(Review({{"b", 2}}), (DivisionRecord{Token(40), {}}));
+  EXPECT_EQ(Review({}), (DivisionRecord{Token(40), {}}));
 }
 
 TEST_F(DividerTest, NoMoreThanTheMostHoldBlocksAndThoseThatDoKeepThem) {
   Divider two(2);
-  current_ = {40, {{"c", 3, 9}}};
-  const auto next = two.Review(current_, 40, 100, {{"a", 1}, {"b", 2}, {"c", 3}});
+  current_ = {Token(40), {{"c", 3, 9}}};
+  const auto next = two.Review(current_, Token(40), 100, {{"a", 1}, {"b", 2}, {"c", 3}});
   ASSERT_TRUE(next);
   ASSERT_EQ(next->holders.size(), 2U);
   EXPECT_EQ(next->holders[0].node, "c");
@@ -205,23 +210,24 @@
 };
 
 TEST_F(BlockRecordsTest, AHolderNeedsItsSessionTheLeadersTokenAndACopyPastTheGrant) {
-  EXPECT_EQ(Holding(2, {50, 40}), 1U);
-  EXPECT_EQ(Holding(1, {60, 40}), std::nullopt) << "a former process";
-  EXPECT_EQ(Holding(2, {60, 41}), std::nullopt) << "another leader may place anything";
-  EXPECT_EQ(Holding(2, {49, 40}), std::nullopt) << "what was placed before the grant is unknown";
-  EXPECT_EQ(records_.Holding("d", 2, {50, 40}), std::nullopt);
+  EXPECT_EQ(Holding(2, {50, Token(40)}), 1U);
+  EXPECT_EQ(Holding(1, {60, Token(40)}), std::nullopt) << "a former process";
+  EXPECT_EQ(Holding(2, {60, Token(41)}), std::nullopt) << "another leader may place anything";
+  EXPECT_EQ(Holding(2, {49, Token(40)}), std::nullopt)
+      << "what was placed before the grant is unknown";
+  EXPECT_EQ(records_.Holding("d", 2, {50, Token(40)}), std::nullopt);
 }
 
 TEST_F(BlockRecordsTest, EveryPlacementIsGuardedByTokenDivisionAndShare) {
-  const auto guards = records_.PlacementGuards(1);
-  ASSERT_EQ(guards.size(), 3U);
-  EXPECT_EQ(guards[0].key, store::BlockKey(0));
-  EXPECT_EQ(guards[0].version, 40U);
-  EXPECT_EQ(guards[1].key, store::DivisionKey());
-  EXPECT_EQ(guards[1].version, 50U);
-  EXPECT_EQ(guards[2].key, store::ShareKey("b"));
-  EXPECT_EQ(guards[2].version, 60U);
-  EXPECT_EQ(records_.PlacementGuards(0)[2].version, 0U) << "no share is there";
+  const auto preconditions = records_.PlacementPreconditions(1);
+  ASSERT_EQ(preconditions.size(), 3U);
+  EXPECT_EQ(preconditions[0].key, store::FencingTokenKey());
+  EXPECT_EQ(preconditions[0].version, 40U);
+  EXPECT_EQ(preconditions[1].key, store::DivisionKey());
+  EXPECT_EQ(preconditions[1].version, 50U);
+  EXPECT_EQ(preconditions[2].key, store::ShareKey("b"));
+  EXPECT_EQ(preconditions[2].version, 60U);
+  EXPECT_EQ(records_.PlacementPreconditions(0)[2].version, 0U) << "no share is there";
 }
 
 TEST_F(BlockRecordsTest, WhatCannotBeReadAllowsNothing) {
@@ -230,48 +236,48 @@
   records_.PutDivision("nonsense", 80);
   EXPECT_FALSE(records_.division().divided());
   EXPECT_EQ(records_.newest(), 80U);
-  EXPECT_EQ(records_.AllGuards()[0].version, 80U) << "it can be written over";
+  EXPECT_EQ(records_.AllPreconditions()[0].version, 80U) << "it can be written over";
 }
 
 TEST_F(BlockRecordsTest, AHoldersRoomIsWhatItIsLentLessWhatItsMachinesHold) {
-  jobs::Ledger ledger(335);
-  PutJob(ledger, Spec("run-1", 50));
+  jobs::JobTable job_table(335);
+  PutJob(job_table, Spec("run-1", 50));
   const Division division(kThree);
   int placed = 0;
   for (uint32_t i = 0; placed < 3; ++i) {
     if (division.HolderOf(Machine(static_cast<int>(i))) != 1U) continue;
-    Place(ledger, "run-1", i, 1, Machine(static_cast<int>(i)));
+    Place(job_table, "run-1", i, 1, Machine(static_cast<int>(i)));
     ++placed;
   }
   config::Settings settings = SettingsOf();
   settings.teams = {{"team", 0, 12, 0, 0}};
-  const plan::Scope scope = records_.HolderScope(1, 1, 0, settings, ledger);
+  const plan::Scope scope = records_.HolderScope(1, 1, 0, settings, job_table);
   EXPECT_EQ(scope.room.at("team").cpus, 1);
 }
 
 class ViewTest : public testing::Test {
  protected:
   ViewTest() {
-    PutJob(ledger_, Spec("run-1", 3));
+    PutJob(job_table_, Spec("run-1", 3));
     for (int i = 0; i < 30; ++i) Report(i, 1);
   }
   void Report(int i, uint64_t sequence, bool busy = false) {
-    wire::Report report = ReportOf(Machine(i), 1, sequence, 0);
-    if (busy) report.tasks.push_back(TaskReportOf("run-1", 0, 1, wire::TaskPhase::kRunning));
-    leader_.OnReport(report, 1, false);
+    model::Heartbeat report = ReportOf(Machine(i), 1, sequence, {});
+    if (busy) report.tasks.push_back(TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning));
+    leader_.OnHeartbeat(report, 1, false);
   }
   std::vector<wire::BlockView> Next(uint64_t token = 5) {
-    return sender_.Next(token, division_, 1, DescribeMachines(leader_, ledger_, 1), {});
+    return sender_.Next(Token(token), division_, 1, DescribeMachines(leader_, job_table_, 1), {});
   }
   std::optional<uint64_t> Take(const std::vector<wire::BlockView>& views) {
     std::optional<uint64_t> last;
     for (const auto& view : views) last = mirror_.Take(view, 50);
     return last;
   }
-  const fleet::Roster::Options options_{3, 30, 3, 3};
+  const fleet::WorkerRegistry::Options options_{3, 30, 3, 3};
   const Division division_{kThree};
-  jobs::Ledger ledger_{335};
-  fleet::Roster leader_{options_};
+  jobs::JobTable job_table_{335};
+  fleet::WorkerRegistry leader_{options_};
   ViewSender sender_;
   MachineMirror mirror_{options_};
 };
@@ -280,14 +286,14 @@
   Report(4, 2, true);
   EXPECT_EQ(Take(Next()), 1U);
   int own = 0;
-  for (const auto& [name, machine] : mirror_.roster().all()) {
+  for (const auto& [name, machine] : mirror_.registry().all()) {
     EXPECT_EQ(machine.zone, "a");
     const bool mine = division_.HolderOf(name) == 1U;
-    EXPECT_EQ(mirror_.roster().Usable(machine, 51), mine);
-    EXPECT_EQ(machine.flavor, mine ? "c4" : "");
+    EXPECT_EQ(mirror_.registry().Usable(machine, 51), mine);
+    EXPECT_EQ(machine.machine_type, mine ? "c4" : "");
     if (mine) ++own;
   }
-  EXPECT_EQ(mirror_.roster().all().size(), 30U);
+  EXPECT_EQ(mirror_.registry().all().size(), 30U);
   EXPECT_GT(own, 3);
 }
 
@@ -302,20 +308,20 @@
   EXPECT_EQ(Take(changes), 0U) << "the one before it was missed";
   sender_.OnAcknowledged(0);
   EXPECT_EQ(Take(Next()), 1U);
-  EXPECT_TRUE(mirror_.roster().Find(Machine(mine))->held.contains({"run-1", 0}));
+  EXPECT_TRUE(mirror_.registry().Find(Machine(mine))->reported_tasks.contains({"run-1", 0}));
 }
 
 TEST_F(ViewTest, AFormerLeaderIsNotHeard) {
   Take(Next(6));
   ViewSender former;
-  EXPECT_EQ(Take(former.Next(5, division_, 1, {}, {})), std::nullopt);
-  EXPECT_EQ(mirror_.roster().all().size(), 30U);
+  EXPECT_EQ(Take(former.Next(Token(5), division_, 1, {}, {})), std::nullopt);
+  EXPECT_EQ(mirror_.registry().all().size(), 30U);
 }
 
 TEST_F(ViewTest, WithoutTheLeaderMachinesAreNotUsedForLong) {
   Take(Next());
-  for (const auto& [name, machine] : mirror_.roster().all()) {
-    EXPECT_FALSE(mirror_.roster().Usable(machine, 50 + 2 * options_.report_s));
+  for (const auto& [name, machine] : mirror_.registry().all()) {
+    EXPECT_FALSE(mirror_.registry().Usable(machine, 50 + 2 * options_.heartbeat_interval_s));
   }
 }
 
@@ -327,7 +333,7 @@
     EXPECT_LE(wire::WritePeerMessage(view).size(), wire::kMaxPeerFrame);
   }
   EXPECT_EQ(Take(views), views.size());
-  EXPECT_EQ(mirror_.roster().all().size(), 4000U);
+  EXPECT_EQ(mirror_.registry().all().size(), 4000U);
 }
 
 }  // namespace
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -1,14 +1,16 @@
 // The gap: the state service refuses the leader alone, another node confirms cancellations, then
 // the service is out for everybody. Scripted peers and one worker, by a fake clock.
-#include "lead/cancellation_watermark.h"
+#include "election/cancellation_watermark.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 
 #include "fixtures.h"
+#include "model/heartbeat.h"
+#include "model/task.h"
 
-namespace hallpier::lead {
+namespace hallpier::election {
 namespace {
 
 using namespace testing_support;
@@ -24,16 +26,16 @@
  protected:
   static constexpr double kRefused = 0;  // from here on the leader's own copy is of no use
   static constexpr double kTold = 2;     // when a user hears "cancelled" from node-1
-  static constexpr uint64_t kToken = 7;
+  static constexpr model::FencingToken kToken{7};
 
   GapDay()
       : watermark_({kCancel, kLease, kReport}, {"node-1", "node-2"}),
-        roster_({kReport, kLease, 3, 3}) {
-    PutJob(ledger_, Spec("run-1", 2));
-    PutJob(ledger_, Spec("run-2", 1));
-    Place(ledger_, "run-1", 0, 1, "vm-1");
-    Place(ledger_, "run-2", 0, 1, "vm-1");
-    roster_.BeginTerm(kToken, -100, -100);
+        registry_({kReport, kLease, 3, 3}) {
+    PutJob(job_table_, Spec("run-1", 2));
+    PutJob(job_table_, Spec("run-2", 1));
+    Place(job_table_, "run-1", 0, 1, "vm-1");
+    Place(job_table_, "run-2", 0, 1, "vm-1");
+    registry_.BeginTerm(kToken, -100, -100);
     on_machine_ = {{"run-1", true}, {"run-2", true}};
     watermark_.OnComplete(kRefused);
   }
@@ -51,8 +53,9 @@
       const auto cancellation_report = peer(now, q.beyond);
       if (!cancellation_report) continue;
       for (const wire::Cancellation& c : cancellation_report->cancelled) {
-        auto record = ledger_.CancelledRecord(c.job);
-        if (record) ledger_.Apply(store::ParseKey(store::JobKey(c.job)), store::WriteJob(*record));
+        auto record = job_table_.CancelledRecord(c.job);
+        if (record)
+          job_table_.Apply(store::ParseKey(store::JobKey(c.job)), store::WriteJob(*record));
       }
       watermark_.OnCancellationReport(node, now, *cancellation_report);
     }
@@ -75,14 +78,15 @@
       if (now >= next && watermark_.MayRenew(now)) {
         next = now + kReport;
         renewed = now;
-        wire::Report r = ReportOf("vm-1", session, ++sequence, kToken);
+        model::Heartbeat r = ReportOf("vm-1", session, ++sequence, kToken);
         for (const auto& [job, there] : on_machine_) {
-          if (there) r.tasks.push_back(TaskReportOf(job, 0, 1, wire::TaskPhase::kRunning));
+          if (there) r.tasks.push_back(TaskReportOf(job, 0, 1, model::TaskPhase::kRunning));
         }
-        roster_.OnReport(r, now, false);
-        for (const wire::Order& o : roster_.Orders(*roster_.Find("vm-1"), ledger_, false)) {
-          if (o.verb == wire::Verb::kStop) on_machine_[o.task.job] = false;
-          if (o.verb == wire::Verb::kRun) on_machine_[o.task.job] = true;
+        registry_.OnHeartbeat(r, now, false);
+        for (const model::WorkerCommand& o :
+             registry_.Reconcile(*registry_.Find("vm-1"), job_table_, false)) {
+          if (o.kind == model::CommandKind::kStop) on_machine_[o.task.job] = false;
+          if (o.kind == model::CommandKind::kRun) on_machine_[o.task.job] = true;
         }
       }
       if (!on_machine_["run-1"] && gone_at < 0) gone_at = now;
@@ -90,9 +94,9 @@
     return gone_at;
   }
 
-  jobs::Ledger ledger_{100};
+  jobs::JobTable job_table_{100};
   CancellationWatermark watermark_;
-  fleet::Roster roster_;
+  fleet::WorkerRegistry registry_;
   std::map<std::string, Peer> peers_ = {{"node-1", HandsOver},
                                         {"node-2", [](double, uint64_t) { return Nothing(); }}};
   std::map<std::string, bool> on_machine_;
@@ -143,15 +147,15 @@
 TEST_F(GapDay, ACancelledPipelineStartsNothing) {
   auto spec = Spec("run-3", 1);
   spec.awaits = {"run-1"};
-  PutJob(ledger_, spec);
+  PutJob(job_table_, spec);
   Play(20);
-  EXPECT_TRUE(ledger_.Find("run-3")->cancelled) << "what awaits it goes with it";
-  jobs::Mutation m;
+  EXPECT_TRUE(job_table_.Find("run-3")->cancelled) << "what awaits it goes with it";
+  jobs::TaskTransition m;
   m.task = {"run-3", 0};
   m.attempt = 1;
   m.machine = "vm-1";
-  store::Shard shard;
-  EXPECT_FALSE(ledger_.Change(*ledger_.Find("run-3"), m, &shard));
+  store::TaskGroup task_group;
+  EXPECT_FALSE(job_table_.Change(*job_table_.Find("run-3"), m, &task_group));
 }
 
 TEST_F(GapDay, AHungMachineComesBack) {
@@ -202,4 +206,4 @@
 }
 
 }  // namespace
-}  // namespace hallpier::lead
+}  // namespace hallpier::election
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -1,6 +1,8 @@
 // Troubles that meet, on whole nodes against stand-ins. docs/concurrent-failures.md names the test
 // of each.
 #include "end_to_end.h"
+#include "model/job.h"
+#include "model/task.h"
 
 namespace hallpier {
 namespace {
@@ -10,25 +12,25 @@
 
 class MeetingTest : public EndToEnd {
  public:
-  rt::Task<bool> Accepted(int node, wire::JobSpec spec) {
+  async::Task<bool> Accepted(int node, model::JobSpec spec) {
     bool ok = co_await Until(node, "POST", "/submissions", Body(spec), 201, "", 10);
     EXPECT_TRUE(ok) << spec.id;
     co_return ok;
   }
-  rt::Task<bool> Runs(std::string id, int tasks, double limit_s = 10) {
+  async::Task<bool> Runs(std::string id, int tasks, double limit_s = 10) {
     bool ok = co_await Within(limit_s, [&] { return cloud_->Running(id) == tasks; });
     EXPECT_TRUE(ok) << id << ": " << cloud_->Running(id);
     co_return ok;
   }
   // Every node, asked at once.
-  rt::Task<> AllSay(std::string id, std::string what) {
+  async::Task<> AllSay(std::string id, std::string what) {
     for (int node = 0; node < 3; ++node) {
       wire::HttpResponse r = co_await Ask(node, "GET", "/submissions/" + id);
       EXPECT_EQ(r.status, 200) << id << " at node " << node;
       EXPECT_NE(r.body.find(what), std::string::npos) << id << " at node " << node << r.body;
     }
   }
-  rt::Task<std::string> Withdraw(int node, std::string id) {
+  async::Task<std::string> Withdraw(int node, std::string id) {
     wire::HttpResponse r = co_await Ask(node, "POST", "/submissions/" + id + "/withdraw");
     EXPECT_EQ(r.status, 200);
     co_return r.body.find("cancelled") != std::string::npos ? "cancelled" : "done";
@@ -43,7 +45,7 @@
     run_s_ = 60;
     cpus_max_ = 4;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     // Machines are there, and nothing else is to be written when run-2 is placed.
     co_await Accepted(0, Spec("run-1", 4));
     co_await Runs("run-1", 4);
@@ -54,7 +56,7 @@
     state_->LoseAnswers("hallpier/a/t/run-2", State::Lost::kLate);
     co_await Accepted(0, Spec("run-2", 4));
     auto urgent = Spec("run-3", 4);
-    urgent.priority = wire::Priority::kUrgent;
+    urgent.priority = model::Priority::kUrgent;
     bool lost = co_await Within(10, [&] { return state_->lost() == 1; });
     EXPECT_TRUE(lost);
     co_await Accepted(0, urgent);
@@ -82,7 +84,7 @@
 class LateAndNextLeaderTest : public MeetingTest {
  public:
   LateAndNextLeaderTest() { run_s_ = 2; }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await StartOthersOnceItLeads();
     state_->LoseAnswers("hallpier/a/t/run-1", State::Lost::kLate, 2);
     co_await Accepted(1, Spec("run-1", 20));
@@ -109,7 +111,7 @@
 // accepted, ended or confirmed as cancelled. The nodes' copies lag behind all the while.
 class CloseLooksTest : public MeetingTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
     state_->SetWatchLag(0.4);
     co_await Pause(0.5);
@@ -147,7 +149,7 @@
 class LostAnswerTest : public MeetingTest {
  public:
   LostAnswerTest() { run_s_ = 30; }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
     state_->LoseAnswers("hallpier/a/j/run-2", State::Lost::kAtOnce);
     wire::HttpResponse r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
@@ -183,7 +185,7 @@
 class CancelAtTheEndTest : public MeetingTest {
  public:
   CancelAtTheEndTest() { run_s_ = 0.25; }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
     for (int i = 20; i < 32; ++i) {
       const std::string id = "run-" + std::to_string(i);
@@ -229,11 +231,11 @@
     cancel_s_ = 5;
     run_s_ = 60;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await StartOthersOnceItLeads();
     for (int i = 1; i <= 4; ++i) co_await Accepted(1, Spec("run-" + std::to_string(i), 4));
     for (int i = 1; i <= 4; ++i) co_await Runs("run-" + std::to_string(i), 4);
-    cloud_->WatchStarts([this](const wire::TaskId& t) {
+    cloud_->WatchStarts([this](const model::TaskId& t) {
       if (told_.contains(t.job) && loop_.Now() > told_[t.job] + 1) ++late_starts_;
     });
     End(0);
@@ -273,7 +275,7 @@
 class AllAwayTest : public MeetingTest {
  public:
   AllAwayTest() { run_s_ = 2; }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 12));
     co_await Accepted(1, Spec("run-2", 3));
     co_await Runs("run-1", 12);
@@ -298,7 +300,7 @@
 // Leaders change again and again, also inside an outage.
 class ManyLeadersTest : public MeetingTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(1, Spec("run-1", 60));
     for (int i = 0; i < 10; ++i) {
       if (i == 4) state_->SetOutage(true);
@@ -327,7 +329,7 @@
     state_rps_ = 150;
     run_s_ = 1;
   }
-  rt::Task<> One(int i) {
+  async::Task<> One(int i) {
     const std::string id = "run-" + std::to_string(100 + i);
     co_await Accepted(i % 3, Spec(id, 1));
     const bool cancelled = i % 4 == 0;
@@ -341,7 +343,7 @@
     EXPECT_TRUE(ok) << id;
     if (ok) ++ended_jobs_;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     for (int i = 0; i < kJobs; ++i) {
       scope_.Spawn(One(i));
       co_await Pause(0.25);
@@ -363,7 +365,7 @@
 // What can't run, or lacks a field, is refused whatever else goes on; what is done stays done.
 class OddRequestsTest : public MeetingTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 2));
     bool ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "\"done\",", 20);
     EXPECT_TRUE(ok);
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -1,7 +1,10 @@
 #include <gtest/gtest.h>
 
 #include "config/settings.h"
-#include "wire/messages.h"
+#include "model/job.h"
+#include "wire/json.h"
+#include "wire/user_codec.h"
+#include "wire/worker_codec.h"
 
 namespace hallpier {
 namespace {
@@ -142,8 +145,8 @@
   wire::WriteJobSpec(w, *spec);
   auto again = wire::ReadJobSpec(*wire::ParseObject(w.Take()), &bad);
   ASSERT_TRUE(again) << bad.field;
-  EXPECT_EQ(again->priority, wire::Priority::kUrgent);
-  EXPECT_EQ(again->flavors, spec->flavors);
+  EXPECT_EQ(again->priority, model::Priority::kUrgent);
+  EXPECT_EQ(again->machine_types, spec->machine_types);
   EXPECT_EQ(again->due_s, 900);
   EXPECT_TRUE(again->one_zone);
 }
@@ -168,10 +171,10 @@
 TEST(Messages, AReportWithAnUnreadablePieceIsRefusedWhole) {
   const std::string head =
       R"({"host":"vm-1","endpoint":"e","flavor":"f","hall":"a","tenure":1,"tick":2,"pieces":[)";
-  EXPECT_TRUE(
-      wire::ReadReport(head + R"({"piece":"run-1/0","try":1,"phase":"ended","cause":"done"}]})"));
-  EXPECT_FALSE(wire::ReadReport(head + R"({"piece":"run-1/0","try":1,"phase":"odd"}]})"));
-  EXPECT_FALSE(wire::ReadReport(head + R"({"piece":"nonsense","try":1,"phase":"running"}]})"));
+  EXPECT_TRUE(wire::ReadHeartbeat(
+      head + R"({"piece":"run-1/0","try":1,"phase":"ended","cause":"done"}]})"));
+  EXPECT_FALSE(wire::ReadHeartbeat(head + R"({"piece":"run-1/0","try":1,"phase":"odd"}]})"));
+  EXPECT_FALSE(wire::ReadHeartbeat(head + R"({"piece":"nonsense","try":1,"phase":"running"}]})"));
 }
 
 }  // namespace
