--- a/tests/pipelines_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -4,49 +4,53 @@
 #include <chrono>
 
 #include "fixtures.h"
-#include "jobs/batch.h"
+#include "jobs/transaction_builder.h"
+#include "model/job.h"
 
 namespace hallpier::jobs {
 namespace {
 
 using namespace testing_support;
-using Kind = Mutation::Kind;
+using Kind = TaskTransition::Kind;
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 class PipelinesTest : public testing::Test {
  protected:
-  PipelinesTest() : ledger_(64) {}
+  PipelinesTest() : job_table_(64) {}
 
-  static wire::JobSpec Awaiting(const std::string& id, std::vector<std::string> awaits) {
-    wire::JobSpec s = Spec(id, 2);
+  static model::JobSpec Awaiting(const std::string& id, std::vector<std::string> awaits) {
+    model::JobSpec s = Spec(id, 2);
     s.awaits = std::move(awaits);
     return s;
   }
   void Put(const std::string& id, std::vector<std::string> awaits, double at = 1) {
-    PutJob(ledger_, Awaiting(id, std::move(awaits)), at);
+    PutJob(job_table_, Awaiting(id, std::move(awaits)), at);
   }
   void Cancel(const std::string& id) {
-    PutJob(ledger_, ledger_.Find(id)->spec, ledger_.Find(id)->submitted, true);
+    PutJob(job_table_, job_table_.Find(id)->spec, job_table_.Find(id)->submitted, true);
   }
-  void Drop(const std::string& id) { ledger_.Apply(store::ParseKey(store::JobKey(id)), ""); }
+  void Drop(const std::string& id) { job_table_.Apply(store::ParseKey(store::JobKey(id)), ""); }
   // As the leader records it: the end is known when the record goes.
-  void End(const std::string& id, wire::Phase phase, double at = 50) {
-    ledger_.RecordFinal(id, {phase, 2, at});
+  void End(const std::string& id, model::JobPhase phase, double at = 50) {
+    job_table_.RecordFinal(id, {phase, 2, at});
     Drop(id);
   }
-  const Job& Get(const std::string& id) { return *ledger_.Find(id); }
+  const Job& Get(const std::string& id) { return *job_table_.Find(id); }
   bool Places(const std::string& id) {
-    Mutation m;
+    TaskTransition m;
     m.task = {id, 0};
     m.attempt = 1;
     m.machine = "vm-1";
-    return !BuildTxns(ledger_, {m}, limits_, [](const std::string&) { return 0; }).empty();
+    return !BuildTransactions(job_table_, {m}, limits_, [](const std::string&) {
+              return 0;
+            }).empty();
   }
   // Ids of the jobs that a round makes final, in the order of the writes.
   std::vector<std::string> Ends() {
     std::vector<std::string> out;
-    for (const auto& t : BuildTxns(ledger_, {}, limits_, [](const std::string&) { return 0; })) {
+    for (const auto& t :
+         BuildTransactions(job_table_, {}, limits_, [](const std::string&) { return 0; })) {
       for (const auto& w : t.writes) {
         const auto key = store::ParseKey(w.key);
         if (key.kind == store::KeyKind::kFinal) out.push_back(key.job);
@@ -55,20 +59,20 @@
     return out;
   }
 
-  Ledger ledger_;
-  BatchLimits limits_ = {4, {{"block", 5}}, 0, 0, true, 100};
+  JobTable job_table_;
+  TransactionLimits limits_ = {4, {{"block", 5}}, 0, 0, true, 100};
 };
 
 TEST_F(PipelinesTest, NothingStartsBeforeAllAwaitedAreRecordedAsDone) {
   Put("run-1", {});
   Put("run-2", {});
   Put("run-3", {"run-1", "run-2"}, 10);
-  EXPECT_TRUE(Get("run-3").held);
-  End("run-1", wire::Phase::kDone, 50);
-  EXPECT_TRUE(Get("run-3").held);
+  EXPECT_TRUE(Get("run-3").blocked);
+  End("run-1", model::JobPhase::kDone, 50);
+  EXPECT_TRUE(Get("run-3").blocked);
   EXPECT_FALSE(Places("run-3")) << "whoever asked for it";
-  End("run-2", wire::Phase::kDone, 40);
-  EXPECT_FALSE(Get("run-3").held);
+  End("run-2", model::JobPhase::kDone, 40);
+  EXPECT_FALSE(Get("run-3").blocked);
   EXPECT_EQ(Get("run-3").since, 50) << "the last awaited one's end";
   EXPECT_TRUE(Places("run-3"));
 }
@@ -78,24 +82,25 @@
   Put("run-1", {});
   Put("run-2", {"run-1"});
   Drop("run-1");
-  EXPECT_TRUE(Get("run-2").held);
-  EXPECT_EQ(ledger_.pipelines().unknown(), std::set<std::string>{"run-1"});
+  EXPECT_TRUE(Get("run-2").blocked);
+  EXPECT_EQ(job_table_.dependency_graph().unknown(), std::set<std::string>{"run-1"});
   EXPECT_FALSE(Places("run-2"));
-  ledger_.RecordFinal("run-1", {wire::Phase::kDone, 2, 0});
-  EXPECT_FALSE(Get("run-2").held);
+  job_table_.RecordFinal("run-1", {model::JobPhase::kDone, 2, 0});
+  EXPECT_FALSE(Get("run-2").blocked);
   EXPECT_EQ(Get("run-2").since, 1) << "an end without a time was before the submission";
-  EXPECT_TRUE(ledger_.pipelines().unknown().empty());
+  EXPECT_TRUE(job_table_.dependency_graph().unknown().empty());
   Drop("run-2");
-  EXPECT_EQ(ledger_.pipelines().Final("run-1"), nullptr) << "kept for as long as it is awaited";
+  EXPECT_EQ(job_table_.dependency_graph().Final("run-1"), nullptr)
+      << "kept for as long as it is awaited";
 }
 
 TEST_F(PipelinesTest, RecordsMayComeInAnyOrder) {
   Put("run-3", {"run-2"});
-  EXPECT_TRUE(Get("run-3").held);
-  wire::JobSpec two = Awaiting("run-2", {"run-1"});
-  PutJob(ledger_, two);
-  EXPECT_EQ(ledger_.pipelines().unknown(), std::set<std::string>{"run-1"});
-  PutJob(ledger_, Spec("run-1", 2), 1, true);
+  EXPECT_TRUE(Get("run-3").blocked);
+  model::JobSpec two = Awaiting("run-2", {"run-1"});
+  PutJob(job_table_, two);
+  EXPECT_EQ(job_table_.dependency_graph().unknown(), std::set<std::string>{"run-1"});
+  PutJob(job_table_, Spec("run-1", 2), 1, true);
   EXPECT_TRUE(Get("run-2").cancelled);
   EXPECT_TRUE(Get("run-3").cancelled);
 }
@@ -109,7 +114,7 @@
   Put("run-6", {"run-2"});
   Cancel("run-1");
   for (const char* id : {"run-3", "run-4", "run-5"}) {
-    EXPECT_EQ(Get(id).Status().phase, wire::Phase::kCancelled) << id;
+    EXPECT_EQ(Get(id).Status().phase, model::JobPhase::kCancelled) << id;
   }
   EXPECT_FALSE(Get("run-2").cancelled);
   EXPECT_FALSE(Get("run-6").cancelled);
@@ -126,7 +131,7 @@
   Cancel("run-1");
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2", "run-1"}));
   // A job that was cancelled while its tasks run takes its time; those after it are final already.
-  Place(ledger_, "run-1", 0, 1, "vm-1");
+  Place(job_table_, "run-1", 0, 1, "vm-1");
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2"}));
   // Halfway along, with another leader: the rest of the way is not lost.
   Drop("run-3");
@@ -139,7 +144,7 @@
   Put("run-2", {"run-1"});
   Put("run-3", {"run-2"});
   EXPECT_FALSE(Get("run-3").cancelled);
-  ledger_.RecordFinal("run-1", {wire::Phase::kCancelled, 0, 50});
+  job_table_.RecordFinal("run-1", {model::JobPhase::kCancelled, 0, 50});
   EXPECT_TRUE(Get("run-3").cancelled);
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2"}));
 }
@@ -147,43 +152,43 @@
 TEST_F(PipelinesTest, DoneStaysDoneForThoseThatCome) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
-  End("run-1", wire::Phase::kDone);
+  End("run-1", model::JobPhase::kDone);
   // Whatever may still be told of it late.
-  ledger_.RecordFinal("run-1", {wire::Phase::kCancelled, 0, 60});
+  job_table_.RecordFinal("run-1", {model::JobPhase::kCancelled, 0, 60});
   EXPECT_FALSE(Get("run-2").cancelled);
-  EXPECT_FALSE(Get("run-2").held);
+  EXPECT_FALSE(Get("run-2").blocked);
 }
 
 TEST_F(PipelinesTest, AJobIsAsUrgentAsWhatNeedsIt) {
-  wire::JobSpec last = Awaiting("run-4", {"run-2", "run-3"});
-  last.priority = wire::Priority::kUrgent;
+  model::JobSpec last = Awaiting("run-4", {"run-2", "run-3"});
+  last.priority = model::Priority::kUrgent;
   last.due_s = 200;
-  wire::JobSpec three = Awaiting("run-3", {"run-1"});
+  model::JobSpec three = Awaiting("run-3", {"run-1"});
   three.estimate_s = 40;
   Put("run-1", {});
   Put("run-2", {"run-1"});
-  PutJob(ledger_, three);
-  EXPECT_EQ(Get("run-1").priority, wire::Priority::kNormal);
+  PutJob(job_table_, three);
+  EXPECT_EQ(Get("run-1").priority, model::Priority::kNormal);
   EXPECT_EQ(Get("run-1").due, kNever) << "until the last is there";
-  PutJob(ledger_, last, 10);
+  PutJob(job_table_, last, 10);
   for (const char* id : {"run-1", "run-2", "run-3"}) {
-    EXPECT_EQ(Get(id).priority, wire::Priority::kUrgent) << id;
+    EXPECT_EQ(Get(id).priority, model::Priority::kUrgent) << id;
   }
   EXPECT_EQ(Get("run-4").due, 210);
   EXPECT_EQ(Get("run-3").due, 200) << "less the run time of the last";
   EXPECT_EQ(Get("run-1").due, 160) << "by the longest way";
   EXPECT_EQ(Get("run-4").since, 10) << "its deadline counts from the submission all the same";
   Cancel("run-3");
-  EXPECT_EQ(Get("run-1").priority, wire::Priority::kNormal) << "nothing urgent is left after it";
+  EXPECT_EQ(Get("run-1").priority, model::Priority::kNormal) << "nothing urgent is left after it";
   EXPECT_EQ(Get("run-1").due, kNever);
 }
 
 TEST_F(PipelinesTest, OfSeveralThatNeedItTheNearestCounts) {
   Put("run-1", {});
   for (int i = 2; i < 6; ++i) {
-    wire::JobSpec s = Awaiting("run-" + std::to_string(i), {"run-1"});
+    model::JobSpec s = Awaiting("run-" + std::to_string(i), {"run-1"});
     s.due_s = 100.0 * i;
-    PutJob(ledger_, s, 0);
+    PutJob(job_table_, s, 0);
   }
   EXPECT_EQ(Get("run-1").due, 190);
   Cancel("run-2");
@@ -197,14 +202,14 @@
   auto name = [](int i) { return "run-" + std::to_string(i); };
   Put(name(0), {});
   for (int i = 1; i < kJobs; ++i) {
-    wire::JobSpec s = Awaiting(name(i), {name(i <= kJobs / 2 ? i - 1 : 0)});
-    PutJob(ledger_, s);
+    model::JobSpec s = Awaiting(name(i), {name(i <= kJobs / 2 ? i - 1 : 0)});
+    PutJob(job_table_, s);
   }
-  wire::JobSpec urgent = Awaiting("run-99999", {name(kJobs / 2)});
-  urgent.priority = wire::Priority::kProd;
+  model::JobSpec urgent = Awaiting("run-99999", {name(kJobs / 2)});
+  urgent.priority = model::Priority::kProd;
   urgent.due_s = 1e6;
-  PutJob(ledger_, urgent);
-  EXPECT_EQ(Get(name(0)).priority, wire::Priority::kProd);
+  PutJob(job_table_, urgent);
+  EXPECT_EQ(Get(name(0)).priority, model::Priority::kProd);
   const int jobs_between = kJobs / 2 + 1;
   EXPECT_EQ(Get(name(0)).due, 1 + 1e6 - 10 * jobs_between);
   Cancel(name(0));
@@ -225,23 +230,24 @@
   Put("run-4", {});
   Cancel("run-1");
   Cancel("run-3");
-  Mutation m;
+  TaskTransition m;
   m.task = {"run-4", 0};
   m.attempt = 1;
   m.machine = "vm-1";
   std::vector<std::string> order;
-  for (const auto& t : BuildTxns(ledger_, {m}, limits_, [](const std::string&) { return 0; })) {
+  for (const auto& t :
+       BuildTransactions(job_table_, {m}, limits_, [](const std::string&) { return 0; })) {
     for (const auto& w : t.writes) {
       const auto key = store::ParseKey(w.key);
-      if (key.kind == store::KeyKind::kFinal || key.kind == store::KeyKind::kShard) {
+      if (key.kind == store::KeyKind::kFinal || key.kind == store::KeyKind::kTaskGroup) {
         order.push_back(key.job);
       }
     }
   }
   EXPECT_EQ(order, (std::vector<std::string>{"run-3", "run-4", "run-2", "run-1"}));
   // Before the ends of single tasks all the same: on a busy day these would never end.
-  EXPECT_LT(Rank::kTidy, Rank::kOutcome);
-  EXPECT_GT(Rank::kTidy, Rank::kStart);
+  EXPECT_LT(WritePriority::kTidy, WritePriority::kOutcome);
+  EXPECT_GT(WritePriority::kTidy, WritePriority::kStart);
 }
 
 }  // namespace
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -6,10 +6,14 @@
 #include <map>
 #include <set>
 
-#include "app/controller.h"
+#include "controller/controller.h"
 #include "fixtures.h"
+#include "model/job.h"
+#include "model/key_value.h"
 #include "port_block.h"
 #include "standins/standins.h"
+#include "wire/json.h"
+#include "wire/user_codec.h"
 
 namespace hallpier::testing_support {
 
@@ -34,9 +38,9 @@
     loop_.Run();
   }
 
-  rt::Task<> StopWhenAlone() {
+  async::Task<> StopWhenAlone() {
     while (scope_.live() > 1) {
-      rt::Sleep turn(idle_, 0);
+      async::Sleep turn(idle_, 0);
       co_await turn;
     }
     loop_.Stop();
@@ -70,7 +74,7 @@
       }
     }
     s.cloud = At(21);
-    s.report_s = kReport;
+    s.heartbeat_interval_s = kReport;
     s.lease_s = lease_s_;
     if (cancel_s_) s.cancel_s = *cancel_s_;
     s.list_lag_s = 0.1;
@@ -97,7 +101,7 @@
       options.controllers.push_back(At(2 * i));
       options.nodes.push_back("node-" + std::to_string(i));
     }
-    options.report_s = kReport;
+    options.heartbeat_interval_s = kReport;
     options.lease_s = lease_s_;
     options.run_s = run_s_;
     options.first_port = PortBlock::OfProcess().first() + kFirstWorkerPort;
@@ -114,50 +118,50 @@
     for (int i = first; i < end; ++i) {
       newest_[i] = nodes_.size();
       nodes_.push_back(
-          std::make_unique<app::Controller>(loop_, NodeSettings(i, count), operators_));
+          std::make_unique<controller::Controller>(loop_, NodeSettings(i, count), operators_));
       RequireStarted(nodes_.back()->Start(&error), "node " + std::to_string(i), error);
     }
   }
 
   // Ends the newest process of a node, and waits until it has.
-  rt::Task<> EndInOrder(int node) {
+  async::Task<> EndInOrder(int node) {
     bool down = false;
     ended_.insert(newest_.at(node));
     nodes_[newest_.at(node)]->Shutdown([&down] { down = true; });
     while (!down) {
-      rt::Sleep turn(scope_, 0.005);
+      async::Sleep turn(scope_, 0.005);
       co_await turn;
     }
   }
 
   // Starts another at once, with the same settings.
-  rt::Task<> Restart(int node, int count) {
+  async::Task<> Restart(int node, int count) {
     co_await EndInOrder(node);
     StartNodes(node, node + 1, count);
   }
 
   // Runs the test's own routine, then everything's orderly end.
-  void Run(rt::Task<> script) {
+  void Run(async::Task<> script) {
     scope_.Spawn(Script(std::move(script)));
     loop_.Run();
     EXPECT_TRUE(finished_);
   }
 
-  rt::Task<> Script(rt::Task<> script) {
-    rt::Task<> owned = std::move(script);
+  async::Task<> Script(async::Task<> script) {
+    async::Task<> owned = std::move(script);
     co_await owned;
     finished_ = true;
     loop_.Stop();
   }
 
-  rt::Task<wire::HttpResponse> Ask(int node, std::string method, std::string target,
-                                   std::string body = "") {
+  async::Task<wire::HttpResponse> Ask(int node, std::string method, std::string target,
+                                      std::string body = "") {
     wire::HttpRequest q{.method = method, .target = target, .body = body};
     auto r = co_await client_.Call(scope_, At(2 * node), std::move(q), 2, true);
     co_return r.value_or(wire::HttpResponse{.status = 0, .body = ""});
   }
 
-  static std::string Body(const wire::JobSpec& spec) {
+  static std::string Body(const model::JobSpec& spec) {
     wire::JsonWriter w;
     wire::WriteJobSpec(w, spec);
     return w.Take();
@@ -170,26 +174,26 @@
            std::to_string(sequence) + R"(,"epoch":0,"reclaimS":null,"pieces":[]})";
   }
 
-  rt::Task<> Pause(double s) {
-    rt::Sleep pause(scope_, s);
+  async::Task<> Pause(double s) {
+    async::Sleep pause(scope_, s);
     co_await pause;
   }
 
   // Asks again, as users do, until the answer has the wanted status.
-  rt::Task<bool> Until(int node, std::string method, std::string target, std::string body,
-                       int status, std::string text, double limit_s) {
+  async::Task<bool> Until(int node, std::string method, std::string target, std::string body,
+                          int status, std::string text, double limit_s) {
     const double end = loop_.Now() + limit_s;
     while (loop_.Now() < end) {
       wire::HttpResponse r = co_await Ask(node, method, target, body);
       if (r.status == status && r.body.find(text) != std::string::npos) co_return true;
-      rt::Sleep pause(scope_, 0.1);
+      async::Sleep pause(scope_, 0.1);
       co_await pause;
     }
     co_return false;
   }
 
   // Node 0 of three leads before the others are started.
-  rt::Task<> StartOthersOnceItLeads() {
+  async::Task<> StartOthersOnceItLeads() {
     bool ok = co_await Until(0, "POST", "/checkin", Report(1), 200, "epoch", 10);
     EXPECT_TRUE(ok);
     StartNodes(1, 3, 3);
@@ -204,14 +208,14 @@
   }
 
   // Writes to the state service as some other process would.
-  rt::Task<> WriteRecord(std::string key, std::string value) {
-    std::vector<wire::Guard> guards;
-    std::vector<wire::Write> writes = {{std::move(key), std::move(value), 0}};
-    auto r = co_await state_client_.Txn(std::move(guards), std::move(writes));
+  async::Task<> WriteRecord(std::string key, std::string value) {
+    std::vector<model::Precondition> preconditions;
+    std::vector<model::KeyWrite> writes = {{std::move(key), std::move(value), 0}};
+    auto r = co_await state_client_.Commit(std::move(preconditions), std::move(writes));
     EXPECT_TRUE(r.ok());
   }
 
-  rt::Task<bool> Within(double s, std::function<bool()> f) {
+  async::Task<bool> Within(double s, std::function<bool()> f) {
     const double end = loop_.Now() + s;
     while (!f() && loop_.Now() < end) co_await Pause(0.02);
     co_return f();
@@ -221,16 +225,16 @@
   static constexpr int kFirstWorkerPort = 30;
   static constexpr int kWorkerPorts = PortBlock::kPorts - 1 - kFirstWorkerPort;
 
-  rt::Loop loop_;
-  rt::Scope scope_;
-  rt::Scope idle_{loop_};
+  async::EventLoop loop_;
+  async::Scope scope_;
+  async::Scope idle_{loop_};
   std::set<size_t> ended_;
   std::map<int, size_t> newest_;  // process of a node: where in nodes_
   net::HttpClient client_;
   store::Client state_client_;
   std::unique_ptr<standins::State> state_;
   std::unique_ptr<standins::Cloud> cloud_;
-  std::vector<std::unique_ptr<app::Controller>> nodes_;
+  std::vector<std::unique_ptr<controller::Controller>> nodes_;
   bool finished_ = false;
   double state_rps_ = 2000;
   double state_write_rps_ = 0;  // 0: plenty
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -9,7 +9,7 @@
 
 using namespace testing_support;
 
-rt::Task<> RunsAJob(EndToEnd* t, rt::Task<bool> submitted, rt::Task<bool> done) {
+async::Task<> RunsAJob(EndToEnd* t, async::Task<bool> submitted, async::Task<bool> done) {
   (void)t;
   bool ok = co_await submitted;
   EXPECT_TRUE(ok);
@@ -28,7 +28,7 @@
 
 class OutageTest : public EndToEnd {
  public:
-  rt::Task<> Outage() {
+  async::Task<> Outage() {
     auto spec = Spec("run-2", 3);
     bool ok = co_await Until(0, "POST", "/submissions", Body(spec), 201, "", 10);
     EXPECT_TRUE(ok);
@@ -38,7 +38,7 @@
     wire::HttpResponse r = co_await Ask(0, "GET", "/submissions/run-77");
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
-    rt::Sleep pause(scope_, 1);
+    async::Sleep pause(scope_, 1);
     co_await pause;
     state_->SetOutage(false);
     ok = co_await Until(0, "GET", "/submissions/run-2", "", 200, "\"done\"", 20);
@@ -72,20 +72,20 @@
     run_s_ = 60;  // all stay unfinished
   }
 
-  rt::Task<> AskOnce(int node, std::string id) {
+  async::Task<> AskOnce(int node, std::string id) {
     wire::HttpResponse r = co_await Ask(node, "GET", "/submissions/" + id);
     if (r.status == 200) ++answered_;
     ++asked_;
   }
 
-  rt::Task<> Crowd() {
+  async::Task<> Crowd() {
     constexpr int kJobs = 40;
     for (int i = 0; i < kJobs; ++i) {
       auto spec = Spec("run-" + std::to_string(100 + i), 2, 4);
       bool ok = co_await Until(i % 3, "POST", "/submissions", Body(spec), 201, "", 10);
       EXPECT_TRUE(ok);
     }
-    rt::Sleep pause(scope_, 1);  // for the budgets to fill
+    async::Sleep pause(scope_, 1);  // for the budgets to fill
     co_await pause;
     for (int i = 0; i < kJobs; ++i) {
       for (int node = 0; node < 3; ++node) {
@@ -94,7 +94,7 @@
     }
     const double end = loop_.Now() + 3;
     while (asked_ < 3 * kJobs && loop_.Now() < end) {
-      rt::Sleep turn(scope_, 0.05);
+      async::Sleep turn(scope_, 0.05);
       co_await turn;
     }
     EXPECT_EQ(answered_, 3 * kJobs);
@@ -107,13 +107,13 @@
     }
     const double last = loop_.Now() + 20;
     while (again_ < 3 * kJobs && loop_.Now() < last) {
-      rt::Sleep turn(scope_, 0.05);
+      async::Sleep turn(scope_, 0.05);
       co_await turn;
     }
     EXPECT_EQ(again_, 3 * kJobs);
   }
 
-  rt::Task<> AskAgain(int node, std::string target) {
+  async::Task<> AskAgain(int node, std::string target) {
     bool ok = co_await Until(node, "GET", target, "", 200, "phase", 20);
     if (ok) ++again_;
   }
@@ -131,7 +131,7 @@
 
 class CrashTest : public EndToEnd {
  public:
-  rt::Task<> Crash() {
+  async::Task<> Crash() {
     bool ok = co_await Until(1, "POST", "/submissions", Body(Spec("run-4", 40)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Until(1, "GET", "/submissions/run-4", "", 200, "running", 10);
@@ -153,12 +153,12 @@
 // A process may be back within a fraction of a second, also while the others elect a leader.
 class BackAtOnceTest : public EndToEnd {
  public:
-  rt::Task<> Back() {
+  async::Task<> Back() {
     bool ok = co_await Until(1, "POST", "/submissions", Body(Spec("run-8", 120)), 201, "", 10);
     EXPECT_TRUE(ok);
     for (int node : {0, 1, 0, 2, 2, 1}) {
       co_await Restart(node, 3);
-      rt::Sleep pause(scope_, 0.03);
+      async::Sleep pause(scope_, 0.03);
       co_await pause;
     }
     ok = co_await Until(2, "GET", "/submissions/run-8", "", 200, R"("done","done":120)", 30);
@@ -188,7 +188,7 @@
     run_s_ = 1;
   }
 
-  rt::Task<> Apart() {
+  async::Task<> Apart() {
     co_await StartOthersOnceItLeads();
     bool ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-6", 40)), 201, "", 10);
     EXPECT_TRUE(ok);
@@ -196,7 +196,7 @@
     EXPECT_TRUE(ok);
     state_->Cut(true);
     const double cut = loop_.Now();
-    rt::Sleep pause(scope_, 0.3);
+    async::Sleep pause(scope_, 0.3);
     co_await pause;
     wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", Body(Spec("run-7", 1)));
     EXPECT_EQ(r.status, 503) << "it can record nothing";
@@ -226,7 +226,7 @@
 // Machines come and go by the thousand; what is kept open to them must not use up the sockets.
 class PoolTest : public EndToEnd {
  public:
-  rt::Task<> Calls() {
+  async::Task<> Calls() {
     net::HttpClient bounded(1, 1 << 20, 2);
     for (int round = 0; round < 2; ++round) {
       for (int node = 0; node < 3; ++node) {
@@ -250,7 +250,7 @@
 class PausedLeaderTest : public EndToEnd {
  public:
   // The answer to the next report that gets one.
-  rt::Task<std::string> Answered() {
+  async::Task<std::string> Answered() {
     const double end = loop_.Now() + 10;
     while (loop_.Now() < end) {
       wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", Report(++tick_));
@@ -260,7 +260,7 @@
     ADD_FAILURE() << "no report was answered";
     co_return "";
   }
-  rt::Task<> Record(bool cancelled) {
+  async::Task<> Record(bool cancelled) {
     store::JobRecord record;
     record.spec = Spec("run-1", 1);
     record.submitted = 1;
@@ -268,12 +268,12 @@
     const std::string value = store::WriteJob(record);
     co_await WriteRecord(store::JobKey("run-1"), value);
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Record(false);
-    store::Shard shard;
-    shard.open[0] = {1, "vm-x"};
-    const std::string placed = store::WriteShard(shard);
-    co_await WriteRecord(store::ShardKey("run-1", 0), placed);
+    store::TaskGroup task_group;
+    task_group.open[0] = {1, "vm-x"};
+    const std::string placed = store::WriteTaskGroup(task_group);
+    co_await WriteRecord(store::TaskGroupKey("run-1", 0), placed);
     const double end = loop_.Now() + 10;
     std::string answer;
     while (!Orders(answer) && loop_.Now() < end) answer = co_await Answered();
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -17,16 +17,16 @@
 
 class FailureTrackerTest : public testing::Test {
  protected:
-  FailureTrackerTest() : ledger_(64), tracker_({kBackoff, kMaxBackoff, kSuspension, 0.5}) {
-    for (const char* id : {"run-1", "run-2", "run-3"}) PutJob(ledger_, Spec(id, 8));
+  FailureTrackerTest() : job_table_(64), tracker_({kBackoff, kMaxBackoff, kSuspension, 0.5}) {
+    for (const char* id : {"run-1", "run-2", "run-3"}) PutJob(job_table_, Spec(id, 8));
   }
 
   void FailOn(const std::string& job, int machines, double now) {
     for (int i = 0; i < machines; ++i) tracker_.OnFailure(job, "vm-" + std::to_string(i), now);
-    tracker_.Reconcile(ledger_, kMachines);
+    tracker_.Reconcile(job_table_, kMachines);
   }
 
-  jobs::Ledger ledger_;
+  jobs::JobTable job_table_;
   FailureTracker tracker_;
 };
 
@@ -41,25 +41,25 @@
 
 TEST_F(FailureTrackerTest, OnASmallSiteAllMachinesAreEnough) {
   tracker_.OnFailure("run-1", "vm-0", 1);
-  tracker_.Reconcile(ledger_, 1);
+  tracker_.Reconcile(job_table_, 1);
   EXPECT_TRUE(tracker_.Suspected("run-1"));
 }
 
 // A sound job whose tasks were spread over many machines must not be held back by the few of them
 // that are faulty.
 TEST_F(FailureTrackerTest, AJobThatRunsOnMoreMachinesThanItFailedOnIsNotSuspected) {
-  for (uint32_t i = 0; i < 4; ++i) Place(ledger_, "run-1", i, 1, "vm-" + std::to_string(5 + i));
+  for (uint32_t i = 0; i < 4; ++i) Place(job_table_, "run-1", i, 1, "vm-" + std::to_string(5 + i));
   FailOn("run-1", 3, 1);
   EXPECT_FALSE(tracker_.Suspected("run-1"));
   for (int i = 5; i < 9; ++i) tracker_.OnFailure("run-1", "vm-" + std::to_string(i), 2);
-  tracker_.Reconcile(ledger_, kMachines);
+  tracker_.Reconcile(job_table_, kMachines);
   EXPECT_TRUE(tracker_.Suspected("run-1"));
 }
 
 TEST_F(FailureTrackerTest, JobsThatSucceedElsewhereCondemnTheMachine) {
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 1);
-  tracker_.Reconcile(ledger_, kMachines);
+  tracker_.Reconcile(job_table_, kMachines);
   EXPECT_TRUE(tracker_.Suspended("vm-0", 2)) << "it may be faulty: nothing new until that is known";
   EXPECT_TRUE(tracker_.FaultyMachines().empty());
   tracker_.OnSuccess("run-1", "vm-1");
@@ -89,7 +89,7 @@
   tracker_.OnFailure("run-3", "vm-0", 1);
   tracker_.OnFailure("run-3", "vm-0", 1);
   tracker_.OnSuccess("run-3", "vm-1");
-  tracker_.Reconcile(ledger_, kMachines);
+  tracker_.Reconcile(job_table_, kMachines);
   EXPECT_EQ(tracker_.FaultyMachines(), std::vector<std::string>{"vm-0"});
   for (int i = 1; i < 5; ++i) EXPECT_FALSE(tracker_.Suspended("vm-" + std::to_string(i), 1)) << i;
   EXPECT_TRUE(tracker_.Suspected("run-1"));
@@ -125,9 +125,9 @@
 
 // Whoever leads next has seen none of it: what is recorded as done says that the job is sound.
 TEST_F(FailureTrackerTest, ARecordedSuccessCounts) {
-  store::Shard shard;
-  shard.done.Insert(0);
-  PutShard(ledger_, "run-1", 0, shard);
+  store::TaskGroup task_group;
+  task_group.done.Insert(0);
+  PutTaskGroup(job_table_, "run-1", 0, task_group);
   FailOn("run-1", 4, 1);
   EXPECT_FALSE(tracker_.Suspected("run-1"));
 }
@@ -146,8 +146,8 @@
 TEST_F(FailureTrackerTest, JobsThatHaveEndedAreForgotten) {
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 1);
-  ledger_.Apply(store::ParseKey(store::JobKey("run-1")), "");
-  tracker_.Reconcile(ledger_, kMachines);
+  job_table_.Apply(store::ParseKey(store::JobKey("run-1")), "");
+  tracker_.Reconcile(job_table_, kMachines);
   EXPECT_FALSE(tracker_.Suspended("vm-0", 2));
   EXPECT_EQ(tracker_.FailedOn("run-1"), nullptr);
 }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -4,15 +4,23 @@
 #include <string>
 
 #include "config/settings.h"
-#include "fleet/roster.h"
-#include "jobs/ledger.h"
+#include "fleet/worker_registry.h"
+#include "jobs/job_table.h"
+#include "model/heartbeat.h"
+#include "model/ids.h"
+#include "model/job.h"
+#include "model/machine_type.h"
+#include "model/task.h"
 #include "plan/round.h"
 #include "store/schema.h"
 
 namespace hallpier::testing_support {
 
-inline wire::JobSpec Spec(const std::string& id, uint32_t tasks, double cpus = 1) {
-  wire::JobSpec s;
+// The fencing token of the leader in tests that have only one.
+inline constexpr model::FencingToken kTestToken{7};
+
+inline model::JobSpec Spec(const std::string& id, uint32_t tasks, double cpus = 1) {
+  model::JobSpec s;
   s.id = id;
   s.job_class = "lane";
   s.team = "team";
@@ -25,44 +33,46 @@
   return s;
 }
 
-inline void PutJob(jobs::Ledger& ledger, const wire::JobSpec& spec, double submitted = 1,
+inline void PutJob(jobs::JobTable& job_table, const model::JobSpec& spec, double submitted = 1,
                    bool cancelled = false) {
-  ledger.Apply(store::ParseKey(store::JobKey(spec.id)),
-               store::WriteJob({spec, submitted, cancelled, 0}));
+  job_table.Apply(store::ParseKey(store::JobKey(spec.id)),
+                  store::WriteJob({spec, submitted, cancelled, 0}));
 }
 
-inline void PutShard(jobs::Ledger& ledger, const std::string& id, uint32_t number,
-                     const store::Shard& shard) {
-  ledger.Apply(store::ParseKey(store::ShardKey(id, number)), store::WriteShard(shard));
+inline void PutTaskGroup(jobs::JobTable& job_table, const std::string& id, uint32_t number,
+                         const store::TaskGroup& task_group) {
+  job_table.Apply(store::ParseKey(store::TaskGroupKey(id, number)),
+                  store::WriteTaskGroup(task_group));
 }
 
-inline void Place(jobs::Ledger& ledger, const std::string& id, uint32_t index, uint64_t attempt,
-                  const std::string& machine) {
-  const jobs::Job* job = ledger.Find(id);
+inline void Place(jobs::JobTable& job_table, const std::string& id, uint32_t index,
+                  uint64_t attempt, const std::string& machine) {
+  const jobs::Job* job = job_table.Find(id);
   const uint32_t number = job->groups.layout().GroupOf(index);
-  store::Shard shard;
-  if (auto it = job->shards().find(number); it != job->shards().end()) shard = it->second;
-  shard.open[index] = {attempt, machine};
-  PutShard(ledger, id, number, shard);
+  store::TaskGroup task_group;
+  if (auto it = job->task_groups().find(number); it != job->task_groups().end())
+    task_group = it->second;
+  task_group.open[index] = {attempt, machine};
+  PutTaskGroup(job_table, id, number, task_group);
 }
 
-inline wire::Report ReportOf(const std::string& machine, uint64_t session, uint64_t sequence,
-                             uint64_t token) {
-  wire::Report r;
+inline model::Heartbeat ReportOf(const std::string& machine, uint64_t agent_epoch,
+                                 uint64_t sequence, model::FencingToken token) {
+  model::Heartbeat r;
   r.machine = machine;
   r.endpoint = "127.0.0.1:1";
-  r.flavor = "c4";
+  r.machine_type = "c4";
   r.zone = "a";
-  r.session = session;
+  r.agent_epoch = model::AgentEpoch(agent_epoch);
   r.sequence = sequence;
   r.token = token;
   return r;
 }
 
-inline wire::TaskReport TaskReportOf(const std::string& job, uint32_t index, uint64_t attempt,
-                                     wire::TaskPhase state,
-                                     wire::Cause cause = wire::Cause::kNone) {
-  wire::TaskReport p;
+inline model::TaskStatus TaskReportOf(const std::string& job, uint32_t index, uint64_t attempt,
+                                      model::TaskPhase state,
+                                      model::ExitCause cause = model::ExitCause::kNone) {
+  model::TaskStatus p;
   p.task = {job, index};
   p.attempt = attempt;
   p.state = state;
@@ -74,7 +84,7 @@
   config::Settings s;
   s.node = "node-0";
   s.teams = {{"team", 0, 0, 0, 0}};
-  s.report_s = 3;
+  s.heartbeat_interval_s = 3;
   s.lease_s = 30;
   s.cancel_s = 50;
   s.state_rps = 100;
@@ -88,15 +98,15 @@
   return s;
 }
 
-inline wire::Flavor FlavorOf(const std::string& name, double cpus) {
-  wire::Flavor f;
+inline model::MachineType MachineTypeOf(const std::string& name, double cpus) {
+  model::MachineType f;
   f.name = name;
   f.cpus = cpus;
   f.memory_gb = cpus * 4;
   f.fetch_gb_per_s = 1;
   f.price = 1;
   f.spot_price = 0.3;
-  f.ready_s = 30;
+  f.boot_s = 30;
   f.zones = {"a", "b"};
   return f;
 }
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -15,19 +15,22 @@
 #include <variant>
 #include <vector>
 
-#include "app/members_command.h"
 #include "blocks/division.h"
+#include "cli/members_command.h"
 #include "membership/record.h"
 #include "quota/share_record.h"
-#include "store/flavor_pages.h"
-#include "store/packed.h"
+#include "store/machine_type_pages.h"
+#include "store/packed_task_group.h"
 #include "store/schema.h"
-#include "store/shard.h"
+#include "store/task_group.h"
+#include "wire/cloud_codec.h"
 #include "wire/http.h"
 #include "wire/json.h"
-#include "wire/messages.h"
 #include "wire/peer.h"
+#include "wire/state_codec.h"
+#include "wire/user_codec.h"
 #include "wire/varint.h"
+#include "wire/worker_codec.h"
 
 namespace hallpier {
 namespace {
@@ -75,40 +78,40 @@
 TEST(GoldenRecord, Keys) {
   EXPECT_EQ(store::kActive, "hallpier/a/");
   EXPECT_EQ(store::LeaderKey(), "hallpier/a/leader");
-  EXPECT_EQ(store::BlockKey(0), "hallpier/a/block/0");
-  EXPECT_EQ(store::FlavorsKey(), "hallpier/a/flavors");
-  EXPECT_EQ(store::FlavorsKey(2), "hallpier/a/flavors.2");
+  EXPECT_EQ(store::FencingTokenKey(), "hallpier/a/block/0");
+  EXPECT_EQ(store::MachineTypesKey(), "hallpier/a/flavors");
+  EXPECT_EQ(store::MachineTypesKey(2), "hallpier/a/flavors.2");
   EXPECT_EQ(store::FormatKey(), "hallpier/a/format");
-  EXPECT_EQ(store::MarkKey("hallnode-0"), "hallpier/a/node/hallnode-0");
+  EXPECT_EQ(store::NodeFormatKey("hallnode-0"), "hallpier/a/node/hallnode-0");
   EXPECT_EQ(store::MemberKey("hallnode-0"), "hallpier/a/member/hallnode-0");
   EXPECT_EQ(store::DivisionKey(), "hallpier/a/division");
   EXPECT_EQ(store::ShareKey("hallnode-0"), "hallpier/a/share/hallnode-0");
   EXPECT_EQ(store::JobKey("run-000412"), "hallpier/a/j/run-000412");
-  EXPECT_EQ(store::ShardKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
-  EXPECT_EQ(store::PartKey("run-000412", 3, 12), "hallpier/a/t/run-000412/00003.12");
+  EXPECT_EQ(store::TaskGroupKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
+  EXPECT_EQ(store::TaskGroupPartKey("run-000412", 3, 12), "hallpier/a/t/run-000412/00003.12");
   EXPECT_EQ(store::FinalKey("run-000412"), "hallpier/f/run-000412");
 }
 
 TEST(GoldenRecord, KeysAreParsed) {
   using enum store::KeyKind;
   for (const auto& [key, kind] : {std::pair{"leader", kLeader},
-                                  {"block/0", kBlock},
-                                  {"flavors", kFlavors},
-                                  {"flavors.2", kFlavors},
+                                  {"block/0", kFencingToken},
+                                  {"flavors", kMachineTypes},
+                                  {"flavors.2", kMachineTypes},
                                   {"format", kFormat},
-                                  {"node/n", kMark},
+                                  {"node/n", kNodeFormat},
                                   {"member/n", kMember},
                                   {"division", kDivision},
                                   {"share/n", kShare},
                                   {"j/run-1", kJob},
-                                  {"t/run-1/00003", kShard},
+                                  {"t/run-1/00003", kTaskGroup},
                                   {"what", kOther}}) {
     EXPECT_EQ(store::ParseKey("hallpier/a/" + std::string(key)).kind, kind) << key;
   }
   EXPECT_EQ(store::ParseKey("hallpier/f/run-1").kind, kFinal);
-  EXPECT_EQ(store::ParseKey("hallpier/a/flavors.2").shard, 2U);
+  EXPECT_EQ(store::ParseKey("hallpier/a/flavors.2").task_group, 2U);
   const auto part = store::ParseKey("hallpier/a/t/run-1/00003.12");
-  EXPECT_EQ(std::tie(part.job, part.shard, part.part), std::tuple("run-1", 3U, 12U));
+  EXPECT_EQ(std::tie(part.job, part.task_group, part.part), std::tuple("run-1", 3U, 12U));
 }
 
 TEST(GoldenRecord, Leader) {
@@ -118,10 +121,10 @@
 }
 
 TEST(GoldenRecord, Block) {
-  EXPECT_EQ(store::WriteBlock("hallnode-0"), R"({"holder":"hallnode-0"})");
+  EXPECT_EQ(store::WriteFencingTokenRecord("hallnode-0"), R"({"holder":"hallnode-0"})");
 }
 
-TEST(GoldenRecord, Flavors) {
+TEST(GoldenRecord, MachineTypes) {
   constexpr std::string_view kG8 =
       R"({"sku":"g8","vcpus":96.0,"cards":8.0,"memGb":768.0,"fetchGbPerS":1.0,"rate":12.0,)"
       R"("marketPrice":4.5,"readyS":45.0,"halls":["a","b"]})";
@@ -130,19 +133,19 @@
       R"("marketPrice":0.0,"readyS":0.0,"halls":[]})";
   const std::string both = R"({"flavors":[)" + std::string(kG8) + "," + std::string(kC4) + "]}";
   const auto json = Checked(wire::ParseObject(both));
-  const auto flavors = Checked(wire::ReadFlavors(json));
-  EXPECT_EQ(wire::WriteFlavors(flavors), both);
-  const auto pages = store::WriteFlavorPages(flavors, 200);
+  const auto machine_types = Checked(wire::ReadMachineTypes(json));
+  EXPECT_EQ(wire::WriteMachineTypes(machine_types), both);
+  const auto pages = store::WriteMachineTypePages(machine_types, 200);
   ASSERT_EQ(pages.size(), 2U);
   EXPECT_EQ(pages[0], R"({"flavors":[)" + std::string(kG8) + R"(],"pages":2})");
   EXPECT_EQ(pages[1], R"({"flavors":[)" + std::string(kC4) + "]}");
 }
 
 TEST(GoldenRecord, NodeMark) {
-  EXPECT_EQ(store::WriteMark(store::kCancellationReportFormat), R"({"format":3})");
-  EXPECT_EQ(store::WriteMark(store::kMembershipFormat), R"({"format":4})");
-  EXPECT_EQ(store::WriteMark(store::kBlocksFormat), R"({"format":5})");
-  EXPECT_EQ(store::ReadMark(R"({"format":5})"), 5U);
+  EXPECT_EQ(store::WriteNodeFormat(store::kCancellationReportFormat), R"({"format":3})");
+  EXPECT_EQ(store::WriteNodeFormat(store::kMembershipFormat), R"({"format":4})");
+  EXPECT_EQ(store::WriteNodeFormat(store::kBlocksFormat), R"({"format":5})");
+  EXPECT_EQ(store::ReadNodeFormat(R"({"format":5})"), 5U);
 }
 
 TEST(GoldenRecord, Member) {
@@ -151,7 +154,7 @@
       R"("by":"hallnode-0","reason":"silent for 2.1 s"})";
   EXPECT_EQ(
       membership::WriteMember(
-          {wire::MemberState::kFailed, {3, 2}, ~uint64_t{0}, "hallnode-0", "silent for 2.1 s"}),
+          {model::MemberState::kFailed, {3, 2}, ~uint64_t{0}, "hallnode-0", "silent for 2.1 s"}),
       kText);
   EXPECT_EQ(membership::WriteMember(Checked(membership::ReadMember(kText))), kText);
   for (const std::string state : {"alive", "suspect", "failed", "left"}) {
@@ -165,7 +168,9 @@
   constexpr std::string_view kText =
       R"({"token":412,"holders":[{"node":"hallnode-0","session":3,"grant":9},)"
       R"({"node":"hallnode-2","session":1,"grant":10}]})";
-  EXPECT_EQ(blocks::WriteDivision({412, {{"hallnode-0", 3, 9}, {"hallnode-2", 1, 10}}}), kText);
+  EXPECT_EQ(blocks::WriteDivision(
+                {model::FencingToken(412), {{"hallnode-0", 3, 9}, {"hallnode-2", 1, 10}}}),
+            kText);
   EXPECT_EQ(blocks::WriteDivision(Checked(blocks::ReadDivision(kText))), kText);
 }
 
@@ -184,7 +189,7 @@
 }
 
 TEST(GoldenRecord, JobWithoutOptionalFields) {
-  using enum wire::Priority;
+  using enum model::Priority;
   for (const auto& [word, priority] : {std::pair{"prod", kProd},
                                        {"urgent", kUrgent},
                                        {"normal", kNormal},
@@ -222,7 +227,7 @@
 
 TEST(GoldenRecord, Final) {
   constexpr std::string_view kText = R"({"phase":"cancelled","done":3,"at":1764633600.5})";
-  EXPECT_EQ(store::WriteFinal({.phase = wire::Phase::kDone, .done = 16}),
+  EXPECT_EQ(store::WriteFinal({.phase = model::JobPhase::kDone, .done = 16}),
             R"({"phase":"done","done":16})");
   EXPECT_EQ(store::WriteFinal(Checked(store::ReadFinal(kText))), kText);
 }
@@ -232,22 +237,22 @@
     R"({"done":[0,1,4,4],"on":{"":[5,-3],"vm-000231":[2,3,-2]},"runs":{"g8":[3,61.5]}})";
 
 TEST(GoldenRecord, TaskGroupAsText) {
-  const auto group = Checked(store::ReadShard(kGroup));
-  EXPECT_EQ(store::WriteShard(group), kGroup);
+  const auto group = Checked(store::ReadTaskGroup(kGroup));
+  EXPECT_EQ(store::WriteTaskGroup(group), kGroup);
   EXPECT_TRUE(group.done.Contains(4));
   EXPECT_EQ(group.open.at(5).attempt, 3U);
   EXPECT_EQ(group.open.at(3).machine, "vm-000231");
   EXPECT_EQ(group.runs.at("g8").count, 3U);
-  EXPECT_EQ(store::WriteShard({}), R"({"done":[],"on":{},"runs":{}})");
+  EXPECT_EQ(store::WriteTaskGroup({}), R"({"done":[],"on":{},"runs":{}})");
 }
 
 TEST(GoldenRecord, TaskGroupPacked) {
   const std::string packed =
       R"({"first":0,"of":8,"done":"o0","open":"D0","hosts":[["vm-",6,231,1]],"on":"110",)"
       R"("tries":"123","runs":{"g8":[3,61.5]}})";
-  const auto group = Checked(store::ReadShard(kGroup));
+  const auto group = Checked(store::ReadTaskGroup(kGroup));
   EXPECT_EQ(store::WritePacked(group, 0, 8), packed);
-  EXPECT_EQ(store::WriteShard(Checked(store::ReadShard(packed))), kGroup);
+  EXPECT_EQ(store::WriteTaskGroup(Checked(store::ReadTaskGroup(packed))), kGroup);
   // A group with a task outside the given range is written as text instead.
   EXPECT_EQ(store::WritePacked(group, 1, 8), kGroup);
 }
@@ -258,13 +263,13 @@
   constexpr std::string_view kPacked =
       R"({"first":335,"of":6,"done":"1","open":"q","hosts":[["gate",0,0,1],["vm-",4,1,100]],)"
       R"("on":"02011b","tries":"_1_","many":[335,63,338,64],"runs":{}})";
-  EXPECT_EQ(store::WritePacked(Checked(store::ReadShard(kText)), 335, 6), kPacked);
-  EXPECT_EQ(store::WriteShard(Checked(store::ReadShard(kPacked))), kText);
+  EXPECT_EQ(store::WritePacked(Checked(store::ReadTaskGroup(kText)), 335, 6), kPacked);
+  EXPECT_EQ(store::WriteTaskGroup(Checked(store::ReadTaskGroup(kPacked))), kText);
 }
 
 // Which group a task belongs to is part of the format too.
 TEST(GoldenRecord, TasksOfAGroup) {
-  EXPECT_EQ(store::TasksPerShard(8), 335U);
+  EXPECT_EQ(store::TasksPerGroup(8), 335U);
   EXPECT_EQ(store::TasksPerPacked(8), 1547U);
   const auto layout = Checked(store::ReadFormat(R"({"format":2,"group":335,"parts":4})")).layout;
   EXPECT_EQ(layout.GroupOf(335 + 84), 5U);
@@ -282,24 +287,24 @@
       R"("expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"awaits":["run-1"]})"));
   wire::BadField bad;
   const auto s = Checked(wire::ReadJobSpec(json, &bad));
-  EXPECT_EQ(std::tie(s.id, s.job_class, s.team, s.shape, s.priority, s.tasks),
-            std::tuple("run-000412", "train", "vision", wire::Shape::kArray,
-                       wire::Priority::kUrgent, 16U));
+  EXPECT_EQ(std::tie(s.id, s.job_class, s.team, s.kind, s.priority, s.tasks),
+            std::tuple("run-000412", "train", "vision", model::JobKind::kArray,
+                       model::Priority::kUrgent, 16U));
   EXPECT_EQ(std::tie(s.cpus, s.gpus, s.memory_gb, s.image, s.image_gb),
             std::tuple(8.0, 1.0, 64.0, "img-07", 6.2));
   EXPECT_EQ(std::tie(s.zone, s.one_zone, s.spread, s.spot), std::tuple("", true, false, true));
   EXPECT_EQ(std::tie(s.estimate_s, s.checkpoint_every_s, s.checkpoint_s, s.due_s),
             std::tuple(240.0, 30.0, 4.0, 900.0));
-  EXPECT_EQ(s.flavors.at(0) + s.awaits.at(0), "g8run-1");
+  EXPECT_EQ(s.machine_types.at(0) + s.awaits.at(0), "g8run-1");
 }
 
 TEST(GoldenMessage, Status) {
-  EXPECT_EQ(wire::WriteStatus({"run-000412", wire::Phase::kRunning, 3, 13}),
+  EXPECT_EQ(wire::WriteStatus({"run-000412", model::JobPhase::kRunning, 3, 13}),
             R"({"id":"run-000412","phase":"running","done":3,"running":13})");
-  EXPECT_EQ(wire::WritePhase("run-000412", wire::Phase::kPending),
+  EXPECT_EQ(wire::WritePhase("run-000412", model::JobPhase::kPending),
             R"({"id":"run-000412","phase":"pending"})");
-  EXPECT_EQ(wire::PhaseName(wire::Phase::kDone), "done");
-  EXPECT_EQ(wire::PhaseName(wire::Phase::kCancelled), "cancelled");
+  EXPECT_EQ(wire::JobPhaseName(model::JobPhase::kDone), "done");
+  EXPECT_EQ(wire::JobPhaseName(model::JobPhase::kCancelled), "cancelled");
 }
 
 TEST(GoldenMessage, Error) {
@@ -309,15 +314,16 @@
 }
 
 TEST(GoldenMessage, Heartbeat) {
-  const auto r = Checked(wire::ReadReport(
+  const auto r = Checked(wire::ReadHeartbeat(
       R"({"host":"vm-000231","endpoint":"10.1.0.232:9000","flavor":"g8","hall":"a",)"
       R"("lendable":true,"tenure":1,"tick":88,"epoch":41,"reclaimS":60.5,)"
       R"("pieces":[{"piece":"run-000412/3","try":2,"phase":"running"},)"
       R"({"piece":"run-000398/0","try":1,"phase":"ended","cause":"stopped","stored":true}]})"));
-  EXPECT_EQ(std::tie(r.machine, r.endpoint, r.flavor, r.zone, r.spot),
+  EXPECT_EQ(std::tie(r.machine, r.endpoint, r.machine_type, r.zone, r.spot),
             std::tuple("vm-000231", "10.1.0.232:9000", "g8", "a", true));
-  EXPECT_EQ(std::tie(r.session, r.sequence, r.token, r.reclaim_s), std::tuple(1U, 88U, 41U, 60.5));
-  EXPECT_EQ(wire::TaskName(r.tasks.at(0).task), "run-000412/3");
+  EXPECT_EQ(std::tie(r.agent_epoch, r.sequence, r.token, r.spot_notice_s),
+            std::tuple(model::AgentEpoch(1), 88U, model::FencingToken(41), 60.5));
+  EXPECT_EQ(model::TaskName(r.tasks.at(0).task), "run-000412/3");
   EXPECT_EQ(r.tasks[0].attempt, 2U);
   EXPECT_FALSE(r.tasks[0].saved);
   EXPECT_TRUE(r.tasks.at(1).saved);
@@ -325,20 +331,20 @@
 
 TEST(GoldenMessage, WordsOfAHeartbeat) {
   const auto task = [](const std::string& words) {
-    const auto report = Checked(wire::ReadReport(
+    const auto report = Checked(wire::ReadHeartbeat(
         R"({"host":"h","endpoint":"e","flavor":"f","hall":"a","tenure":1,"tick":1,)"
         R"("pieces":[{"piece":"run-1/0","try":1,)" +
         words + "}]}"));
     return report.tasks.at(0);
   };
-  using enum wire::TaskPhase;
+  using enum model::TaskPhase;
   for (const auto& [word, phase] : {std::pair{"pulling", kFetching},
                                     {"running", kRunning},
                                     {"flushing", kSaving},
                                     {"ended", kExited}}) {
     EXPECT_EQ(task(R"("phase":")" + std::string(word) + '"').state, phase) << word;
   }
-  using enum wire::Cause;
+  using enum model::ExitCause;
   for (const auto& [word, cause] : {std::pair{"", kNone},
                                     {"done", kDone},
                                     {"stopped", kStopped},
@@ -347,7 +353,7 @@
                                     {"busy", kBusy},
                                     {"unknown", kUnknown}}) {
     EXPECT_EQ(task(R"("phase":"ended","cause":")" + std::string(word) + '"').cause, cause) << word;
-    EXPECT_EQ(wire::CauseName(cause), word);
+    EXPECT_EQ(model::ExitCauseName(cause), word);
   }
 }
 
@@ -355,11 +361,14 @@
   const std::string text = R"("orders":[{"verb":"run","piece":"run-000412/4","try":2},)"
                            R"({"verb":"stop","piece":"run-000377/1","try":1,"windDownS":10.0},)"
                            R"({"verb":"forget","piece":"run-000398/0","try":1}]})";
-  const std::vector<wire::Order> commands = {{wire::Verb::kRun, {"run-000412", 4}, 2, 0},
-                                             {wire::Verb::kStop, {"run-000377", 1}, 1, 10},
-                                             {wire::Verb::kForget, {"run-000398", 0}, 1, 0}};
-  EXPECT_EQ(wire::WriteCheckinAnswer(41, commands), R"({"epoch":41,)" + text);
-  EXPECT_EQ(wire::WriteCommands(41, 3, commands), R"({"epoch":41,"tenure":3,)" + text);
+  const std::vector<model::WorkerCommand> commands = {
+      {model::CommandKind::kRun, {"run-000412", 4}, 2, 0},
+      {model::CommandKind::kStop, {"run-000377", 1}, 1, 10},
+      {model::CommandKind::kForget, {"run-000398", 0}, 1, 0}};
+  EXPECT_EQ(wire::WriteHeartbeatResponse(model::FencingToken(41), commands),
+            R"({"epoch":41,)" + text);
+  EXPECT_EQ(wire::WriteCommands(model::FencingToken(41), model::AgentEpoch(3), commands),
+            R"({"epoch":41,"tenure":3,)" + text);
 }
 
 TEST(GoldenMessage, Redirect) {
@@ -367,25 +376,26 @@
   EXPECT_EQ(wire::WriteRedirect(""), "{}");
 }
 
-TEST(GoldenMessage, Flavors) {
+TEST(GoldenMessage, MachineTypes) {
   const auto json = Checked(wire::ParseObject(
       R"({"flavors":[{"sku":"g8","vcpus":96,"cards":8,"memGb":768,"localGb":200,)"
       R"("fetchGbPerS":1.5,"rate":12.0,"marketPrice":4.5,"readyS":45,"halls":["a","b"]}]})"));
-  const auto f = Checked(wire::ReadFlavors(json)).at(0);
+  const auto f = Checked(wire::ReadMachineTypes(json)).at(0);
   EXPECT_EQ(std::tie(f.name, f.cpus, f.gpus, f.memory_gb), std::tuple("g8", 96.0, 8.0, 768.0));
-  EXPECT_EQ(std::tie(f.fetch_gb_per_s, f.price, f.spot_price, f.ready_s),
+  EXPECT_EQ(std::tie(f.fetch_gb_per_s, f.price, f.spot_price, f.boot_s),
             std::tuple(1.5, 12.0, 4.5, 45.0));
   EXPECT_EQ(f.zones.at(0) + f.zones.at(1), "ab");
 }
 
 TEST(GoldenMessage, Rental) {
-  EXPECT_EQ(wire::WriteRental({"hallpier-41-7", "g8", "a", true, 12}),
+  EXPECT_EQ(wire::WriteScaleOutRequest({"hallpier-41-7", "g8", "a", true, 12}),
             R"({"hire":"hallpier-41-7","flavor":"g8","hall":"a","lendable":true,"howMany":12})");
-  EXPECT_EQ(Checked(wire::ReadRented(R"({"hosts":["vm-000231","vm-000232"]})")).at(1), "vm-000232");
+  EXPECT_EQ(Checked(wire::ReadScaleOutResponse(R"({"hosts":["vm-000231","vm-000232"]})")).at(1),
+            "vm-000232");
 }
 
 TEST(GoldenMessage, Return) {
-  EXPECT_EQ(wire::WriteReturn({"vm-000231", "vm-000232"}),
+  EXPECT_EQ(wire::WriteScaleInRequest({"vm-000231", "vm-000232"}),
             R"({"hosts":["vm-000231","vm-000232"]})");
 }
 
@@ -397,19 +407,19 @@
       R"({"id":"vm-000233","flavor":"g8","hall":"b","phase":"failed"}],"truncated":true})"));
   EXPECT_TRUE(list.more);
   const auto& m = list.machines.at(0);
-  EXPECT_EQ(std::tie(m.machine, m.endpoint, m.flavor, m.zone, m.spot, m.age_s),
+  EXPECT_EQ(std::tie(m.machine, m.endpoint, m.machine_type, m.zone, m.spot, m.age_s),
             std::tuple("vm-000231", "10.1.0.232:9000", "g8", "a", true, 61.5));
-  EXPECT_EQ(m.state, wire::RentalState::kRunning);
-  EXPECT_EQ(list.machines.at(1).state, wire::RentalState::kBooting);
-  EXPECT_EQ(list.machines.at(2).state, wire::RentalState::kFailed);
+  EXPECT_EQ(m.state, model::CloudMachineState::kRunning);
+  EXPECT_EQ(list.machines.at(1).state, model::CloudMachineState::kBooting);
+  EXPECT_EQ(list.machines.at(2).state, model::CloudMachineState::kFailed);
 }
 
 TEST(GoldenMessage, Entries) {
   const auto entry =
-      Checked(wire::ReadEntry(R"({"key":"a/b","data":{"n":[1, 2.5]},"stamp":412,"permit":7})"));
+      Checked(wire::ReadKeyValue(R"({"key":"a/b","data":{"n":[1, 2.5]},"stamp":412,"permit":7})"));
   EXPECT_EQ(std::tie(entry.key, entry.value, entry.version),
             std::tuple("a/b", R"({"n":[1,2.5]})", 412U));
-  const auto list = Checked(wire::ReadEntryList(
+  const auto list = Checked(wire::ReadKeyValueList(
       R"({"entries":[{"key":"c/8","data":{},"stamp":430}],"truncated":true,"rev":431})"));
   const auto& listed = list.entries.at(0);
   EXPECT_EQ(std::tie(listed.key, listed.version, list.more, list.revision),
@@ -417,23 +427,23 @@
 }
 
 TEST(GoldenMessage, Transaction) {
-  EXPECT_EQ(wire::WriteTxn({{"a/b", 0}, {"a/c", 412}},
-                           {{"a/b", R"({"n":1})", 7}, {"a/c", "{}", 0}, {"c/d", "", 0}}),
+  EXPECT_EQ(wire::WriteTransaction({{"a/b", 0}, {"a/c", 412}},
+                                   {{"a/b", R"({"n":1})", 7}, {"a/c", "{}", 0}, {"c/d", "", 0}}),
             R"({"guards":[{"key":"a/b","stamp":0},{"key":"a/c","stamp":412}],)"
             R"("then":[{"put":"a/b","data":{"n":1},"permit":7},{"put":"a/c","data":{}},)"
             R"({"drop":"c/d"}]})");
   EXPECT_EQ(wire::ReadRevision(R"({"rev":432})"), 432U);
-  EXPECT_EQ(wire::ReadFailed(R"({"failed":["a/b"],"rev":431})").at(0), "a/b");
+  EXPECT_EQ(wire::ReadFailedPreconditions(R"({"failed":["a/b"],"rev":431})").at(0), "a/b");
 }
 
 TEST(GoldenMessage, Changes) {
-  const auto list =
-      Checked(wire::ReadChanges(R"({"rev":433,"news":[{"put":"c/9","data":{"n":1},"stamp":433},)"
-                                R"({"drop":"c/d","stamp":432}]})"));
+  const auto list = Checked(
+      wire::ReadWatchResponse(R"({"rev":433,"news":[{"put":"c/9","data":{"n":1},"stamp":433},)"
+                              R"({"drop":"c/d","stamp":432}]})"));
   EXPECT_EQ(list.revision, 433U);
-  const auto& put = list.changes.at(0);
+  const auto& put = list.events.at(0);
   EXPECT_EQ(std::tie(put.key, put.value, put.version), std::tuple("c/9", R"({"n":1})", 433U));
-  const auto& drop = list.changes.at(1);
+  const auto& drop = list.events.at(1);
   EXPECT_EQ(std::tie(drop.key, drop.value, drop.version), std::tuple("c/d", "", 432U));
 }
 
@@ -453,9 +463,13 @@
 
 TEST(GoldenMessage, MembersCommand) {
   const wire::MembersReport report = {
-      "n1", true, {{"n2", {4, 1}, wire::MemberState::kFailed, true, false, 5000, {"n1"}, "silent"}},
-      "n2", "n1", 2000};
-  EXPECT_EQ(app::MembersJson({{"n1", report, ""}, {"n2", std::nullopt, "no answer"}}),
+      "n1",
+      true,
+      {{"n2", {4, 1}, model::MemberState::kFailed, true, false, 5000, {"n1"}, "silent"}},
+      "n2",
+      "n1",
+      2000};
+  EXPECT_EQ(cli::MembersJson({{"n1", report, ""}, {"n2", std::nullopt, "no answer"}}),
             R"({"controllers":[{"node":"n1","answered":true,"error":null,"enabled":true,)"
             R"("members":[{"node":"n2","state":"failed","sinceS":5.0,"session":4,"refutation":1,)"
             R"("leading":false,"suspectedBy":["n1"],"reason":"silent"}],)"
@@ -472,22 +486,23 @@
 
 // Enumerators are sent as their numbers.
 TEST(GoldenPeerFrame, NumbersOfMemberStates) {
-  using enum wire::MemberState;
+  using enum model::MemberState;
   EXPECT_EQ(Numbers(kAlive, kSuspect, kFailed, kLeft), "0 1 2 3 ");
 }
 
 TEST(GoldenPeerFrame, NumbersOfTaskPhases) {
-  using enum wire::TaskPhase;
+  using enum model::TaskPhase;
   EXPECT_EQ(Numbers(kFetching, kRunning, kSaving, kExited), "0 1 2 3 ");
 }
 
 TEST(GoldenPeerFrame, NumbersOfCauses) {
-  using enum wire::Cause;
+  using enum model::ExitCause;
   EXPECT_EQ(Numbers(kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown), "0 1 2 3 4 5 6 ");
 }
 
 TEST(GoldenPeerFrame, Status) {
-  ExpectFrame(wire::PeerStatus{"n1", 412, true, false}, "01 026e31 9c03 01 00");
+  ExpectFrame(wire::PeerStatus{"n1", model::FencingToken(412), true, false},
+              "01 026e31 9c03 01 00");
 }
 
 TEST(GoldenPeerFrame, RelayRequest) {
@@ -512,7 +527,7 @@
 }
 
 TEST(GoldenPeerFrame, MemberProbe) {
-  using enum wire::MemberState;
+  using enum model::MemberState;
   ExpectFrame(wire::MemberProbe{130,
                                 {"n1",
                                  {3, 2},
@@ -527,14 +542,14 @@
 
 TEST(GoldenPeerFrame, MemberAnswer) {
   ExpectFrame(
-      wire::MemberAnswer{1, {"n2", {5, 0}, wire::MemberState::kLeft, {false, true, 0, 0}, "", {}}},
+      wire::MemberAnswer{1, {"n2", {5, 0}, model::MemberState::kLeft, {false, true, 0, 0}, "", {}}},
       "08 01 026e32 05 00 03 00 01 00 00 00 00");
 }
 
 TEST(GoldenPeerFrame, MembersRequest) { ExpectFrame(wire::MembersRequest{}, "09"); }
 
 TEST(GoldenPeerFrame, MembersReport) {
-  using enum wire::MemberState;
+  using enum model::MemberState;
   ExpectFrame(
       wire::MembersReport{"n1",
                           true,
@@ -548,9 +563,9 @@
 }
 
 TEST(GoldenPeerFrame, BlockView) {
-  const auto phase = wire::TaskPhase::kExited;
-  const auto cause = wire::Cause::kError;
-  ExpectFrame(wire::BlockView{41,
+  const auto phase = model::TaskPhase::kExited;
+  const auto cause = model::ExitCause::kError;
+  ExpectFrame(wire::BlockView{model::FencingToken(41),
                               7,
                               {{"vm-1",
                                 "g8",
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -4,6 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "fixtures.h"
+#include "model/job.h"
+#include "model/machine_type.h"
 #include "plan/demand.h"
 
 namespace hallpier::plan {
@@ -15,31 +17,31 @@
 
 class JobOrderTest : public testing::Test {
  protected:
-  JobOrderTest() : settings_(SettingsOf()), ledger_(64) {
+  JobOrderTest() : settings_(SettingsOf()), job_table_(64) {
     context_.settings = &settings_;
     context_.operators = &operators_;
-    context_.flavors = {FlavorOf("c4", 4)};
+    context_.machine_types = {MachineTypeOf("c4", 4)};
   }
-  const jobs::Job& Put(const std::string& id, wire::Priority priority, double age) {
-    wire::JobSpec spec = Spec(id, 4);
+  const jobs::Job& Put(const std::string& id, model::Priority priority, double age) {
+    model::JobSpec spec = Spec(id, 4);
     spec.priority = priority;
-    PutJob(ledger_, spec, kNow - age);
-    return *ledger_.Find(id);
+    PutJob(job_table_, spec, kNow - age);
+    return *job_table_.Find(id);
   }
   int Tier(const jobs::Job& job, bool within) { return JobOrder(context_, kNow).Tier(job, within); }
 
   config::Settings settings_;
   config::Operator operators_;
-  jobs::Ledger ledger_;
+  jobs::JobTable job_table_;
   Context context_;
 };
 
 TEST_F(JobOrderTest, PriorityComesFirstAndAGuaranteeWithinIt) {
-  const int urgent_within = Tier(Put("run-1", wire::Priority::kUrgent, 0), true);
-  const int urgent = Tier(Put("run-2", wire::Priority::kUrgent, 0), false);
-  const int normal_within = Tier(Put("run-3", wire::Priority::kNormal, 0), true);
-  const int normal = Tier(Put("run-4", wire::Priority::kNormal, 0), false);
-  const int best_effort = Tier(Put("run-5", wire::Priority::kBestEffort, 0), true);
+  const int urgent_within = Tier(Put("run-1", model::Priority::kUrgent, 0), true);
+  const int urgent = Tier(Put("run-2", model::Priority::kUrgent, 0), false);
+  const int normal_within = Tier(Put("run-3", model::Priority::kNormal, 0), true);
+  const int normal = Tier(Put("run-4", model::Priority::kNormal, 0), false);
+  const int best_effort = Tier(Put("run-5", model::Priority::kBestEffort, 0), true);
   EXPECT_LT(urgent_within, urgent);
   EXPECT_LT(urgent, normal_within);
   EXPECT_LT(normal_within, normal);
@@ -47,35 +49,36 @@
 }
 
 TEST_F(JobOrderTest, WorkWithinAGuaranteeThatHasWaitedForABootComesBeforeAllBeyondOne) {
-  const double boot = context_.flavors[0].ready_s;
+  const double boot = context_.machine_types[0].boot_s;
   EXPECT_EQ(BootTime(context_), boot);
-  const jobs::Job& waited = Put("run-1", wire::Priority::kBestEffort, boot + 1);
-  EXPECT_LT(Tier(waited, true), Tier(Put("run-2", wire::Priority::kUrgent, 0), false));
-  EXPECT_GT(Tier(waited, true), Tier(Put("run-3", wire::Priority::kUrgent, 0), true));
-  EXPECT_GT(Tier(waited, false), Tier(Put("run-4", wire::Priority::kNormal, 0), false));
+  const jobs::Job& waited = Put("run-1", model::Priority::kBestEffort, boot + 1);
+  EXPECT_LT(Tier(waited, true), Tier(Put("run-2", model::Priority::kUrgent, 0), false));
+  EXPECT_GT(Tier(waited, true), Tier(Put("run-3", model::Priority::kUrgent, 0), true));
+  EXPECT_GT(Tier(waited, false), Tier(Put("run-4", model::Priority::kNormal, 0), false));
 }
 
 TEST_F(JobOrderTest, JobsThatMissedTheirAimWaitForOthersButNotForEver) {
   settings_.objectives = {{"finished", "lane", 100, 0.9}};
   const JobOrder order(context_, kNow);
-  const int in_time = order.Band(Put("run-1", wire::Priority::kNormal, 10));
-  EXPECT_GT(order.Band(Put("run-2", wire::Priority::kNormal, 120)), in_time);
-  EXPECT_EQ(order.Band(Put("run-3", wire::Priority::kNormal, 301)), in_time);
+  const int in_time = order.Band(Put("run-1", model::Priority::kNormal, 10));
+  EXPECT_GT(order.Band(Put("run-2", model::Priority::kNormal, 120)), in_time);
+  EXPECT_EQ(order.Band(Put("run-3", model::Priority::kNormal, 301)), in_time);
 }
 
 TEST(Demand, NamesTheTypesThatFitCheapestPerTaskFirst) {
-  std::vector<wire::Flavor> types = {FlavorOf("c2", 2), FlavorOf("c8", 8), FlavorOf("c16", 16)};
+  std::vector<model::MachineType> types = {MachineTypeOf("c2", 2), MachineTypeOf("c8", 8),
+                                           MachineTypeOf("c16", 16)};
   types[0].spot_price = 0.1;
   types[1].spot_price = 0.3;
   types[2].spot_price = 1.0;
-  const auto want = WantFor(Spec("run-1", 10, 4), 7, types);
-  ASSERT_TRUE(want);
-  ASSERT_EQ(want->choices.size(), 2U) << "a task does not fit two processors";
-  EXPECT_EQ(want->choices[0].flavor, "c8");
-  EXPECT_EQ(want->choices[0].fit, 2U);
-  EXPECT_EQ(want->choices[1].fit, 4U);
-  EXPECT_EQ(want->tasks, 7U);
-  EXPECT_FALSE(WantFor(Spec("run-2", 10, 32), 7, types));
+  const auto demand = DemandFor(Spec("run-1", 10, 4), 7, types);
+  ASSERT_TRUE(demand);
+  ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit two processors";
+  EXPECT_EQ(demand->choices[0].machine_type, "c8");
+  EXPECT_EQ(demand->choices[0].fit, 2U);
+  EXPECT_EQ(demand->choices[1].fit, 4U);
+  EXPECT_EQ(demand->tasks, 7U);
+  EXPECT_FALSE(DemandFor(Spec("run-2", 10, 32), 7, types));
 }
 
 TEST(Demand, MissingIsWhatCannotBeDoneInTime) {
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -8,22 +8,28 @@
 #include <vector>
 
 #include "fixtures.h"
+#include "model/cloud.h"
+#include "model/heartbeat.h"
+#include "model/task.h"
 
 namespace hallpier::testing_support {
 
 class LargeFleet {
  public:
-  static constexpr uint64_t kToken = 7;
+  static constexpr model::FencingToken kToken{7};
   static constexpr double kStart = 100;
   static constexpr uint32_t kCpus = 4;
   static constexpr size_t kTasksPerJob = 1000;
 
   explicit LargeFleet(size_t machines)
-      : settings_(SettingsOf()), ledger_(64), roster_(RosterOptions(settings_)), count_(machines) {
+      : settings_(SettingsOf()),
+        job_table_(64),
+        registry_(RosterOptions(settings_)),
+        count_(machines) {
     settings_.lease_s = 22;
     context_.settings = &settings_;
     context_.operators = &operators_;
-    context_.flavors = {FlavorOf("c4", kCpus)};
+    context_.machine_types = {MachineTypeOf("c4", kCpus)};
   }
 
   static std::string MachineName(size_t i) { return fmt::format("vm-{:06}", i); }
@@ -35,34 +41,34 @@
       PutRunningJob(first, std::min(kTasksPerJob, running - first));
     }
     for (size_t first = 0; first < count_ * kCpus; first += kTasksPerJob) {
-      PutJob(ledger_, Spec("run-9" + std::to_string(100000 + first), kTasksPerJob), 1);
+      PutJob(job_table_, Spec("run-9" + std::to_string(100000 + first), kTasksPerJob), 1);
     }
   }
 
   // A new leader begins, and every machine reports to it once.
   void TakeOver(double now) {
-    roster_.BeginTerm(kToken, now, now);
+    registry_.BeginTerm(kToken, now, now);
     for (size_t i = 0; i < count_; ++i) {
-      wire::Report report = ReportOf(MachineName(i), 1, 1, kToken);
+      model::Heartbeat report = ReportOf(MachineName(i), 1, 1, kToken);
       report.zone = i % 2 == 0 ? "a" : "b";
-      for (const auto& [task, attempt] : ledger_.On(MachineName(i))) {
+      for (const auto& [task, attempt] : job_table_.On(MachineName(i))) {
         report.tasks.push_back(
-            TaskReportOf(task.job, task.index, attempt, wire::TaskPhase::kRunning));
+            TaskReportOf(task.job, task.index, attempt, model::TaskPhase::kRunning));
       }
-      roster_.OnReport(report, now, false);
-      fleet::Machine* machine = roster_.Find(report.machine);
-      roster_.OnAnswered(report, roster_.Orders(*machine, ledger_, false), now);
+      registry_.OnHeartbeat(report, now, false);
+      fleet::Machine* machine = registry_.Find(report.machine);
+      registry_.OnAnswered(report, registry_.Reconcile(*machine, job_table_, false), now);
     }
   }
 
-  // All pages of the cloud's list, as Roster::OnListed takes them.
-  std::vector<wire::Listed> Listing() const {
-    std::vector<wire::Listed> out;
+  // All pages of the cloud's list, as WorkerRegistry::OnListed takes them.
+  std::vector<model::CloudMachine> Listing() const {
+    std::vector<model::CloudMachine> out;
     for (size_t i = 0; i < count_; ++i) {
-      wire::Listed listed;
+      model::CloudMachine listed;
       listed.machine = MachineName(i);
       listed.endpoint = "127.0.0.1:1";
-      listed.flavor = "c4";
+      listed.machine_type = "c4";
       listed.zone = i % 2 == 0 ? "a" : "b";
       out.push_back(std::move(listed));
     }
@@ -70,18 +76,18 @@
   }
 
   plan::RoundResult Plan(double now) {
-    return plan::PlanRound(context_, ledger_, roster_, now, now);
+    return plan::PlanRound(context_, job_table_, registry_, now, now);
   }
 
   size_t running() const { return count_ * kCpus / 2; }
-  const jobs::Ledger& ledger() const { return ledger_; }
-  fleet::Roster& roster() { return roster_; }
+  const jobs::JobTable& job_table() const { return job_table_; }
+  fleet::WorkerRegistry& registry() { return registry_; }
   const config::Settings& settings() const { return settings_; }
 
  private:
-  static fleet::Roster::Options RosterOptions(const config::Settings& settings) {
-    fleet::Roster::Options options;
-    options.report_s = settings.report_s;
+  static fleet::WorkerRegistry::Options RosterOptions(const config::Settings& settings) {
+    fleet::WorkerRegistry::Options options;
+    options.heartbeat_interval_s = settings.heartbeat_interval_s;
     options.lease_s = settings.lease_s;
     options.list_lag_s = settings.list_lag_s;
     options.silent_ratio = 3;
@@ -91,22 +97,22 @@
 
   void PutRunningJob(size_t first, size_t tasks) {
     const std::string id = "run-" + std::to_string(100000 + first);
-    PutJob(ledger_, Spec(id, static_cast<uint32_t>(tasks)), 1);
-    const jobs::Job* job = ledger_.Find(id);
-    std::map<uint32_t, store::Shard> groups;
+    PutJob(job_table_, Spec(id, static_cast<uint32_t>(tasks)), 1);
+    const jobs::Job* job = job_table_.Find(id);
+    std::map<uint32_t, store::TaskGroup> groups;
     for (size_t i = 0; i < tasks; ++i) {
       const auto index = static_cast<uint32_t>(i);
       groups[job->groups.layout().GroupOf(index)].open[index] = {
           1, MachineName((first + i) / (kCpus / 2))};
     }
-    for (const auto& [number, group] : groups) PutShard(ledger_, id, number, group);
+    for (const auto& [number, group] : groups) PutTaskGroup(job_table_, id, number, group);
   }
 
   config::Settings settings_;
   config::Operator operators_;
   plan::Context context_;
-  jobs::Ledger ledger_;
-  fleet::Roster roster_;
+  jobs::JobTable job_table_;
+  fleet::WorkerRegistry registry_;
   const size_t count_;
 };
 
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "model/cloud.h"
 #include "wire/peer.h"
 
 namespace hallpier {
@@ -16,15 +17,15 @@
   LargeFleet fleet(kMachines);
   fleet.PutRecords();
   fleet.TakeOver(LargeFleet::kStart);
-  fleet.roster().OnListed(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
-  EXPECT_EQ(fleet.roster().all().size(), kMachines);
-  EXPECT_TRUE(fleet.roster().Collect(fleet.ledger(), LargeFleet::kStart + 1).empty())
+  fleet.registry().OnListed(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
+  EXPECT_EQ(fleet.registry().all().size(), kMachines);
+  EXPECT_TRUE(fleet.registry().Collect(fleet.job_table(), LargeFleet::kStart + 1).empty())
       << "what runs is neither ended nor given up";
   const plan::RoundResult plan = fleet.Plan(LargeFleet::kStart + 1);
   EXPECT_GE(plan.places.size(), 500U);
   EXPECT_TRUE(plan.preemptions.empty());
   std::map<std::string, size_t> load;
-  for (const jobs::Mutation& place : plan.places) ++load[place.machine];
+  for (const jobs::TaskTransition& place : plan.places) ++load[place.machine];
   for (const auto& [machine, tasks] : load) EXPECT_LE(tasks, LargeFleet::kCpus / 2) << machine;
 }
 
@@ -33,10 +34,10 @@
   constexpr size_t kWave = 2 * kMachines;
   LargeFleet fleet(kWave);
   fleet.TakeOver(LargeFleet::kStart);
-  const std::vector<wire::Listed> late = fleet.Listing();
-  for (size_t i = 0; i < kWave; ++i) fleet.roster().OnReturned(LargeFleet::MachineName(i));
-  fleet.roster().OnListed(late, LargeFleet::kStart, LargeFleet::kStart + 1);
-  EXPECT_EQ(fleet.roster().all().size(), 0U);
+  const std::vector<model::CloudMachine> late = fleet.Listing();
+  for (size_t i = 0; i < kWave; ++i) fleet.registry().OnReturned(LargeFleet::MachineName(i));
+  fleet.registry().OnListed(late, LargeFleet::kStart, LargeFleet::kStart + 1);
+  EXPECT_EQ(fleet.registry().all().size(), 0U);
 }
 
 TEST(LargeFleet, ANodeHandsOverAsManyCancellationsAsAFrameMayHave) {
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -11,7 +11,7 @@
 using namespace testing_support;
 
 constexpr double kCancelS = 5;   // the workers' lease is 3 s
-constexpr double kPauseS = 2.3;  // Leadership::MaxUnverifiedS is 2.03 s
+constexpr double kPauseS = 2.3;  // LeaderElection::MaxUnverifiedS is 2.03 s
 
 class GapTest : public EndToEnd {
  public:
@@ -22,7 +22,7 @@
   }
 
   // Node 0 leads with two jobs at work; all nodes understand vouches.
-  rt::Task<> Prepare() {
+  async::Task<> Prepare() {
     co_await StartOthersOnceItLeads();
     bool ok = false;
     for (const char* id : {"run-1", "run-2"}) {
@@ -32,8 +32,8 @@
     ok = co_await Within(20, [&] {
       bool all = cloud_->Running("run-1") == 6 && cloud_->Running("run-2") == 6;
       for (int i = 0; i < 3; ++i) {
-        const std::string mark = state_->Value(store::MarkKey("node-" + std::to_string(i)));
-        all = all && store::ReadMark(mark) >= store::kCancellationReportFormat;
+        const std::string mark = state_->Value(store::NodeFormatKey("node-" + std::to_string(i)));
+        all = all && store::ReadNodeFormat(mark) >= store::kCancellationReportFormat;
       }
       return all;
     });
@@ -42,7 +42,7 @@
   }
 
   // Recorded by a process that tells its user and ends before anybody hears of it.
-  rt::Task<> CancelledByAnother() {
+  async::Task<> CancelledByAnother() {
     store::JobRecord record;
     record.spec = Spec("run-1", 6);
     record.submitted = 1;
@@ -53,7 +53,7 @@
   }
 
   // Node 1 knows of it, and only its cancellation report can tell the leader.
-  rt::Task<> HandedOver() {
+  async::Task<> HandedOver() {
     co_await Prepare();
     state_->Cut(true);
     co_await CancelledByAnother();
@@ -74,7 +74,7 @@
 
   // Node 1 has read it for a user, long before its watch would tell: it must hand over what it
   // told.
-  rt::Task<> OnlyRead() {
+  async::Task<> OnlyRead() {
     co_await Prepare();
     state_->SetWatchLag(10);
     state_->Cut(true);
@@ -93,7 +93,7 @@
 
   // The whole machine stands still in the outage, for long enough to be a pause. What node 1 then
   // hands over must be carried out although no copy can be confirmed.
-  rt::Task<> HandedOverAfterAPause() {
+  async::Task<> HandedOverAfterAPause() {
     co_await Prepare();
     state_->SetWatchLag(10);
     state_->Cut(true);
@@ -113,7 +113,7 @@
 
   // Whoever told it has ended; its node is back at once and sees the outage like all others, but
   // does not know what it told before.
-  rt::Task<> Forgot() {
+  async::Task<> Forgot() {
     co_await Prepare();
     state_->Cut(true);
     for (int node : {1, 2}) co_await EndInOrder(node);
@@ -132,7 +132,7 @@
   }
 
   // Nothing at all is cancelled: the outage is carried through.
-  rt::Task<> Ordinary() {
+  async::Task<> Ordinary() {
     co_await Prepare();
     state_->SetOutage(true);
     co_await Pause(kCancelS + 2);
--- a/tests/membership_cluster.h
+++ b/tests/membership_cluster.h
@@ -16,6 +16,9 @@
 #include <vector>
 
 #include "membership/member_table.h"
+#include "model/ids.h"
+#include "model/key_value.h"
+#include "model/member.h"
 #include "store/schema.h"
 
 namespace hallpier::testing_support {
@@ -172,7 +175,7 @@
       for (const wire::MemberRow& row : node.table->Rows(LocalNow(name))) {
         const Node& other = nodes_.at(row.node);
         const bool alive = other.running && !other.frozen;
-        if (alive && row.state != wire::MemberState::kAlive) return false;
+        if (alive && row.state != model::MemberState::kAlive) return false;
       }
     }
     if (Leader().empty()) return false;
@@ -180,11 +183,11 @@
     return leader.running && leader.leads && leader.process == leader_process_;
   }
   // The state as this node's own table has it.
-  wire::MemberState Seen(const std::string& by, const std::string& of) {
+  model::MemberState Seen(const std::string& by, const std::string& of) {
     for (const wire::MemberRow& row : Table(by).Rows(LocalNow(by))) {
       if (row.node == of) return row.state;
     }
-    return wire::MemberState::kAlive;
+    return model::MemberState::kAlive;
   }
   // Delivers what `from` would say now to `to`, later, whatever the links are.
   void HoldBackAnswer(const std::string& from, const std::string& to, double delay_s) {
@@ -351,8 +354,8 @@
   }
 
   bool Commit(const std::string& by, const membership::Proposal& proposal) {
-    for (const wire::Guard& guard : proposal.guards) {
-      if (VersionOf(guard.key) != guard.version) return false;
+    for (const model::Precondition& precondition : proposal.preconditions) {
+      if (VersionOf(precondition.key) != precondition.version) return false;
     }
     if (proposal.kind == membership::Proposal::Kind::kSuspect) ++suspicions_;
     if (proposal.kind == membership::Proposal::Kind::kVerdict) {
@@ -420,7 +423,7 @@
 
   // A tick after a refused proposal, the watch and a transaction fit in.
   static constexpr double kTimeToRefuteS = 1;
-  // A leader renews its lease so often within its length, as lead/leadership.cc does.
+  // A leader renews its lease so often within its length, as election/leader_election.cc does.
   static constexpr double kRenewals = 3;
 
   const Options options_;
@@ -438,7 +441,7 @@
   std::string leader_;
   uint64_t leader_process_ = 0;
   double leader_until_ = -std::numeric_limits<double>::infinity();
-  uint64_t token_ = 0;
+  uint64_t token_;
   std::vector<Verdict> verdicts_;
   std::vector<Handover> handovers_;
   size_t suspicions_ = 0;
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -10,9 +10,10 @@
 #include <valijson/validation_results.hpp>
 #include <valijson/validator.hpp>
 
-#include "app/members_command.h"
+#include "cli/members_command.h"
 #include "end_to_end.h"
 #include "membership/record.h"
+#include "model/member.h"
 #include "wire/varint.h"
 
 namespace hallpier {
@@ -20,7 +21,7 @@
 
 using namespace testing_support;
 using membership::MemberRecord;
-using wire::MemberState;
+using model::MemberState;
 
 // What is wrong with a document by the published schema; empty: nothing.
 std::string SchemaFaults(const std::string& json) {
@@ -59,7 +60,7 @@
     auto record = Record(node);
     return record && record->state == state;
   }
-  rt::Task<bool> AllJoined(int count) {
+  async::Task<bool> AllJoined(int count) {
     bool ok = co_await Within(10, [&] {
       for (int i = 0; i < count; ++i) {
         if (!Is(i, MemberState::kAlive)) return false;
@@ -73,18 +74,18 @@
     auto record = store::ReadLeader(state_->Value(store::LeaderKey()));
     return record ? record->node : std::string();
   }
-  rt::Task<> RunsAJob(int node) {
+  async::Task<> RunsAJob(int node) {
     bool ok = co_await Until(node, "POST", "/submissions", Body(Spec("run-1", 6)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Within(10, [&] { return cloud_->Running("run-1") == 6; });
     EXPECT_TRUE(ok);
   }
   // The command has a loop of its own and blocks, as on a console.
-  rt::Task<std::vector<app::MembersAnswer>> Command(config::Settings settings) {
-    std::vector<app::MembersAnswer> answers;
+  async::Task<std::vector<cli::MembersAnswer>> Command(config::Settings settings) {
+    std::vector<cli::MembersAnswer> answers;
     std::atomic<bool> done = false;
     std::thread console([&] {
-      answers = app::AskMembers(settings, 1);
+      answers = cli::AskMembers(settings, 1);
       done = true;
     });
     while (!done) co_await Pause(0.01);
@@ -93,7 +94,7 @@
   }
 
   // Its lease would stand for 4 s more.
-  rt::Task<> LeavesInOrder() {
+  async::Task<> LeavesInOrder() {
     co_await StartOthersOnceItLeads();
     co_await AllJoined(3);
     co_await RunsAJob(1);
@@ -115,7 +116,7 @@
 
   // A leader that reads a verdict on itself gives up, joins as a new session, and nothing that runs
   // is started twice.
-  rt::Task<> IsJudged() {
+  async::Task<> IsJudged() {
     co_await StartOthersOnceItLeads();
     co_await AllJoined(3);
     co_await RunsAJob(1);
@@ -123,7 +124,7 @@
     const uint64_t session = record.incarnation.session;
     record.state = MemberState::kFailed;
     record.by = "node-2";
-    const std::string token_before = state_->Value(store::BlockKey(0));
+    const std::string token_before = state_->Value(store::FencingTokenKey());
     co_await WriteRecord(store::MemberKey("node-0"), membership::WriteMember(record));
     bool ok = co_await Within(5, [&] {
       return Is(0, MemberState::kAlive) && Record(0)->incarnation.session == session + 1;
@@ -137,7 +138,7 @@
   }
 
   // Nobody else is there to end its lease.
-  rt::Task<> IsJudgedAlone() {
+  async::Task<> IsJudgedAlone() {
     co_await AllJoined(1);
     co_await RunsAJob(0);
     MemberRecord record = *Record(0);
@@ -154,14 +155,14 @@
     EXPECT_EQ(cloud_->Running("run-1"), 6);
   }
 
-  rt::Task<> Commands() {
+  async::Task<> Commands() {
     co_await AllJoined(3);
     bool ok = co_await Within(5, [&] { return !Leader().empty(); });
     EXPECT_TRUE(ok);
     co_await Pause(2 * kReport);
     auto answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(app::MembersJson(answers)), "");
-    for (const app::MembersAnswer& answer : answers) {
+    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
+    for (const cli::MembersAnswer& answer : answers) {
       EXPECT_TRUE(answer.report && answer.report->enabled) << answer.error;
       if (!answer.report) continue;
       EXPECT_EQ(answer.report->rows.size(), 3U);
@@ -173,15 +174,15 @@
     }
     co_await EndInOrder(2);
     answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(app::MembersJson(answers)), "");
+    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
     EXPECT_FALSE(answers.at(2).report);
-    EXPECT_NE(app::MembersText(answers).find("node-2: can't be reached"), std::string::npos);
-    EXPECT_NE(app::MembersText(answers).find("left"), std::string::npos);
+    EXPECT_NE(cli::MembersText(answers).find("node-2: can't be reached"), std::string::npos);
+    EXPECT_NE(cli::MembersText(answers).find("left"), std::string::npos);
     EXPECT_NE(SchemaFaults(R"({"controllers":[{"node":"a"}]})"), "") << "the schema does check";
   }
 
   // One node has membership off, as after its settings were changed back, or as an older version.
-  rt::Task<> OneIsOff() {
+  async::Task<> OneIsOff() {
     operators_.membership.enabled = false;
     StartNodes(2, 3, 3);
     operators_.membership.enabled = true;
@@ -189,11 +190,11 @@
     co_await AllJoined(2);
     co_await Pause(10 * kReport);
     EXPECT_EQ(state_->Value(store::MemberKey("node-2")), "");
-    EXPECT_EQ(store::ReadMark(state_->Value(store::MarkKey("node-2"))),
+    EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-2"))),
               store::kCancellationReportFormat);
     EXPECT_TRUE(Is(0, MemberState::kAlive));
     auto answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(app::MembersJson(answers)), "");
+    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
     EXPECT_FALSE(answers.at(0).report->rows.at(2).known) << "never failed for answering no probe";
     EXPECT_FALSE(answers.at(2).report->enabled);
     co_await RunsAJob(2);
@@ -201,7 +202,7 @@
 
   static constexpr char kUnknownType = 99;
   // Whoever sends what no node would is cut off, or ignored, and nothing else happens.
-  rt::Task<> BadFrames() {
+  async::Task<> BadFrames() {
     co_await AllJoined(3);
     wire::MemberStatus stranger;
     stranger.node = "node-77";
@@ -224,7 +225,7 @@
     EXPECT_EQ(state_->Value(store::MemberKey("node-77")), "");
   }
 
-  rt::Task<> Off() {
+  async::Task<> Off() {
     co_await StartOthersOnceItLeads();
     state_->Watch([this](const std::string& key, const std::string& /*value*/) {
       if (store::ParseKey(key).kind == store::KeyKind::kMember) ++member_writes_;
@@ -234,8 +235,9 @@
     co_await Pause(5 * kReport);
     EXPECT_EQ(member_writes_, 0);
     for (int i = 0; i < 3; ++i) {
-      EXPECT_EQ(store::ReadMark(state_->Value(store::MarkKey("node-" + std::to_string(i)))),
-                store::kCancellationReportFormat);
+      EXPECT_EQ(
+          store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-" + std::to_string(i)))),
+          store::kCancellationReportFormat);
     }
   }
 
@@ -290,9 +292,9 @@
   config::Settings settings = SettingsOf();
   settings.peer_bind = "127.0.0.1:1";
   settings.seeds = {{"node-1", "a", "127.0.0.1:1"}};
-  EXPECT_EQ(app::RunMembersCommand(settings, false), 1);
-  const auto answers = app::AskMembers(settings, 1);
-  EXPECT_EQ(SchemaFaults(app::MembersJson(answers)), "");
+  EXPECT_EQ(cli::RunMembersCommand(settings, false), 1);
+  const auto answers = cli::AskMembers(settings, 1);
+  EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
   EXPECT_EQ(answers.size(), 2U);
 }
 
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -8,6 +8,7 @@
 #include "membership/record.h"
 #include "membership/report_counter.h"
 #include "membership/yield_policy.h"
+#include "model/member.h"
 #include "store/schema.h"
 #include "wire/peer.h"
 
@@ -18,8 +19,8 @@
 using membership::MemberRecord;
 using membership::MemberTable;
 using membership::YieldPolicy;
-using wire::MemberState;
-using wire::MemberVitals;
+using model::MemberState;
+using model::MemberVitals;
 
 constexpr membership::SilenceOptions kSilence{.probe_s = 0.25, .missed_probes = 3};
 
@@ -93,7 +94,8 @@
     }
     return std::nullopt;
   }
-  YieldPolicy policy_{{.report_s = 4, .lease_s = 20, .hold_leases = 1, .relayed_leases = 0.25}};
+  YieldPolicy policy_{
+      {.heartbeat_interval_s = 4, .lease_s = 20, .hold_leases = 1, .relayed_leases = 0.25}};
   double now_ = 100;
 };
 
@@ -150,7 +152,7 @@
   EXPECT_EQ(key.job, "node-1");
 }
 
-wire::MemberStatus StatusOf(const std::string& node, wire::Incarnation incarnation) {
+wire::MemberStatus StatusOf(const std::string& node, model::Incarnation incarnation) {
   wire::MemberStatus status;
   status.node = node;
   status.incarnation = incarnation;
@@ -238,13 +240,13 @@
   wire::MemberStatus status = StatusOf("node-1", {5, 0});
   status.observations = {{"node-0", {2, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  EXPECT_EQ(table_.incarnation(), (wire::Incarnation{1, 0})) << "no session of this process";
+  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0})) << "no session of this process";
   status.observations = {{"node-0", {1, 3}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  EXPECT_EQ(table_.incarnation(), (wire::Incarnation{1, 0})) << "never said so";
+  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0})) << "never said so";
   status.observations = {{"node-0", {1, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  EXPECT_EQ(table_.incarnation(), (wire::Incarnation{1, 1}));
+  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 1}));
 }
 
 TEST_F(TableTest, AFailedNodesFormerProcessKeepsNobodyAlive) {
@@ -295,16 +297,16 @@
   auto proposals = fresh.Tick(0.1, true);
   ASSERT_EQ(proposals.size(), 1U);
   EXPECT_EQ(proposals[0].kind, membership::Proposal::Kind::kJoin);
-  EXPECT_EQ(proposals[0].record.incarnation, (wire::Incarnation{7, 0}));
-  ASSERT_EQ(proposals[0].guards.size(), 1U);
-  EXPECT_EQ(proposals[0].guards[0].version, 30U);
+  EXPECT_EQ(proposals[0].record.incarnation, (model::Incarnation{7, 0}));
+  ASSERT_EQ(proposals[0].preconditions.size(), 1U);
+  EXPECT_EQ(proposals[0].preconditions[0].version, 30U);
   EXPECT_TRUE(fresh.Tick(0.2, true).empty()) << "one at a time";
 }
 
 // node-2 answers, and says of node-1 what is given; node-1 is silent.
 class SilentNodeTest : public TableTest {
  protected:
-  void PassWith(double s, const wire::MemberObservation& observation, double answer_age_s = 0.01) {
+  void PassWith(double s, const model::MemberObservation& observation, double answer_age_s = 0.01) {
     for (double end = now_ + s; now_ < end;) {
       now_ += kSilence.probe_s;
       wire::MemberStatus status = StatusOf("node-2", {8, 0});
@@ -315,7 +317,7 @@
     }
   }
   MemberState Seen() const { return table_.Rows(now_)[1].state; }
-  const wire::MemberObservation suspects_{"node-1", {5, 0}, MemberState::kSuspect, std::nullopt};
+  const model::MemberObservation suspects_{"node-1", {5, 0}, MemberState::kSuspect, std::nullopt};
   bool held_up_ = false;
 };
 
@@ -325,11 +327,11 @@
   auto expect_guards = [&](membership::Proposal::Kind kind, uint64_t subject_version) {
     ASSERT_EQ(proposals_.size(), 1U);
     EXPECT_EQ(proposals_[0].kind, kind);
-    ASSERT_EQ(proposals_[0].guards.size(), 2U);
-    EXPECT_EQ(proposals_[0].guards[0].key, store::MemberKey("node-1"));
-    EXPECT_EQ(proposals_[0].guards[0].version, subject_version);
-    EXPECT_EQ(proposals_[0].guards[1].key, store::MemberKey("node-0"));
-    EXPECT_EQ(proposals_[0].guards[1].version, 10U);
+    ASSERT_EQ(proposals_[0].preconditions.size(), 2U);
+    EXPECT_EQ(proposals_[0].preconditions[0].key, store::MemberKey("node-1"));
+    EXPECT_EQ(proposals_[0].preconditions[0].version, subject_version);
+    EXPECT_EQ(proposals_[0].preconditions[1].key, store::MemberKey("node-0"));
+    EXPECT_EQ(proposals_[0].preconditions[1].version, 10U);
   };
   PassWith(3, suspects_);
   expect_guards(membership::Proposal::Kind::kSuspect, 11);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -3,13 +3,14 @@
 #include <gtest/gtest.h>
 
 #include "membership_cluster.h"
+#include "model/member.h"
 
 namespace hallpier {
 namespace {
 
 using namespace testing_support;
 using membership::MemberRecord;
-using wire::MemberState;
+using model::MemberState;
 using Options = MembershipCluster::Options;
 
 constexpr double kSettleS = 10;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -9,14 +9,15 @@
 #include <memory>
 #include <thread>
 
+#include "election/leader_election.h"
 #include "fixtures.h"
-#include "lead/leadership.h"
+#include "model/key_value.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "port_block.h"
 #include "standins/standins.h"
-#include "store/barrier.h"
+#include "store/linearizable_read.h"
 #include "wire/peer.h"
 #include "wire/varint.h"
 
@@ -29,25 +30,25 @@
  protected:
   NetTest() : scope_(loop_) {}
 
-  void Run(rt::Task<> script) {
-    rt::Scope own(loop_);
+  void Run(async::Task<> script) {
+    async::Scope own(loop_);
     own.Spawn(Script(std::move(script)));
     loop_.Run();
     scope_.Cancel();
     own.Spawn(StopOnceJoined());
     loop_.Run();
   }
-  rt::Task<> Script(rt::Task<> script) {
-    rt::Task<> owned = std::move(script);
+  async::Task<> Script(async::Task<> script) {
+    async::Task<> owned = std::move(script);
     co_await owned;
     loop_.Stop();
   }
-  rt::Task<> StopOnceJoined() {
+  async::Task<> StopOnceJoined() {
     co_await scope_.Join();
     loop_.Stop();
   }
-  rt::Task<> Pause(double s) {
-    rt::Sleep pause(scope_, s);
+  async::Task<> Pause(double s) {
+    async::Sleep pause(scope_, s);
     co_await pause;
   }
   // As a process does that gets no turn: its clocks run on, and its buffers fill.
@@ -66,8 +67,8 @@
     return options;
   }
 
-  rt::Loop loop_;
-  rt::Scope scope_;
+  async::EventLoop loop_;
+  async::Scope scope_;
 };
 
 constexpr double kQuiet = 0.2;
@@ -83,12 +84,12 @@
     std::string error;
     RequireStarted(server_->Listen(At(0), &error), "a server", error);
   }
-  rt::Task<wire::HttpResponse> Answer(wire::HttpRequest /*unused*/) {
+  async::Task<wire::HttpResponse> Answer(wire::HttpRequest /*unused*/) {
     ++handled_;
     co_return wire::HttpResponse{.status = 200, .body = "{}"};
   }
   // A client of its own is a connection of its own.
-  rt::Task<wire::HttpResponse> Ask(net::HttpClient& client, std::string target) {
+  async::Task<wire::HttpResponse> Ask(net::HttpClient& client, std::string target) {
     wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = ""};
     auto r = co_await client.Call(scope_, At(0), std::move(q), 1, false);
     co_return r.value_or(wire::HttpResponse{.status = 0, .body = ""});
@@ -103,7 +104,7 @@
 class CrowdOfOneKind : public ShareTest {
  public:
   CrowdOfOneKind() : ShareTest(kNeverQuiet) {}
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::vector<std::unique_ptr<net::HttpClient>> as, bs;
     for (int i = 0; i < 5; ++i) as.push_back(std::make_unique<net::HttpClient>(1, 1024));
     for (int i = 0; i < 2; ++i) bs.push_back(std::make_unique<net::HttpClient>(1, 1024));
@@ -135,7 +136,7 @@
 class CrowdOfWorkers : public NetTest {
  public:
   static constexpr int kRoom = 4, kWorkers = 12;
-  rt::Task<> Script() {
+  async::Task<> Script() {
     net::HttpServer::Limits limits{kRoom, 1024, 30, 5, kNeverQuiet};
     limits.shares = {{.takes = [](const wire::HttpRequest& /*unused*/) { return true; },
                       .most = kRoom,
@@ -161,7 +162,7 @@
   }
 
  private:
-  rt::Task<wire::HttpResponse> Answer() {
+  async::Task<wire::HttpResponse> Answer() {
     ++handled_;
     co_return wire::HttpResponse{.status = 200, .body = "{}"};
   }
@@ -174,7 +175,7 @@
 // Machines that die never close their connections; these must not keep others out for long.
 class DeadConnections : public ShareTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     net::HttpClient one(1, 1024), two(1, 1024), three(1, 1024), b1(1, 1024), b2(1, 1024);
     wire::HttpResponse r = co_await Ask(one, "/a");
     EXPECT_EQ(r.status, 200);
@@ -201,7 +202,7 @@
 // After a standstill the buffers are full of requests whose senders have long gone elsewhere.
 class GoneClient : public ShareTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     auto to = net::ParseAddress(At(0));
     {
       auto stream = co_await net::Stream::Connect(scope_, *to, loop_.Now() + 1);
@@ -225,7 +226,7 @@
 // about now: the answer counts from when it was asked for.
 class OldWord : public NetTest {
  public:
-  rt::Task<> AnswerPings(net::Listener listener) {
+  async::Task<> AnswerPings(net::Listener listener) {
     auto stream = co_await listener.Accept(scope_);
     if (!stream) co_return;
     wire::FrameBuffer frames(wire::kMaxPeerFrame);
@@ -246,13 +247,13 @@
       if (stand_still_s_ > 0) StandStill(std::exchange(stand_still_s_, 0));
     }
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     auto listener = net::Listener::Open(*net::ParseAddress(At(1)), &error);
     RequireStarted(listener.has_value(), "a listener", error);
     config::Settings s = SettingsOf();
     s.node = "node-0";
-    s.report_s = 4;  // a beat of 0.5 s
+    s.heartbeat_interval_s = 4;  // a beat of 0.5 s
     s.peer_bind = At(2);
     s.seeds = {{"node-1", "a", At(1)}};
     net::PeerMesh::Hooks hooks;
@@ -288,7 +289,7 @@
   std::unique_ptr<net::PeerMesh> Mesh(int node, config::Settings& s) {
     s = SettingsOf();
     s.node = "node-" + std::to_string(node);
-    s.report_s = 8 * kBeat;
+    s.heartbeat_interval_s = 8 * kBeat;
     s.peer_bind = At(1 + node);
     s.seeds = {{"node-" + std::to_string(1 - node), "a", At(2 - node)}};
     net::PeerMesh::Hooks hooks;
@@ -314,7 +315,7 @@
     hooks.on_cancelled = [this](const wire::CancelNotice& n) { told_.push_back(n.cancelled.job); };
     return std::make_unique<net::PeerMesh>(scope_, s, hooks);
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     config::Settings s0, s1;
     auto leader = Mesh(0, s0), other = Mesh(1, s1);
@@ -343,23 +344,23 @@
 
 // A node that leads by way of a state client of its own, with nothing else of a controller.
 struct LoneLeader {
-  LoneLeader(rt::Scope& scope, config::Settings s, const store::Client::Options& options)
+  LoneLeader(async::Scope& scope, config::Settings s, const store::Client::Options& options)
       : settings(std::move(s)),
         client(scope, options),
-        replica(scope, client, 0.2,
-                [this](const std::string& key, const std::string& value) {
-                  if (key == store::LeaderKey()) lead.OnRecord(value);
-                }),
-        lead(scope, settings, operators, client, replica, [this](rt::Scope&) { ++terms; }) {
-    scope.Spawn(replica.Run());
+        cache(scope, client, 0.2,
+              [this](const std::string& key, const std::string& value) {
+                if (key == store::LeaderKey()) lead.OnRecord(value);
+              }),
+        lead(scope, settings, operators, client, cache, [this](async::Scope&) { ++terms; }) {
+    scope.Spawn(cache.Run());
     scope.Spawn(lead.Run());
   }
   const config::Settings settings;
   const config::Operator operators;
   int terms = 0;
   store::Client client;
-  store::Replica replica;
-  lead::Leadership lead;
+  store::WatchCache cache;
+  election::LeaderElection lead;
 };
 
 // The leader's own lease is half a report period.
@@ -368,9 +369,9 @@
 constexpr double kLease = 60;
 constexpr double kShortLease = 8;
 
-config::Settings LeaderSettings(double report_s, double lease_s) {
+config::Settings LeaderSettings(double heartbeat_interval_s, double lease_s) {
   config::Settings s = SettingsOf();
-  s.report_s = report_s;
+  s.heartbeat_interval_s = heartbeat_interval_s;
   s.lease_s = lease_s;
   return s;
 }
@@ -379,15 +380,15 @@
 // nobody has led since.
 class StoodStill : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
-    lead::Leadership& lead = node.lead;
+    election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     EXPECT_TRUE(lead.Entitled());
-    const uint64_t token = lead.token();
+    const model::FencingToken token = lead.token();
     StandStill(1.6);
     EXPECT_TRUE(lead.leading()) << "it can't know better yet";
     EXPECT_FALSE(lead.Entitled()) << "and must find out first";
@@ -405,7 +406,7 @@
 // pause is no leave to answer after it. Once all others say that the outage goes on, nobody leads.
 class PausedInAnOutage : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
@@ -413,7 +414,7 @@
     bool outage_confirmed = false;
     node.lead.SetOutageConfirmed([&] { return outage_confirmed; });
     loop_.WatchPauses(node.lead.MaxUnverifiedS());
-    lead::Leadership& lead = node.lead;
+    election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     state.SetOutage(true);
     co_await Pause(1);
@@ -440,22 +441,22 @@
 // short refusal does not move the lead; a long one does, since the leader hears of nothing new.
 class RefusedAlone : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     RequireStarted(state.ListenApart(At(4), &error), "a server", error);
     store::Client peer(scope_, StateAt(3));
     LoneLeader node(scope_, LeaderSettings(kReport, kShortLease), StateAt(4));
-    node.client.SetRelay([&peer](wire::HttpRequest request) -> rt::Task<net::Relayed> {
+    node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::Relayed> {
       net::Relayed relayed;
       relayed.sent = true;
       relayed.answer = co_await peer.Direct(std::move(request));
       co_return relayed;
     });
-    lead::Leadership& lead = node.lead;
+    election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
-    const uint64_t token = lead.token();
+    const model::FencingToken token = lead.token();
     for (int flap = 0; flap < 2; ++flap) {
       state.Cut(true);
       co_await Pause(1.5);
@@ -481,17 +482,17 @@
 // for long.
 class CrowdOfPolls : public NetTest {
  public:
-  rt::Task<> AskOften(store::Barrier& barrier, double until) {
+  async::Task<> AskOften(store::LinearizableRead& linearizable_read, double until) {
     while (loop_.Now() < until) {
       const double asked = loop_.Now();
-      const bool fresh = co_await barrier.Reached();
+      const bool fresh = co_await linearizable_read.Reached();
       EXPECT_TRUE(fresh);
       longest_ = std::max(longest_, loop_.Now() - asked);
       ++answered_;
     }
     --askers_;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
@@ -499,18 +500,19 @@
     options.rps = 40;
     options.timeout_s = 1;
     store::Client client(scope_, options);
-    store::Replica replica(scope_, client, 5, [](const std::string&, const std::string&) {});
-    scope_.Spawn(replica.Run());
-    while (!replica.loaded()) co_await Pause(0.01);
-    store::Barrier barrier(scope_, client, replica, 0.6);
+    store::WatchCache cache(scope_, client, 5, [](const std::string&, const std::string&) {});
+    scope_.Spawn(cache.Run());
+    while (!cache.loaded()) co_await Pause(0.01);
+    store::LinearizableRead linearizable_read(scope_, client, cache, 0.6);
     const int before = state.requests();
     askers_ = 300;
-    for (int i = 0; i < askers_; ++i) scope_.Spawn(AskOften(barrier, loop_.Now() + 2));
+    for (int i = 0; i < askers_; ++i) scope_.Spawn(AskOften(linearizable_read, loop_.Now() + 2));
     co_await Pause(1);
-    std::vector<wire::Guard> guards;
-    std::vector<wire::Write> writes = {{store::JobKey("run-1"), "{}", 0}};
+    std::vector<model::Precondition> preconditions;
+    std::vector<model::KeyWrite> writes = {{store::JobKey("run-1"), "{}", 0}};
     const double sent = loop_.Now();
-    auto written = co_await client.Txn(std::move(guards), std::move(writes), store::Urgent::kYes);
+    auto written =
+        co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
     EXPECT_TRUE(written.ok());
     EXPECT_LT(loop_.Now() - sent, 0.1) << "a submission's write among the polls";
     while (askers_ > 0) co_await Pause(0.01);
@@ -531,7 +533,7 @@
 // rental request or a command from a plan of before must not go out on it.
 class PausedWhileConnecting : public NetTest {
  public:
-  rt::Task<> Accept() {
+  async::Task<> Accept() {
     std::string error;
     net::HttpServer::Limits limits{4, 1024, 30, 5, kNeverQuiet};
     server_.emplace(scope_, limits,
@@ -539,19 +541,19 @@
     RequireStarted(server_->Listen(At(0), &error), "a server", error);
     co_return;
   }
-  rt::Task<wire::HttpResponse> Count() {
+  async::Task<wire::HttpResponse> Count() {
     ++requests_;
     co_return wire::HttpResponse{.status = 200, .body = "{}"};
   }
-  rt::Task<> Call(double timeout_s) {
+  async::Task<> Call(double timeout_s) {
     wire::HttpRequest q{.method = "POST", .target = "/rentals", .body = "{}"};
     auto r = co_await http_.Call(scope_, At(0), std::move(q), timeout_s, false);
     ++(r ? answered_ : given_up_);
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     co_await Accept();
     scope_.Spawn(Call(0.2));
-    rt::Sleep turn(scope_, 0);
+    async::Sleep turn(scope_, 0);
     co_await turn;  // it is connecting now
     StandStill(0.5);
     while (answered_ + given_up_ == 0) co_await Pause(0.01);
@@ -573,7 +575,7 @@
 // A gap between turns counts as a pause from the moment it ends, and is told until the next one.
 class PauseTest : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     loop_.WatchPauses(0.4);
     co_await Pause(0.1);
     EXPECT_LT(loop_.resumed_at(), 0);
@@ -595,19 +597,20 @@
 // says nothing of the first copy, which may be carried out at any time yet.
 class RefusedAfterSilence : public NetTest {
  public:
-  rt::Task<store::Status> Write(store::Client& client) {
-    std::vector<wire::Guard> guards;
-    std::vector<wire::Write> writes = {{"hallpier/x", "{}", 0}};
-    auto r = co_await client.Txn(std::move(guards), std::move(writes), store::Urgent::kYes);
+  async::Task<store::Status> Write(store::Client& client) {
+    std::vector<model::Precondition> preconditions;
+    std::vector<model::KeyWrite> writes = {{"hallpier/x", "{}", 0}};
+    auto r =
+        co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
     co_return r.status;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(6), &error), "a server", error);
     store::Client client(scope_, StateAt(6));
     bool sent = false;
-    client.SetRelay([&sent](wire::HttpRequest) -> rt::Task<net::Relayed> {
+    client.SetRelay([&sent](wire::HttpRequest) -> async::Task<net::Relayed> {
       net::Relayed r;
       r.sent = sent;
       co_return r;
@@ -631,15 +634,15 @@
 // void. A node without peers must notice by itself, or no commit would ever succeed again.
 class LostFence : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(7), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(1, kLease), StateAt(7));
-    lead::Leadership& lead = node.lead;
+    election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
-    const uint64_t token = lead.token();
-    state.LoseAnswers(store::BlockKey(0), standins::State::Lost::kAtOnce);
+    const model::FencingToken token = lead.token();
+    state.LoseAnswers(store::FencingTokenKey(), standins::State::Lost::kAtOnce);
     bool fenced = co_await lead.Fence();
     EXPECT_FALSE(fenced);
     EXPECT_EQ(state.lost(), 1);
@@ -659,36 +662,36 @@
 // every commit of the next leader fail.
 class LateAnswer : public NetTest {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(4), &error), "a server", error);
     store::Client client(scope_, StateAt(4));
     std::map<std::string, std::string> copy;
-    store::Replica replica(scope_, client, 0.5,
-                           [&](const std::string& key, const std::string& v) { copy[key] = v; });
-    scope_.Spawn(replica.Run());
+    store::WatchCache cache(scope_, client, 0.5,
+                            [&](const std::string& key, const std::string& v) { copy[key] = v; });
+    scope_.Spawn(cache.Run());
     const std::string key = store::JobKey("run-1");
     const uint64_t put = co_await Write(client, key, "{}");
     const uint64_t drop = co_await Write(client, key, "");
-    while (replica.revision() < drop) co_await Pause(0.01);
-    EXPECT_EQ(replica.Version(key), 0U);
-    replica.Apply(key, "{}", put);
-    EXPECT_EQ(replica.Version(key), 0U) << "the answer of the first write, late";
+    while (cache.revision() < drop) co_await Pause(0.01);
+    EXPECT_EQ(cache.Version(key), 0U);
+    cache.Apply(key, "{}", put);
+    EXPECT_EQ(cache.Version(key), 0U) << "the answer of the first write, late";
     EXPECT_EQ(copy[key], "");
     // Whatever else may make the copy differ, a key that was overtaken is read anew.
-    replica.Apply(key, "{}", drop + 100);
+    cache.Apply(key, "{}", drop + 100);
     EXPECT_EQ(copy[key], "{}");
-    co_await replica.Refresh(key);
+    co_await cache.Refresh(key);
     EXPECT_EQ(copy[key], "");
-    EXPECT_EQ(replica.Version(key), 0U);
+    EXPECT_EQ(cache.Version(key), 0U);
     scope_.Cancel();
     co_await scope_.Join();
   }
-  rt::Task<uint64_t> Write(store::Client& client, std::string key, std::string value) {
-    std::vector<wire::Guard> guards;
-    std::vector<wire::Write> writes = {{std::move(key), std::move(value), 0}};
-    auto r = co_await client.Txn(std::move(guards), std::move(writes));
+  async::Task<uint64_t> Write(store::Client& client, std::string key, std::string value) {
+    std::vector<model::Precondition> preconditions;
+    std::vector<model::KeyWrite> writes = {{std::move(key), std::move(value), 0}};
+    auto r = co_await client.Commit(std::move(preconditions), std::move(writes));
     EXPECT_TRUE(r.ok());
     co_return r.value.revision;
   }
@@ -701,18 +704,19 @@
 // nothing of the kind.
 class LowerRates : public NetTest {
  public:
-  rt::Task<int> Refusals(store::Client& client, standins::State& state, double s) {
+  async::Task<int> Refusals(store::Client& client, standins::State& state, double s) {
     const int before = state.refused();
     const double end = loop_.Now() + s;
     for (int i = 0; loop_.Now() < end; ++i) {
-      std::vector<wire::Guard> guards;
-      std::vector<wire::Write> writes = {{"hallpier/x", "{}", 0}};
-      auto r = co_await client.Txn(std::move(guards), std::move(writes), store::Urgent::kYes);
+      std::vector<model::Precondition> preconditions;
+      std::vector<model::KeyWrite> writes = {{"hallpier/x", "{}", 0}};
+      auto r =
+          co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
       (void)r;
     }
     co_return state.refused() - before;
   }
-  rt::Task<> Script() {
+  async::Task<> Script() {
     std::string error;
     standins::State state(scope_);
     RequireStarted(state.Listen(At(5), &error), "a server", error);
@@ -757,11 +761,11 @@
   static constexpr size_t kBlock = size_t{64} * 1024;
   static constexpr size_t kBlocks = 300;
 
-  rt::Task<> Send() {
+  async::Task<> Send() {
     const std::string block(kBlock, letter_);
     for (size_t i = 0; i < kBlocks; ++i) co_await to_->Write(scope_, block, loop_.Now() + 30);
   }
-  rt::Task<> Receive() {
+  async::Task<> Receive() {
     for (size_t received = 0; received < kBlocks * kBlock;) {
       std::string data;
       bool read = co_await from_->Read(scope_, data, loop_.Now() + 30);
@@ -773,8 +777,8 @@
   }
 
   const char letter_;
-  rt::Loop loop_;
-  rt::Scope scope_{loop_};
+  async::EventLoop loop_;
+  async::Scope scope_{loop_};
   std::optional<net::Stream> from_, to_;
   size_t others_ = 0;
 };
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -5,6 +5,7 @@
 #include <limits>
 #include <random>
 
+#include "model/job.h"
 #include "wire/varint.h"
 
 namespace hallpier::wire {
@@ -65,7 +66,7 @@
 }
 
 TEST(PeerMessages, SurviveARoundTripAndRefuseNonsense) {
-  PeerStatus s{"node-1", 77, true, false};
+  PeerStatus s{"node-1", model::FencingToken(77), true, false};
   auto back = ReadPeerMessage(WritePeerMessage(s));
   ASSERT_TRUE(back);
   EXPECT_EQ(std::get<PeerStatus>(*back), s);
@@ -122,13 +123,13 @@
     for (uint64_t n = Below(6); n > 0; --n) all.push_back(make());
     return all;
   }
-  MemberState State() { return static_cast<MemberState>(Below(4)); }
-  Incarnation Life() { return {Number(), Number()}; }
+  model::MemberState State() { return static_cast<model::MemberState>(Below(4)); }
+  model::Incarnation Life() { return {Number(), Number()}; }
   MemberStatus Status() {
     auto observe = [this] {
       // The largest is kept as one less, since 0 stands for never.
       auto heard = Flag() ? std::optional(std::min(Number(), kLongestHeard)) : std::nullopt;
-      return MemberObservation{Text(), Life(), State(), heard};
+      return model::MemberObservation{Text(), Life(), State(), heard};
     };
     return {Text(), Life(),          State(), {Flag(), Flag(), Number(), Number()},
             Text(), Several(observe)};
@@ -146,16 +147,19 @@
   }
   BlockView View() {
     auto task = [this] {
-      TaskId id{Text(), static_cast<uint32_t>(Below(kMaxTasks + 1))};
-      return TaskView{
-          id,     Number(), static_cast<TaskPhase>(Below(4)), static_cast<Cause>(Below(7)),
-          Flag(), Number()};
+      model::TaskId id{Text(), static_cast<uint32_t>(Below(model::kMaxTasks + 1))};
+      return model::TaskView{id,
+                             Number(),
+                             static_cast<model::TaskPhase>(Below(4)),
+                             static_cast<model::ExitCause>(Below(7)),
+                             Flag(),
+                             Number()};
     };
     auto machine = [&] {
-      return MachineView{Text(), Text(), Text(), Flag(), Flag(), Texts(), Several(task)};
+      return model::MachineView{Text(), Text(), Text(), Flag(), Flag(), Texts(), Several(task)};
     };
-    auto failures = [this] { return JobFailures{Text(), Flag(), Flag(), Texts()}; };
-    return {Number(), Number(), Several(machine), Texts(), Several(failures)};
+    auto failures = [this] { return model::JobFailures{Text(), Flag(), Flag(), Texts()}; };
+    return {model::FencingToken(Number()), Number(), Several(machine), Texts(), Several(failures)};
   }
 
   static constexpr uint64_t kLongestHeard = std::numeric_limits<uint64_t>::max() - 1;
@@ -167,7 +171,7 @@
   PeerMessage OfType(size_t type) {
     switch (type) {
       case 0:
-        return PeerStatus{Text(), Number(), Flag(), Flag()};
+        return PeerStatus{Text(), model::FencingToken(Number()), Flag(), Flag()};
       case 1:
         return RelayRequest{Number(), {.method = Text(), .target = Text(), .body = Text()}};
       case 2:
@@ -222,7 +226,7 @@
 TEST(PeerMessages, TheLongestTimeSinceANodeWasHeardIsNotNever) {
   MemberProbe probe;
   probe.status.observations = {
-      {"node-1", {}, MemberState::kAlive, std::numeric_limits<uint64_t>::max()}};
+      {"node-1", {}, model::MemberState::kAlive, std::numeric_limits<uint64_t>::max()}};
   const auto back = ReadPeerMessage(WritePeerMessage(probe));
   ASSERT_TRUE(back);
   EXPECT_TRUE(std::get<MemberProbe>(*back).status.observations.at(0).heard_ms_ago);
@@ -245,14 +249,15 @@
   PutVarint(rows, 10001);
   EXPECT_EQ(FaultOf(rows), "a report of members: the number of members can't be 10001");
   MembersReport one;
-  one.rows.push_back({"", {0, 0}, MemberState::kLeft, true, false, 0, {}, ""});
+  one.rows.push_back({"", {0, 0}, model::MemberState::kLeft, true, false, 0, {}, ""});
   std::string state = WritePeerMessage(one);
   constexpr size_t kState = kRowCount + 1 + 3;  // behind the count, a name and an incarnation
-  ASSERT_EQ(state[kState], static_cast<char>(MemberState::kLeft));
+  ASSERT_EQ(state[kState], static_cast<char>(model::MemberState::kLeft));
   state[kState] = 4;
   EXPECT_EQ(FaultOf(state), "a report of members: a member's state can't be 4");
   BlockView machine;
-  machine.changed.push_back({.machine = "", .flavor = "", .zone = "", .images = {}, .tasks = {{}}});
+  machine.changed.push_back(
+      {.machine = "", .machine_type = "", .zone = "", .images = {}, .tasks = {{}}});
   std::string phase = WritePeerMessage(machine);
   constexpr size_t kPhase = 14;  // behind the view's head, the machine's and the task's name
   phase[kPhase] = 9;
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -1,5 +1,7 @@
-// Pipelines on whole controllers: nothing starts too early, and no cancellation gets lost.
+// DependencyGraph on whole controllers: nothing starts too early, and no cancellation gets lost.
 #include "end_to_end.h"
+#include "model/job.h"
+#include "model/task.h"
 
 namespace hallpier {
 namespace {
@@ -11,34 +13,34 @@
 class PipelineTest : public EndToEnd {
  public:
   template <class... Ids>
-  static wire::JobSpec After(const std::string& id, uint32_t tasks, Ids... awaits) {
-    wire::JobSpec s = Spec(id, tasks);
+  static model::JobSpec After(const std::string& id, uint32_t tasks, Ids... awaits) {
+    model::JobSpec s = Spec(id, tasks);
     s.awaits = {awaits...};
     return s;
   }
-  rt::Task<> Accepted(int node, wire::JobSpec spec) {
+  async::Task<> Accepted(int node, model::JobSpec spec) {
     bool ok = co_await Until(node, "POST", "/submissions", Body(spec), 201, "pending", 10);
     EXPECT_TRUE(ok) << spec.id;
   }
-  rt::Task<> Says(int node, std::string id, std::string what, double limit_s = 20) {
+  async::Task<> Says(int node, std::string id, std::string what, double limit_s = 20) {
     bool ok = co_await Until(node, "GET", "/submissions/" + id, "", 200, what, limit_s);
     EXPECT_TRUE(ok) << id << " " << what;
   }
   // Whoever starts must have all that it awaits recorded as done by then.
   void WatchStarts() {
-    cloud_->WatchStarts([this](const wire::TaskId& task) {
+    cloud_->WatchStarts([this](const model::TaskId& task) {
       ++starts_of_[task.job];
       for (const std::string& a : awaits_[task.job]) {
         if (state_->Value(store::FinalKey(a)).find("done\"") == std::string::npos) {
-          too_early_.push_back(wire::TaskName(task) + " before " + a);
+          too_early_.push_back(model::TaskName(task) + " before " + a);
         }
       }
     });
   }
-  void Note(const wire::JobSpec& spec) { awaits_[spec.id] = spec.awaits; }
+  void Note(const model::JobSpec& spec) { awaits_[spec.id] = spec.awaits; }
 
   // A diamond with a tail, through every node, while nodes are restarted.
-  rt::Task<> Chain() {
+  async::Task<> Chain() {
     for (const auto& spec :
          {After("run-1", 4), After("run-2", 6, "run-1"), After("run-3", 4, "run-1", "run-1"),
           After("run-4", 4, "run-2", "run-3"), After("run-5", 4, "run-4")}) {
@@ -51,7 +53,7 @@
     }
     co_await Says(2, "run-5", R"("done","done":4)", 60);
     // One that comes when all it awaits is over long since, and a late copy of a submission.
-    const wire::JobSpec late = After("run-6", 4, "run-1", "run-5");
+    const model::JobSpec late = After("run-6", 4, "run-1", "run-5");
     Note(late);
     co_await Accepted(1, late);
     co_await Says(0, "run-6", kDone);
@@ -62,8 +64,8 @@
     EXPECT_EQ(cloud_->started_twice(), 0);
   }
 
-  rt::Task<> Cancelled() {
-    wire::JobSpec other = After("run-3", 4, "run-1");
+  async::Task<> Cancelled() {
+    model::JobSpec other = After("run-3", 4, "run-1");
     other.team = "other";
     for (const auto& spec : {After("run-1", 30), After("run-2", 4), After("run-4", 4, "run-3"),
                              other, After("run-5", 4, "run-2", "run-4")}) {
@@ -88,7 +90,7 @@
       }
     }
     // Accepted all the same, and cancelled with what it names; so is a copy of it that comes late.
-    const wire::JobSpec late = After("run-6", 4, "run-4");
+    const model::JobSpec late = After("run-6", 4, "run-4");
     co_await Accepted(1, late);
     co_await Says(2, "run-6", "cancelled", 2);
     r = co_await Ask(0, "POST", "/submissions", Body(late));
@@ -113,10 +115,10 @@
     co_await Says(1, "run-7", kDone);
   }
 
-  rt::Task<> Refused() {
+  async::Task<> Refused() {
     co_await Accepted(0, After("run-1", 2));
-    wire::JobSpec service = After("run-2", 1);
-    service.shape = wire::Shape::kService;
+    model::JobSpec service = After("run-2", 1);
+    service.kind = model::JobKind::kService;
     co_await Accepted(1, service);
     // Accepted by another node a moment ago: no node may deny it.
     for (int i = 0; i < 5; ++i) {
@@ -137,7 +139,7 @@
     std::vector<std::string> many;
     many.reserve(2000);
     for (int i = 0; i < 2000; ++i) many.push_back("run-" + std::to_string(10000 + i));
-    wire::JobSpec crowd = Spec("run-9", 1);
+    model::JobSpec crowd = Spec("run-9", 1);
     crowd.awaits = many;
     r = co_await Ask(0, "POST", "/submissions", Body(crowd));
     EXPECT_EQ(r.status, 400) << "more than a record holds";
@@ -153,9 +155,9 @@
   }
 
   // A job waits to be released while the state service is out, and then refuses one node alone.
-  rt::Task<> ThroughAnOutage() {
+  async::Task<> ThroughAnOutage() {
     co_await Accepted(0, After("run-1", 8));
-    const wire::JobSpec next = After("run-2", 4, "run-1");
+    const model::JobSpec next = After("run-2", 4, "run-1");
     Note(next);
     co_await Accepted(0, next);
     co_await Says(0, "run-1", "running");
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -4,6 +4,9 @@
 #include <set>
 
 #include "fixtures.h"
+#include "model/heartbeat.h"
+#include "model/job.h"
+#include "model/task.h"
 #include "plan/duplex.h"
 #include "plan/round.h"
 
@@ -46,8 +49,8 @@
   auto machines = Machines({1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {1}), ClassOf(1, 1, {10})};
   auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTier(Order::kMinMin, classes, a, 10).cost, 12);
-  EXPECT_DOUBLE_EQ(MapTier(Order::kMinMax, classes, b, 10).cost, 21);
+  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMin, classes, a, 10).cost, 12);
+  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMax, classes, b, 10).cost, 21);
   Map map = Duplex(classes, machines, 10);
   EXPECT_DOUBLE_EQ(map.cost, 12);
   EXPECT_EQ(map.assignments[0].task_class, 0U);
@@ -60,8 +63,8 @@
   auto machines = Machines({1, 1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {2, 2}), ClassOf(1, 1, {3, 30})};
   auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTier(Order::kMinMin, classes, a, 10).cost, 7);
-  EXPECT_DOUBLE_EQ(MapTier(Order::kMinMax, classes, b, 10).cost, 5);
+  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMin, classes, a, 10).cost, 7);
+  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMax, classes, b, 10).cost, 5);
   EXPECT_DOUBLE_EQ(Duplex(classes, machines, 10).cost, 5);
 }
 
@@ -98,25 +101,25 @@
 
 class RoundTest : public testing::Test {
  protected:
-  RoundTest() : settings_(SettingsOf()), ledger_(64), roster_({3, 30, 3, 4}) {
+  RoundTest() : settings_(SettingsOf()), job_table_(64), registry_({3, 30, 3, 4}) {
     context_.settings = &settings_;
     context_.operators = &operators_;
-    context_.flavors = {FlavorOf("c4", 4)};
-    roster_.BeginTerm(7, 0, 0);
+    context_.machine_types = {MachineTypeOf("c4", 4)};
+    registry_.BeginTerm(kTestToken, 0, 0);
   }
   void AddMachine(const std::string& name) {
-    roster_.OnReport(ReportOf(name, 1, 1, 7), 100, false);
+    registry_.OnHeartbeat(ReportOf(name, 1, 1, kTestToken), 100, false);
   }
   // Tasks 0 to count - 1 of run-1 run on vm-1 and are reported.
   void RunOnVm1(uint32_t count) {
-    wire::Report report = ReportOf("vm-1", 1, 1, 7);
+    model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
     for (uint32_t i = 0; i < count; ++i) {
-      Place(ledger_, "run-1", i, 1, "vm-1");
-      report.tasks.push_back(TaskReportOf("run-1", i, 1, wire::TaskPhase::kRunning));
+      Place(job_table_, "run-1", i, 1, "vm-1");
+      report.tasks.push_back(TaskReportOf("run-1", i, 1, model::TaskPhase::kRunning));
     }
-    roster_.OnReport(report, 100, false);
+    registry_.OnHeartbeat(report, 100, false);
   }
-  RoundResult Plan() { return PlanRound(context_, ledger_, roster_, 100, 100); }
+  RoundResult Plan() { return PlanRound(context_, job_table_, registry_, 100, 100); }
   size_t PlacedOf(const RoundResult& r, const std::string& job) {
     return static_cast<size_t>(std::count_if(r.places.begin(), r.places.end(),
                                              [&](const auto& p) { return p.task.job == job; }));
@@ -124,15 +127,15 @@
 
   config::Settings settings_;
   config::Operator operators_;
-  jobs::Ledger ledger_;
-  fleet::Roster roster_;
+  jobs::JobTable job_table_;
+  fleet::WorkerRegistry registry_;
   Context context_;
 };
 
 TEST_F(RoundTest, ATeamsLimitKeepsTasksOut) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
-  PutJob(ledger_, Spec("run-1", 4));
-  Place(ledger_, "run-1", 0, 1, "vm-elsewhere");  // counts, wherever it may be
+  PutJob(job_table_, Spec("run-1", 4));
+  Place(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts, wherever it may be
   AddMachine("vm-1");
   EXPECT_EQ(Plan().places.size(), 2U);
 }
@@ -141,14 +144,14 @@
 // alive counts, whoever leads.
 TEST_F(RoundTest, CancelledTasksCountUntilTheyAreProvenGone) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
-  PutJob(ledger_, Spec("run-1", 3));
-  for (uint32_t i = 0; i < 3; ++i) Place(ledger_, "run-1", i, 1, "vm-cut-off");
-  PutJob(ledger_, Spec("run-1", 3), 1, true);
-  PutJob(ledger_, Spec("run-2", 2));
+  PutJob(job_table_, Spec("run-1", 3));
+  for (uint32_t i = 0; i < 3; ++i) Place(job_table_, "run-1", i, 1, "vm-cut-off");
+  PutJob(job_table_, Spec("run-1", 3), 1, true);
+  PutJob(job_table_, Spec("run-2", 2));
   AddMachine("vm-1");
   EXPECT_EQ(Plan().places.size(), 0U);
-  ledger_.Apply(store::ParseKey(store::ShardKey("run-1", 0)),
-                R"({"done":[],"on":{"":[0,1,2]},"runs":{}})");
+  job_table_.Apply(store::ParseKey(store::TaskGroupKey("run-1", 0)),
+                   R"({"done":[],"on":{"":[0,1,2]},"runs":{}})");
   EXPECT_EQ(Plan().places.size(), 2U);
 }
 
@@ -156,16 +159,17 @@
 // of the limit, or the next leader may find both. What is done needs no room again.
 TEST_F(RoundTest, OnlyADoneTaskMakesRoomUnderItsTeamsLimitBeforeItIsRecorded) {
   settings_.teams = {{"team", 0, 1, 0, 0}};
-  PutJob(ledger_, Spec("run-1", 1));
-  PutJob(ledger_, Spec("run-2", 1));
-  Place(ledger_, "run-1", 0, 1, "vm-1");
-  wire::Report r = ReportOf("vm-1", 1, 1, 7);
-  r.tasks = {TaskReportOf("run-1", 0, 1, wire::TaskPhase::kExited, wire::Cause::kStopped)};
-  roster_.OnReport(r, 100, false);
+  PutJob(job_table_, Spec("run-1", 1));
+  PutJob(job_table_, Spec("run-2", 1));
+  Place(job_table_, "run-1", 0, 1, "vm-1");
+  model::Heartbeat r = ReportOf("vm-1", 1, 1, kTestToken);
+  r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)};
+  registry_.OnHeartbeat(r, 100, false);
   EXPECT_EQ(Plan().places.size(), 0U);
-  r.session = r.sequence = 2;
-  r.tasks = {TaskReportOf("run-1", 0, 1, wire::TaskPhase::kExited, wire::Cause::kDone)};
-  roster_.OnReport(r, 100, false);
+  r.agent_epoch = model::AgentEpoch(2);
+  r.sequence = 2;
+  r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)};
+  registry_.OnHeartbeat(r, 100, false);
   EXPECT_EQ(PlacedOf(Plan(), "run-2"), 1U);
 }
 
@@ -174,34 +178,34 @@
 TEST_F(RoundTest, AJobBoundToOneZoneWaitsForWhatMayBeAliveElsewhere) {
   auto spec = Spec("run-1", 6);
   spec.one_zone = true;
-  PutJob(ledger_, spec);
-  Place(ledger_, "run-1", 0, 1, "vm-unknown");
+  PutJob(job_table_, spec);
+  Place(job_table_, "run-1", 0, 1, "vm-unknown");
   AddMachine("vm-1");
   for (const char* name : {"vm-2", "vm-3"}) {
-    wire::Report r = ReportOf(name, 1, 1, 7);
+    model::Heartbeat r = ReportOf(name, 1, 1, kTestToken);
     r.zone = "b";
-    roster_.OnReport(r, 100, false);
+    registry_.OnHeartbeat(r, 100, false);
   }
   EXPECT_EQ(Plan().places.size(), 0U);
-  ledger_.Apply(store::ParseKey(store::ShardKey("run-1", 0)),
-                R"({"done":[],"on":{"":[0]},"runs":{}})");
+  job_table_.Apply(store::ParseKey(store::TaskGroupKey("run-1", 0)),
+                   R"({"done":[],"on":{"":[0]},"runs":{}})");
   const RoundResult r = Plan();
   std::set<std::string> zones;
-  for (const auto& p : r.places) zones.insert(roster_.Find(p.machine)->zone);
+  for (const auto& p : r.places) zones.insert(registry_.Find(p.machine)->zone);
   EXPECT_GT(r.places.size(), 0U);
   EXPECT_EQ(zones.size(), 1U);
   // What runs in a zone keeps the rest there, also once a new leader takes over.
-  Place(ledger_, "run-1", 1, 1, "vm-1");
-  roster_.BeginTerm(8, 100, 100);
-  for (const auto& p : Plan().places) EXPECT_EQ(roster_.Find(p.machine)->zone, "a");
+  Place(job_table_, "run-1", 1, 1, "vm-1");
+  registry_.BeginTerm(model::FencingToken(8), 100, 100);
+  for (const auto& p : Plan().places) EXPECT_EQ(registry_.Find(p.machine)->zone, "a");
 }
 
 TEST_F(RoundTest, AHigherTierTakesTheRoomFirst) {
   auto low = Spec("run-1", 4), high = Spec("run-2", 4);
-  low.priority = wire::Priority::kBestEffort;
-  high.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, low, 1);
-  PutJob(ledger_, high, 2);
+  low.priority = model::Priority::kBestEffort;
+  high.priority = model::Priority::kUrgent;
+  PutJob(job_table_, low, 1);
+  PutJob(job_table_, high, 2);
   AddMachine("vm-1");
   auto r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-2"), 4U);
@@ -213,8 +217,8 @@
   auto swarm = Spec("run-1", 100);
   swarm.team = "swarm";
   swarm.estimate_s = 1;
-  PutJob(ledger_, swarm, 1);
-  PutJob(ledger_, Spec("run-2", 2), 2);
+  PutJob(job_table_, swarm, 1);
+  PutJob(job_table_, Spec("run-2", 2), 2);
   AddMachine("vm-1");
   auto r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-2"), 2U);
@@ -224,33 +228,33 @@
 TEST_F(RoundTest, StaysOffMachinesThatAJobDoesNotAllow) {
   auto spec = Spec("run-1", 8);
   spec.zone = "b";
-  PutJob(ledger_, spec);
+  PutJob(job_table_, spec);
   AddMachine("vm-1");  // zone a
   auto r = Plan();
   EXPECT_TRUE(r.places.empty());
-  ASSERT_EQ(r.wants.size(), 1U);
-  EXPECT_EQ(r.wants[0].zone, "b");
-  EXPECT_EQ(r.wants[0].tasks, 8U);
-  EXPECT_EQ(r.wants[0].choices[0].fit, 4U);
+  ASSERT_EQ(r.demands.size(), 1U);
+  EXPECT_EQ(r.demands[0].zone, "b");
+  EXPECT_EQ(r.demands[0].tasks, 8U);
+  EXPECT_EQ(r.demands[0].choices[0].fit, 4U);
 }
 
 TEST_F(RoundTest, UrgentWorkStopsWhatLosesLeast) {
   auto low = Spec("run-1", 4);
-  low.priority = wire::Priority::kBestEffort;
+  low.priority = model::Priority::kBestEffort;
   low.estimate_s = 500;
-  PutJob(ledger_, low);
-  wire::Report report = ReportOf("vm-1", 1, 1, 7);
+  PutJob(job_table_, low);
+  model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
   for (uint32_t i = 0; i < 4; ++i) {
-    Place(ledger_, "run-1", i, 1, "vm-1");
-    report.tasks.push_back(TaskReportOf("run-1", i, 1, wire::TaskPhase::kRunning));
+    Place(job_table_, "run-1", i, 1, "vm-1");
+    report.tasks.push_back(TaskReportOf("run-1", i, 1, model::TaskPhase::kRunning));
     report.sequence = i + 1;
-    roster_.OnReport(report, 60 + i, false);
+    registry_.OnHeartbeat(report, 60 + i, false);
   }
   report.sequence = 9;
-  roster_.OnReport(report, 100, false);
+  registry_.OnHeartbeat(report, 100, false);
   auto high = Spec("run-2", 1);
-  high.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, high, 2);
+  high.priority = model::Priority::kUrgent;
+  PutJob(job_table_, high, 2);
   auto r = Plan();
   ASSERT_EQ(r.preemptions.size(), 1U);
   EXPECT_EQ(r.preemptions[0].task.index, 3U) << "it started last";
@@ -262,22 +266,22 @@
 // less.
 TEST_F(RoundTest, AfterATakeoverWhatMayHaveRunLongIsNotStoppedFirst) {
   auto longer = Spec("run-1", 2, 2), shorter = Spec("run-3", 2, 2);
-  longer.priority = shorter.priority = wire::Priority::kBestEffort;
+  longer.priority = shorter.priority = model::Priority::kBestEffort;
   longer.estimate_s = 500;
   shorter.estimate_s = 100;
-  PutJob(ledger_, longer);
-  PutJob(ledger_, shorter);
-  Place(ledger_, "run-1", 0, 1, "vm-1");
-  Place(ledger_, "run-3", 0, 1, "vm-1");
-  wire::Report r = ReportOf("vm-1", 1, 1, 7);
-  r.tasks = {TaskReportOf("run-3", 0, 1, wire::TaskPhase::kRunning)};
-  roster_.OnReport(r, 96, false);
+  PutJob(job_table_, longer);
+  PutJob(job_table_, shorter);
+  Place(job_table_, "run-1", 0, 1, "vm-1");
+  Place(job_table_, "run-3", 0, 1, "vm-1");
+  model::Heartbeat r = ReportOf("vm-1", 1, 1, kTestToken);
+  r.tasks = {TaskReportOf("run-3", 0, 1, model::TaskPhase::kRunning)};
+  registry_.OnHeartbeat(r, 96, false);
   r.sequence = 2;
-  r.tasks.push_back(TaskReportOf("run-1", 0, 1, wire::TaskPhase::kRunning));
-  roster_.OnReport(r, 99, false);
+  r.tasks.push_back(TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning));
+  registry_.OnHeartbeat(r, 99, false);
   auto urgent = Spec("run-2", 1, 2);
-  urgent.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, urgent, 2);
+  urgent.priority = model::Priority::kUrgent;
+  PutJob(job_table_, urgent, 2);
   const auto plan = Plan();
   ASSERT_EQ(plan.preemptions.size(), 1U);
   EXPECT_EQ(plan.preemptions[0].task.job, "run-3");
@@ -289,15 +293,15 @@
   settings_.teams = {{"other", 0, 0, 0, 0}, {"team", 8, 0, 0, 0}};
   auto borrowed = Spec("run-1", 4);
   borrowed.team = "other";
-  borrowed.priority = wire::Priority::kUrgent;
+  borrowed.priority = model::Priority::kUrgent;
   borrowed.estimate_s = 500;
-  PutJob(ledger_, borrowed, 1);
+  PutJob(job_table_, borrowed, 1);
   RunOnVm1(4);
   auto owed = Spec("run-2", 1);
-  owed.priority = wire::Priority::kBestEffort;
-  PutJob(ledger_, owed, 90);
+  owed.priority = model::Priority::kBestEffort;
+  PutJob(job_table_, owed, 90);
   EXPECT_TRUE(Plan().preemptions.empty());
-  PutJob(ledger_, owed, 100 - 31);  // a machine boots in 30 s
+  PutJob(job_table_, owed, 100 - 31);  // a machine boots in 30 s
   auto r = Plan();
   ASSERT_EQ(r.preemptions.size(), 1U);
   EXPECT_EQ(r.preemptions[0].for_job, "run-2");
@@ -307,26 +311,26 @@
 // it would have ended later than in the slot it had, so that it did not take the room.
 TEST_F(RoundTest, NothingIsStoppedWhereTheTaskWouldEndLaterEvenSo) {
   auto low = Spec("run-1", 4);
-  low.priority = wire::Priority::kBestEffort;
+  low.priority = model::Priority::kBestEffort;
   low.estimate_s = 20;
-  PutJob(ledger_, low);
+  PutJob(job_table_, low);
   RunOnVm1(4);
   auto high = Spec("run-2", 1);
-  high.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, high, 2);
+  high.priority = model::Priority::kUrgent;
+  PutJob(job_table_, high, 2);
   EXPECT_EQ(Plan().preemptions.size(), 1U);
   low.estimate_s = 8;  // the slot comes soon by itself
-  PutJob(ledger_, low);
-  EXPECT_TRUE(PlanRound(context_, ledger_, roster_, 104, 104).preemptions.empty());
+  PutJob(job_table_, low);
+  EXPECT_TRUE(PlanRound(context_, job_table_, registry_, 104, 104).preemptions.empty());
 }
 
 TEST_F(RoundTest, JobsWithLittleLeftGoFirstAndHopelessOnesLast) {
   settings_.objectives = {{"finished", "lane", 50, 0.9}};
   auto big = Spec("run-1", 200), small = Spec("run-2", 2), late = Spec("run-3", 1);
   late.estimate_s = 60;
-  PutJob(ledger_, late, 97);
-  PutJob(ledger_, big, 98);
-  PutJob(ledger_, small, 99);
+  PutJob(job_table_, late, 97);
+  PutJob(job_table_, big, 98);
+  PutJob(job_table_, small, 99);
   AddMachine("vm-1");
   auto r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-2"), 2U);
@@ -340,14 +344,14 @@
   saves.checkpoint_s = 4;
   saves.estimate_s = lasts.estimate_s = 100;
   ends.estimate_s = 3;
-  wire::Report report = ReportOf("vm-1", 1, 1, 7);
-  report.reclaim_s = 8;
+  model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
+  report.spot_notice_s = 8;
   for (const auto& spec : {saves, lasts, ends}) {
-    PutJob(ledger_, spec);
-    Place(ledger_, spec.id, 0, 1, "vm-1");
-    report.tasks.push_back(TaskReportOf(spec.id, 0, 1, wire::TaskPhase::kRunning));
+    PutJob(job_table_, spec);
+    Place(job_table_, spec.id, 0, 1, "vm-1");
+    report.tasks.push_back(TaskReportOf(spec.id, 0, 1, model::TaskPhase::kRunning));
   }
-  roster_.OnReport(report, 100, false);
+  registry_.OnHeartbeat(report, 100, false);
   std::map<std::string, double> grace;
   for (const auto& p : Plan().preemptions) grace[p.task.job] = p.grace_s;
   EXPECT_EQ(grace, (std::map<std::string, double>{{"run-1", 4}, {"run-2", 0}}));
@@ -355,13 +359,13 @@
 
 TEST_F(RoundTest, SameRankIsNeverStopped) {
   auto spec = Spec("run-1", 4);
-  spec.priority = wire::Priority::kUrgent;
+  spec.priority = model::Priority::kUrgent;
   spec.estimate_s = 500;
-  PutJob(ledger_, spec);
+  PutJob(job_table_, spec);
   RunOnVm1(4);
   auto other = Spec("run-2", 1);
-  other.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, other, 2);
+  other.priority = model::Priority::kUrgent;
+  PutJob(job_table_, other, 2);
   EXPECT_TRUE(Plan().preemptions.empty());
 }
 
@@ -369,14 +373,14 @@
 // room back in the next round, and was stopped again, a hundred times a second.
 TEST_F(RoundTest, NobodyIsStoppedForWorkThatComesLater) {
   auto first = Spec("run-1", 4);
-  first.priority = wire::Priority::kBestEffort;
+  first.priority = model::Priority::kBestEffort;
   first.estimate_s = 500;
-  PutJob(ledger_, first, 1);
+  PutJob(job_table_, first, 1);
   RunOnVm1(4);
   auto urgent = Spec("run-2", 1);
   urgent.team = "other";
-  urgent.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, urgent, 99);
+  urgent.priority = model::Priority::kUrgent;
+  PutJob(job_table_, urgent, 99);
   settings_.teams = {{"team", 0, 0, 0, 0}, {"other", 0, 0, 0, 0}};
   EXPECT_EQ(Plan().preemptions.size(), 1U);
   settings_.teams[0].cpus = 4;  // what runs is owed to its team, and has waited for long
@@ -387,8 +391,8 @@
 // than that for it.
 TEST_F(RoundTest, AHugeJobIsPlacedInPieces) {
   auto huge = Spec("run-1", 100000);
-  huge.priority = wire::Priority::kUrgent;
-  PutJob(ledger_, huge, 99);
+  huge.priority = model::Priority::kUrgent;
+  PutJob(job_table_, huge, 99);
   for (int i = 0; i < 50; ++i) AddMachine("vm-" + std::to_string(i));
   auto r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-1"), 200U);
@@ -401,18 +405,18 @@
 // one. Begun work waits for its turn, and the share of the processors is bounded.
 TEST_F(RoundTest, WhatHasWaitedTooLongBeginsWhateverTheOrderSays) {
   auto large = Spec("run-1", 900), urgent = Spec("run-2", 40), small = Spec("run-3", 2);
-  urgent.priority = wire::Priority::kUrgent;
+  urgent.priority = model::Priority::kUrgent;
   operators_.starve_s = 60;
-  PutJob(ledger_, large, 50);  // has waited 50 s
-  PutJob(ledger_, urgent, 99);
-  PutJob(ledger_, small, 99);
+  PutJob(job_table_, large, 50);  // has waited 50 s
+  PutJob(job_table_, urgent, 99);
+  PutJob(job_table_, small, 99);
   for (const char* vm : {"vm-1", "vm-2"}) AddMachine(vm);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
-  PutJob(ledger_, large, 39);  // and now 61 s
+  PutJob(job_table_, large, 39);  // and now 61 s
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 2U) << "a quarter of 8 processors";
-  Place(ledger_, "run-1", 0, 1, "vm-9");
+  Place(job_table_, "run-1", 0, 1, "vm-9");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U) << "it has begun";
-  PutJob(ledger_, large, -21);  // 121 s
+  PutJob(job_table_, large, -21);  // 121 s
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 1U);
 }
 
@@ -420,13 +424,13 @@
 TEST_F(RoundTest, BestEffortWorkMovesUpOnceItHasWaited) {
   settings_.objectives = {{"finished", "slow", 200, 0.9}};
   auto low = Spec("run-1", 4), normal = Spec("run-2", 400);
-  low.priority = wire::Priority::kBestEffort;
+  low.priority = model::Priority::kBestEffort;
   low.job_class = "slow";
-  PutJob(ledger_, normal, 99);
-  PutJob(ledger_, low, 60);  // has waited 40 s
+  PutJob(job_table_, normal, 99);
+  PutJob(job_table_, low, 60);  // has waited 40 s
   AddMachine("vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
-  PutJob(ledger_, low, 35);  // and now 65 s, more than a third of its aim
+  PutJob(job_table_, low, 35);  // and now 65 s, more than a third of its aim
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U);
 }
 
@@ -434,35 +438,35 @@
 // it; once it may start, its age counts from then.
 TEST_F(RoundTest, WhoWaitsForOtherJobsTakesPartInNothing) {
   settings_.teams = {{"team", 4, 0, 0, 0}};
-  wire::JobSpec waits = Spec("run-1", 100);
+  model::JobSpec waits = Spec("run-1", 100);
   waits.awaits = {"run-9"};
-  PutJob(ledger_, waits);
-  PutJob(ledger_, Spec("run-9", 1));
-  PutJob(ledger_, Spec("run-2", 3), 2);
+  PutJob(job_table_, waits);
+  PutJob(job_table_, Spec("run-9", 1));
+  PutJob(job_table_, Spec("run-2", 3), 2);
   AddMachine("vm-1");
   RoundResult r = Plan();
   EXPECT_EQ(r.waiting, 4U);
   EXPECT_EQ(PlacedOf(r, "run-1"), 0U);
   EXPECT_EQ(PlacedOf(r, "run-2"), 3U);
-  EXPECT_TRUE(r.wants.empty());
-  ledger_.RecordFinal("run-9", {wire::Phase::kDone, 1, 90});
-  ledger_.Apply(store::ParseKey(store::JobKey("run-9")), "");
+  EXPECT_TRUE(r.demands.empty());
+  job_table_.RecordFinal("run-9", {model::JobPhase::kDone, 1, 90});
+  job_table_.Apply(store::ParseKey(store::JobKey("run-9")), "");
   r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-2"), 3U) << "older, counted from when both might start";
   EXPECT_EQ(PlacedOf(r, "run-1"), 1U);
 }
 
 TEST_F(RoundTest, WhatUrgentWorkNeedsComesWithItsUrgency) {
-  wire::JobSpec first = Spec("run-1", 4);
-  first.priority = wire::Priority::kBestEffort;
-  wire::JobSpec last = Spec("run-2", 1);
-  last.priority = wire::Priority::kUrgent;
+  model::JobSpec first = Spec("run-1", 4);
+  first.priority = model::Priority::kBestEffort;
+  model::JobSpec last = Spec("run-2", 1);
+  last.priority = model::Priority::kUrgent;
   last.awaits = {"run-1"};
-  PutJob(ledger_, first, 5);
-  PutJob(ledger_, Spec("run-3", 4), 1);
+  PutJob(job_table_, first, 5);
+  PutJob(job_table_, Spec("run-3", 4), 1);
   AddMachine("vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-3"), 4U);
-  PutJob(ledger_, last, 6);
+  PutJob(job_table_, last, 6);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U);
 }
 
@@ -470,14 +474,15 @@
 // is rented or stopped for it.
 TEST_F(RoundTest, AJobThatFailsEverywhereIsRetriedBehindAllOthersOfItsRank) {
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
-  PutJob(ledger_, Spec("run-1", 20), 1);
-  for (const char* name : {"vm-1", "vm-2", "vm-3"}) roster_.failures().OnFailure("run-1", name, 90);
-  roster_.Learn(ledger_);
+  PutJob(job_table_, Spec("run-1", 20), 1);
+  for (const char* name : {"vm-1", "vm-2", "vm-3"})
+    registry_.failures().OnFailure("run-1", name, 90);
+  registry_.Learn(job_table_);
   RoundResult alone = Plan();
   EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
   EXPECT_EQ(alone.retried_jobs, std::vector<std::string>{"run-1"});
-  EXPECT_TRUE(alone.wants.empty());
-  PutJob(ledger_, Spec("run-2", 12), 50);
+  EXPECT_TRUE(alone.demands.empty());
+  PutJob(job_table_, Spec("run-2", 12), 50);
   RoundResult beside = Plan();
   EXPECT_EQ(PlacedOf(beside, "run-2"), 12U);
   EXPECT_EQ(PlacedOf(beside, "run-1"), 0U);
@@ -486,11 +491,12 @@
 
 TEST_F(RoundTest, ARetryWaitsForItsBackoff) {
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
-  PutJob(ledger_, Spec("run-1", 20), 1);
-  for (const char* name : {"vm-1", "vm-2", "vm-3"}) roster_.failures().OnFailure("run-1", name, 99);
-  roster_.Learn(ledger_);
+  PutJob(job_table_, Spec("run-1", 20), 1);
+  for (const char* name : {"vm-1", "vm-2", "vm-3"})
+    registry_.failures().OnFailure("run-1", name, 99);
+  registry_.Learn(job_table_);
   EXPECT_TRUE(Plan().places.empty());
-  roster_.failures().OnSuccess("run-1", "vm-1");
+  registry_.failures().OnSuccess("run-1", "vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
 }
 
@@ -498,17 +504,17 @@
 TEST_F(RoundTest, AJobThatFailedOnAllMachinesThatFitIsNotGivenUp) {
   AddMachine("vm-1");
   for (int i = 2; i < 6; ++i) {
-    wire::Report other = ReportOf("vm-" + std::to_string(i), 1, 1, 7);
+    model::Heartbeat other = ReportOf("vm-" + std::to_string(i), 1, 1, kTestToken);
     other.zone = "b";
-    roster_.OnReport(other, 100, false);
+    registry_.OnHeartbeat(other, 100, false);
   }
-  wire::JobSpec bound = Spec("run-1", 8);
+  model::JobSpec bound = Spec("run-1", 8);
   bound.zone = "a";
-  PutJob(ledger_, bound, 1);
-  roster_.failures().OnFailure("run-1", "vm-1", 99);
-  roster_.Learn(ledger_);
+  PutJob(job_table_, bound, 1);
+  registry_.failures().OnFailure("run-1", "vm-1", 99);
+  registry_.Learn(job_table_);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
-  RoundResult later = PlanRound(context_, ledger_, roster_, 103, 103);
+  RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
   EXPECT_EQ(PlacedOf(later, "run-1"), 1U);
   EXPECT_EQ(later.retried_jobs, std::vector<std::string>{"run-1"});
 }
@@ -518,24 +524,24 @@
   for (int i = 0; i < 30; ++i) AddMachine("vm-" + std::to_string(i));
   for (int j = 0; j < 10; ++j) {
     const std::string id = "run-" + std::to_string(j);
-    PutJob(ledger_, Spec(id, 20), 1);
-    for (int i = 0; i < 3; ++i) roster_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
+    PutJob(job_table_, Spec(id, 20), 1);
+    for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
   }
-  roster_.Learn(ledger_);
+  registry_.Learn(job_table_);
   EXPECT_EQ(Plan().places.size(), 2U) << "2 of 120 processors";
 }
 
 TEST_F(RoundTest, PredictsFromTheLearnedMeanOnceThereIsOne) {
-  PutJob(ledger_, Spec("run-1", 4));
-  EXPECT_DOUBLE_EQ(PredictRun(*ledger_.Find("run-1"), "c4"), 10);
-  store::Shard shard;
-  shard.done.Insert(0);
-  shard.runs["c8"] = {2, 12};
-  PutShard(ledger_, "run-1", 0, shard);
-  EXPECT_DOUBLE_EQ(PredictRun(*ledger_.Find("run-1"), "c4"), 6);
-  shard.runs["c4"] = {1, 8};
-  PutShard(ledger_, "run-1", 0, shard);
-  EXPECT_DOUBLE_EQ(PredictRun(*ledger_.Find("run-1"), "c4"), 8);
+  PutJob(job_table_, Spec("run-1", 4));
+  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 10);
+  store::TaskGroup task_group;
+  task_group.done.Insert(0);
+  task_group.runs["c8"] = {2, 12};
+  PutTaskGroup(job_table_, "run-1", 0, task_group);
+  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 6);
+  task_group.runs["c4"] = {1, 8};
+  PutTaskGroup(job_table_, "run-1", 0, task_group);
+  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 8);
 }
 
 }  // namespace
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -11,6 +11,8 @@
 
 #include "end_to_end.h"
 #include "membership/record.h"
+#include "model/member.h"
+#include "model/task.h"
 
 namespace hallpier {
 namespace {
@@ -81,7 +83,7 @@
     rmdir(folder_.c_str());
   }
 
-  rt::Task<> Storm() {
+  async::Task<> Storm() {
     bool ok = co_await Until(0, "GET", "/ready", "", 200, "", 20);
     EXPECT_TRUE(ok);
     scope_.Spawn(SubmitJobs());
@@ -131,7 +133,7 @@
     }
   }
 
-  rt::Task<> SubmitJobs() {
+  async::Task<> SubmitJobs() {
     const double end = loop_.Now() + kStormS;
     for (int i = 0; loop_.Now() < end; ++i) {
       const std::string id = "run-" + std::to_string(100 + i);
@@ -160,7 +162,7 @@
       if (parsed.kind == store::KeyKind::kShare) ++lendings_;
       if (parsed.kind != store::KeyKind::kMember) return;
       auto record = membership::ReadMember(value);
-      if (!record || record->state != wire::MemberState::kFailed) return;
+      if (!record || record->state != model::MemberState::kFailed) return;
       ++verdicts_;
       if (!judged_.insert({parsed.job, record->incarnation.session}).second) ++verdicts_twice_;
     });
@@ -170,7 +172,7 @@
     for (int i = 0; i < kNodes; ++i) {
       auto record =
           membership::ReadMember(state_->Value(store::MemberKey("node-" + std::to_string(i))));
-      if (!record || record->state != wire::MemberState::kAlive) return false;
+      if (!record || record->state != model::MemberState::kAlive) return false;
     }
     return true;
   }
@@ -194,7 +196,7 @@
       out << "[[params.teams]]\nname = \"" << team.name
           << "\"\ncpus = 0.0\ncpus_max = " << team.cpus_max << ".0\n";
     }
-    out << "[params.workers]\nreport_s = " << s.report_s << "\nlease_s = " << s.lease_s
+    out << "[params.workers]\nreport_s = " << s.heartbeat_interval_s << "\nlease_s = " << s.lease_s
         << ".0\ncancel_s = " << s.cancel_s << ".0\n[params.state]\nrps = " << s.state_rps
         << ".0\nwrite_rps = " << s.state_write_rps << ".0\nvalue_kb = " << s.value_kb
         << ".0\ntxn_ops = " << s.txn_ops << "\n[params.cloud]\nrps = " << s.cloud_rps
@@ -241,7 +243,7 @@
   }
   // Reads only what the stand-in workers run; each task takes one processor.
   void WatchPeak() {
-    cloud_->WatchStarts([this](const wire::TaskId& /*task*/) {
+    cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
     });
   }
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -170,16 +170,16 @@
 }
 
 TEST(Usage, CountsWhatIsRecordedByTheHolderOfItsMachine) {
-  jobs::Ledger ledger(335);
-  PutJob(ledger, Spec("run-1", 4, 2));
-  Place(ledger, "run-1", 0, 1, "vm-1");
-  Place(ledger, "run-1", 1, 1, "vm-2");
-  Place(ledger, "run-1", 2, 3, "vm-9");
+  jobs::JobTable job_table(335);
+  PutJob(job_table, Spec("run-1", 4, 2));
+  Place(job_table, "run-1", 0, 1, "vm-1");
+  Place(job_table, "run-1", 1, 1, "vm-2");
+  Place(job_table, "run-1", 2, 3, "vm-9");
   const auto holder_of = [](const std::string& machine) -> std::optional<size_t> {
     if (machine == "vm-9") return std::nullopt;
     return machine == "vm-1" ? 0 : 1;
   };
-  const Usage usage = CountPlaced(ledger, 2, holder_of);
+  const Usage usage = CountPlaced(job_table, 2, holder_of);
   EXPECT_EQ(usage.by_holder[0].at("team").cpus, 2);
   EXPECT_EQ(usage.by_holder[1].at("team").cpus, 2);
   EXPECT_EQ(usage.outside.at("team").cpus, 2);
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -3,9 +3,12 @@
 #include <gtest/gtest.h>
 
 #include "fixtures.h"
-#include "jobs/batch.h"
-#include "store/flavor_pages.h"
-#include "store/packed.h"
+#include "jobs/transaction_builder.h"
+#include "model/job.h"
+#include "model/machine_type.h"
+#include "store/machine_type_pages.h"
+#include "store/packed_task_group.h"
+#include "wire/cloud_codec.h"
 #include "wire/digits.h"
 #include "wire/peer.h"
 
@@ -43,22 +46,23 @@
   const std::string cancelled =
       std::string(kOldJob.substr(0, kOldJob.size() - 1)) + R"(,"cancelled":true})";
   EXPECT_EQ(WriteCancelled(*job, 8192), cancelled);
-  auto group = ReadShard(kOldGroup);
+  auto group = ReadTaskGroup(kOldGroup);
   ASSERT_TRUE(group);
-  EXPECT_EQ(WriteShard(*group), kOldGroup);
-  EXPECT_EQ(WriteFinal({wire::Phase::kDone, 16, 0}), R"({"phase":"done","done":16})");
+  EXPECT_EQ(WriteTaskGroup(*group), kOldGroup);
+  EXPECT_EQ(WriteFinal({model::JobPhase::kDone, 16, 0}), R"({"phase":"done","done":16})");
   EXPECT_EQ(WriteLeader({"hallnode-0", 7}), R"({"node":"hallnode-0","permit":7})");
-  EXPECT_EQ(WriteBlock("hallnode-0"), R"({"holder":"hallnode-0"})");
-  EXPECT_EQ(ShardKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
+  EXPECT_EQ(WriteFencingTokenRecord("hallnode-0"), R"({"holder":"hallnode-0"})");
+  EXPECT_EQ(TaskGroupKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
   EXPECT_EQ(FinalKey("run-000412"), "hallpier/f/run-000412");
   // A group's number means a range of tasks: reckoned otherwise, tasks would start twice.
-  EXPECT_EQ(TasksPerShard(8), 335U);
-  EXPECT_EQ(TasksPerShard(2), 83U);
-  EXPECT_EQ(TasksPerShard(64), 2681U);
+  EXPECT_EQ(TasksPerGroup(8), 335U);
+  EXPECT_EQ(TasksPerGroup(2), 83U);
+  EXPECT_EQ(TasksPerGroup(64), 2681U);
 }
 
 TEST(OldForms, OfFramesAreKept) {
-  EXPECT_EQ(Hex(wire::WritePeerMessage(wire::PeerStatus{"hallnode-1", 412, true, true})),
+  EXPECT_EQ(Hex(wire::WritePeerMessage(
+                wire::PeerStatus{"hallnode-1", model::FencingToken(412), true, true})),
             "010a68616c6c6e6f64652d319c030101");
   wire::RelayRequest q;
   q.id = 9;
@@ -76,28 +80,28 @@
 
 // The same from the leader's transactions, whose fields are set elsewhere.
 TEST(OldForms, AreAllThatALeaderWritesBeforeTheChange) {
-  jobs::Ledger ledger(335);
-  ledger.Apply(ParseKey(JobKey("run-000412")), std::string(kOldJob));
-  ledger.Apply(ParseKey(ShardKey("run-000412", 0)), std::string(kOldGroup));
-  jobs::BatchLimits limits{8, {{"block", 5}}, 8192, 0, false, 1764633700};
-  auto first = [&](jobs::Mutation::Kind kind, uint32_t index, uint64_t attempt) {
-    jobs::Mutation m;
+  jobs::JobTable job_table(335);
+  job_table.Apply(ParseKey(JobKey("run-000412")), std::string(kOldJob));
+  job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), std::string(kOldGroup));
+  jobs::TransactionLimits limits{8, {{"block", 5}}, 8192, 0, false, 1764633700};
+  auto first = [&](jobs::TaskTransition::Kind kind, uint32_t index, uint64_t attempt) {
+    jobs::TaskTransition m;
     m.kind = kind;
     m.task = {"run-000412", index};
     m.attempt = attempt;
     m.machine = "vm-000231";
-    return jobs::BuildTxns(ledger, {m}, limits, [](const std::string&) { return 1; });
+    return jobs::BuildTransactions(job_table, {m}, limits, [](const std::string&) { return 1; });
   };
-  EXPECT_EQ(first(jobs::Mutation::Kind::kPlace, 5, 4).at(0).writes.at(0).value,
+  EXPECT_EQ(first(jobs::TaskTransition::Kind::kPlace, 5, 4).at(0).writes.at(0).value,
             R"({"done":[0,1,4,4],"on":{"vm-000231":[2,3,-2,5,-4]},"runs":{"g8":[3,61.5]}})");
-  Shard last;
+  TaskGroup last;
   for (uint32_t i = 0; i < 15; ++i) last.done.Insert(i);
   last.open[15] = {1, "vm-000231"};
-  ledger.Apply(ParseKey(ShardKey("run-000412", 0)), WriteShard(last));
-  EXPECT_EQ(first(jobs::Mutation::Kind::kDone, 15, 1).at(0).writes.at(0).value,
+  job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), WriteTaskGroup(last));
+  EXPECT_EQ(first(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
             R"({"phase":"done","done":16})");
   limits.packed = true;
-  EXPECT_EQ(first(jobs::Mutation::Kind::kDone, 15, 1).at(0).writes.at(0).value,
+  EXPECT_EQ(first(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
             R"({"phase":"done","done":16,"at":1764633700.0})");
 }
 
@@ -117,8 +121,8 @@
   EXPECT_FALSE(wire::UnpackFlags("0", 7));
 }
 
-Shard Mixed(const std::vector<std::string>& machines) {
-  Shard s;
+TaskGroup Mixed(const std::vector<std::string>& machines) {
+  TaskGroup s;
   s.done.Insert(300);
   s.done.Insert(301);
   s.runs["c4"] = {2, 20.5};
@@ -127,28 +131,28 @@
 }
 
 TEST(Packed, SurvivesARoundTripWhateverTheNames) {
-  for (const Shard& s :
+  for (const TaskGroup& s :
        {Mixed({"vm-000231", "vm-009000", "", "vm-000231"}), Mixed({"vm-9", "vm-10", "other"}),
         Mixed({"a-7", "b-1", "b-3", "", "a-8", "b-3"}), Mixed({"", ""}), Mixed({}),
         Mixed({"12345678901234567890", "12345678901234567891"})}) {
-    auto back = ReadShard(WritePacked(s, 300, 20));
+    auto back = ReadTaskGroup(WritePacked(s, 300, 20));
     ASSERT_TRUE(back) << WritePacked(s, 300, 20);
     EXPECT_EQ(back->open, s.open);
     EXPECT_EQ(back->done.ranges(), s.done.ranges());
     EXPECT_EQ(back->runs["c4"].count, 2U);
   }
   // Tasks that the group should not hold are kept all the same.
-  EXPECT_EQ(ReadShard(WritePacked(Mixed({"vm-1"}), 300, 2))->open, Mixed({"vm-1"}).open);
+  EXPECT_EQ(ReadTaskGroup(WritePacked(Mixed({"vm-1"}), 300, 2))->open, Mixed({"vm-1"}).open);
 }
 
 TEST(Packed, RefusesNonsense) {
   const std::string good = WritePacked(Mixed({"vm-000231", "vm-009000"}), 300, 6);
-  ASSERT_TRUE(ReadShard(good));
+  ASSERT_TRUE(ReadTaskGroup(good));
   auto broken = [&](const std::string& from, const std::string& to) {
     std::string text = good;
     EXPECT_NE(text.find(from), std::string::npos) << text;
     text.replace(text.find(from), from.size(), to);
-    return ReadShard(text);
+    return ReadTaskGroup(text);
   };
   EXPECT_FALSE(broken("\"of\":6", "\"of\":7"));
   EXPECT_FALSE(broken("\"first\":300", "\"first\":100000"));
@@ -161,12 +165,13 @@
 // The lowering of the limits must find nothing that is too large to be written again: the largest
 // group that production ever wrote fits a quarter of its value once it is packed.
 TEST(Packed, TheLargestGroupsFitTheLowerLimit) {
-  for (uint32_t tasks : {TasksPerShard(8), TasksPerPacked(2)}) {
-    Shard s;
+  for (uint32_t tasks : {TasksPerGroup(8), TasksPerPacked(2)}) {
+    TaskGroup s;
     for (uint32_t i = 0; i < tasks; ++i) {
       s.open[i] = {i % 60 + 1, "vm-" + std::to_string(100000 + (i * 7919) % 200000)};
     }
-    for (const char* flavor : {"menhir-4", "dolmen-8"}) s.runs[flavor] = {1000, 12345.678901234};
+    for (const char* machine_type : {"menhir-4", "dolmen-8"})
+      s.runs[machine_type] = {1000, 12345.678901234};
     EXPECT_LE(WritePacked(s, 0, tasks).size(), 2048U) << tasks;
   }
 }
@@ -174,7 +179,7 @@
 TEST(Records, ACancellationFitsWhateverTheRecord) {
   JobRecord job;
   job.spec = Spec("run-1", 900);
-  for (int i = 0; i < 300; ++i) job.spec.flavors.push_back("flavor-" + std::to_string(i));
+  for (int i = 0; i < 300; ++i) job.spec.machine_types.push_back("flavor-" + std::to_string(i));
   job.spec.image = std::string(200, '\x01');
   job.group = 77;
   ASSERT_GT(WriteJob(job).size(), 4000U);
@@ -189,22 +194,24 @@
 }
 
 TEST(Records, ALongListOfMachineTypesTakesSeveralValues) {
-  std::vector<wire::Flavor> flavors;
-  flavors.reserve(40);
-  for (int i = 0; i < 40; ++i) flavors.push_back(FlavorOf("c" + std::to_string(i), i + 1));
-  EXPECT_EQ(WriteFlavorPages({flavors[0]}, 2048).at(0), wire::WriteFlavors({flavors[0]}));
-  const auto pages = WriteFlavorPages(flavors, 2048);
+  std::vector<model::MachineType> machine_types;
+  machine_types.reserve(40);
+  for (int i = 0; i < 40; ++i)
+    machine_types.push_back(MachineTypeOf("c" + std::to_string(i), i + 1));
+  EXPECT_EQ(WriteMachineTypePages({machine_types[0]}, 2048).at(0),
+            wire::WriteMachineTypes({machine_types[0]}));
+  const auto pages = WriteMachineTypePages(machine_types, 2048);
   ASSERT_GT(pages.size(), 2U);
-  FlavorPages read;
+  MachineTypePages read;
   for (auto n = static_cast<uint32_t>(pages.size()); n-- > 0;) {
     EXPECT_LE(pages[n].size(), 2048U);
     EXPECT_FALSE(read.All()) << "a part of it says nothing";
     read.Put(n, pages[n]);
   }
   ASSERT_TRUE(read.All());
-  EXPECT_EQ(wire::WriteFlavors(*read.All()), wire::WriteFlavors(flavors));
-  EXPECT_EQ(ParseKey(FlavorsKey(3)).shard, 3U);
-  EXPECT_EQ(ParseKey(FlavorsKey(3)).kind, KeyKind::kFlavors);
+  EXPECT_EQ(wire::WriteMachineTypes(*read.All()), wire::WriteMachineTypes(machine_types));
+  EXPECT_EQ(ParseKey(MachineTypesKey(3)).task_group, 3U);
+  EXPECT_EQ(ParseKey(MachineTypesKey(3)).kind, KeyKind::kMachineTypes);
 }
 
 TEST(Records, AwaitedJobsAndTheLayoutAreKept) {
@@ -217,9 +224,9 @@
   EXPECT_EQ(back->spec.awaits, job.spec.awaits);
   EXPECT_EQ(back->group, 388U);
   EXPECT_EQ(ReadFinal(R"({"phase":"done","done":3})")->at, 0);
-  EXPECT_EQ(ReadFinal(WriteFinal({wire::Phase::kDone, 3, 99.5}))->at, 99.5);
+  EXPECT_EQ(ReadFinal(WriteFinal({model::JobPhase::kDone, 3, 99.5}))->at, 99.5);
   EXPECT_FALSE(ReadFormat(R"({"format":2,"group":335,"parts":0})"));
-  EXPECT_EQ(ReadMark("[]"), 0U);
+  EXPECT_EQ(ReadNodeFormat("[]"), 0U);
 }
 
 }  // namespace
@@ -229,39 +236,40 @@
 namespace {
 
 using namespace testing_support;
-using Kind = Mutation::Kind;
+using Kind = TaskTransition::Kind;
 
 // Groups of a layout too large for the lower limits are carried over part by part, whenever one of
 // their tasks changes: each in a transaction that fits, guarded by what it is carried over from.
 class CarryOver : public testing::Test {
  protected:
-  CarryOver() : ledger_(40) {
-    PutJob(ledger_, Spec("run-1", 100));
-    store::Shard whole;
+  CarryOver() : job_table_(40) {
+    PutJob(job_table_, Spec("run-1", 100));
+    store::TaskGroup whole;
     for (uint32_t i = 0; i < 10; ++i) whole.done.Insert(i);
     for (uint32_t i = 10; i < 30; ++i) whole.open[i] = {1, "vm-1"};
     whole.runs["c4"] = {10, 50};
-    Apply(store::ShardKey("run-1", 0), store::WriteShard(whole));
+    Apply(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(whole));
     Apply(store::FormatKey(), store::WriteFormat({2, {40, 2}}));
   }
   void Apply(const std::string& key, const std::string& value) {
-    ledger_.Apply(store::ParseKey(key), value);
+    job_table_.Apply(store::ParseKey(key), value);
     versions_[key] = value.empty() ? 0 : ++stamp_;
   }
-  std::vector<Txn> Build(Kind kind, uint32_t index, uint64_t attempt) {
-    Mutation m;
+  std::vector<Transaction> Build(Kind kind, uint32_t index, uint64_t attempt) {
+    TaskTransition m;
     m.kind = kind;
     m.task = {"run-1", index};
     m.attempt = attempt;
     m.machine = "vm-1";
-    std::vector<Mutation> all;
+    std::vector<TaskTransition> all;
     if (attempt > 0) all.push_back(m);
-    const BatchLimits limits = {4, {{"block", 5}}, 0, 0, true, 0};
-    return BuildTxns(ledger_, all, limits, [this](const std::string& k) { return versions_[k]; });
+    const TransactionLimits limits = {4, {{"block", 5}}, 0, 0, true, 0};
+    return BuildTransactions(job_table_, all, limits,
+                             [this](const std::string& k) { return versions_[k]; });
   }
-  const Job& job() const { return *ledger_.Find("run-1"); }
+  const Job& job() const { return *job_table_.Find("run-1"); }
 
-  Ledger ledger_;
+  JobTable job_table_;
   std::map<std::string, uint64_t> versions_;
   uint64_t stamp_ = 10;
 };
@@ -270,59 +278,60 @@
   EXPECT_EQ(job().done(), 10U);
   EXPECT_EQ(job().placed(), 20U);
   EXPECT_EQ(job().MeanRun("c4"), 5);
-  EXPECT_EQ(ledger_.Waiting(job(), 3), (std::vector<uint32_t>{30, 31, 32}));
-  EXPECT_TRUE(ledger_.Leftovers().empty());
+  EXPECT_EQ(job_table_.Waiting(job(), 3), (std::vector<uint32_t>{30, 31, 32}));
+  EXPECT_TRUE(job_table_.Leftovers().empty());
 }
 
 TEST_F(CarryOver, APartTakesTheTasksOfItsRangeWithIt) {
-  const std::string whole = store::ShardKey("run-1", 0), second = store::PartKey("run-1", 0, 1);
-  auto txns = Build(Kind::kDone, 25, 1);
-  ASSERT_EQ(txns.size(), 1U);
-  ASSERT_EQ(txns[0].writes.size(), 1U);
-  EXPECT_EQ(txns[0].writes[0].key, second);
-  std::map<std::string, uint64_t> guards;
-  for (const auto& g : txns[0].guards) guards[g.key] = g.version;
-  EXPECT_EQ(guards.at(whole), versions_[whole]);
-  EXPECT_EQ(guards.at(second), 0U);
-  Apply(second, txns[0].writes[0].value);
+  const std::string whole = store::TaskGroupKey("run-1", 0),
+                    second = store::TaskGroupPartKey("run-1", 0, 1);
+  auto transactions = Build(Kind::kDone, 25, 1);
+  ASSERT_EQ(transactions.size(), 1U);
+  ASSERT_EQ(transactions[0].writes.size(), 1U);
+  EXPECT_EQ(transactions[0].writes[0].key, second);
+  std::map<std::string, uint64_t> preconditions;
+  for (const auto& g : transactions[0].preconditions) preconditions[g.key] = g.version;
+  EXPECT_EQ(preconditions.at(whole), versions_[whole]);
+  EXPECT_EQ(preconditions.at(second), 0U);
+  Apply(second, transactions[0].writes[0].value);
   EXPECT_EQ(job().done(), 11U);
   EXPECT_EQ(job().placed(), 19U);
-  EXPECT_EQ(ledger_.On("vm-1").size(), 19U);
+  EXPECT_EQ(job_table_.On("vm-1").size(), 19U);
   // A late write of the whole is void for what has a part of its own.
-  store::Shard late;
+  store::TaskGroup late;
   late.open[25] = {1, "vm-9"};
   late.open[12] = {1, "vm-1"};
-  Apply(whole, store::WriteShard(late));
-  EXPECT_TRUE(ledger_.On("vm-9").empty());
+  Apply(whole, store::WriteTaskGroup(late));
+  EXPECT_TRUE(job_table_.On("vm-9").empty());
   EXPECT_EQ(job().done(), 1U);
 }
 
 TEST_F(CarryOver, AWholeIsDroppedOnceAllItsTasksHaveParts) {
   for (uint32_t index : {25U, 12U}) {
-    EXPECT_TRUE(ledger_.Leftovers().empty());
-    auto txns = Build(Kind::kDone, index, 1);
-    Apply(txns.at(0).writes.at(0).key, txns[0].writes[0].value);
+    EXPECT_TRUE(job_table_.Leftovers().empty());
+    auto transactions = Build(Kind::kDone, index, 1);
+    Apply(transactions.at(0).writes.at(0).key, transactions[0].writes[0].value);
   }
-  EXPECT_EQ(ledger_.Leftovers(), std::vector<std::string>{store::ShardKey("run-1", 0)});
+  EXPECT_EQ(job_table_.Leftovers(), std::vector<std::string>{store::TaskGroupKey("run-1", 0)});
   EXPECT_EQ(Build(Kind::kDone, 0, 0).at(0).writes.at(0).value, "") << "by itself";
-  Apply(store::ShardKey("run-1", 0), "");
+  Apply(store::TaskGroupKey("run-1", 0), "");
   EXPECT_EQ(job().done(), 12U);
   EXPECT_EQ(job().placed(), 18U);
-  EXPECT_TRUE(ledger_.Leftovers().empty());
+  EXPECT_TRUE(job_table_.Leftovers().empty());
 }
 
 TEST_F(CarryOver, ALoadInAnyOrderSaysTheSame) {
-  auto txns = Build(Kind::kDone, 25, 1);
-  Apply(txns.at(0).writes.at(0).key, txns[0].writes[0].value);
-  Ledger other(40);
+  auto transactions = Build(Kind::kDone, 25, 1);
+  Apply(transactions.at(0).writes.at(0).key, transactions[0].writes[0].value);
+  JobTable other(40);
   auto put = [&](const std::string& key, const std::string& value) {
     other.Apply(store::ParseKey(key), value);
   };
   put(store::FormatKey(), store::WriteFormat({2, {40, 2}}));
-  put(txns[0].writes[0].key, txns[0].writes[0].value);
-  store::Shard whole;
+  put(transactions[0].writes[0].key, transactions[0].writes[0].value);
+  store::TaskGroup whole;
   for (uint32_t i = 10; i < 30; ++i) whole.open[i] = {1, "vm-1"};
-  put(store::ShardKey("run-1", 0), store::WriteShard(whole));
+  put(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(whole));
   PutJob(other, Spec("run-1", 100));
   EXPECT_EQ(other.Find("run-1")->placed(), 19U);
   EXPECT_EQ(other.Find("run-1")->done(), 1U);
@@ -333,42 +342,42 @@
 // Something in a transaction was refused: what was in it goes by itself the next time, so that it
 // holds up nothing else.
 TEST(Refused, GoAlone) {
-  Ledger ledger(64);
-  std::vector<Mutation> all;
+  JobTable job_table(64);
+  std::vector<TaskTransition> all;
   for (const char* id : {"run-1", "run-2", "run-3"}) {
-    PutJob(ledger, Spec(id, 2));
-    Mutation m;
+    PutJob(job_table, Spec(id, 2));
+    TaskTransition m;
     m.task = {id, 0};
     m.attempt = 1;
     m.machine = "vm-1";
     all.push_back(m);
   }
   std::set<std::string> alone;
-  BatchLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &alone};
+  TransactionLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &alone};
   auto version = [](const std::string&) { return 1; };
-  EXPECT_EQ(BuildTxns(ledger, all, limits, version).size(), 1U);
-  alone.insert(store::ShardKey("run-2", 0));
-  auto txns = BuildTxns(ledger, all, limits, version);
-  ASSERT_EQ(txns.size(), 3U);
-  EXPECT_EQ(txns[1].writes.size(), 1U);
-  EXPECT_EQ(txns[1].writes[0].key, store::ShardKey("run-2", 0));
+  EXPECT_EQ(BuildTransactions(job_table, all, limits, version).size(), 1U);
+  alone.insert(store::TaskGroupKey("run-2", 0));
+  auto transactions = BuildTransactions(job_table, all, limits, version);
+  ASSERT_EQ(transactions.size(), 3U);
+  EXPECT_EQ(transactions[1].writes.size(), 1U);
+  EXPECT_EQ(transactions[1].writes[0].key, store::TaskGroupKey("run-2", 0));
 }
 
 // A job whose record names its layout is read by that, whatever the settings or other jobs say.
 TEST(Layouts, AreTheJobsOwn) {
-  Ledger ledger(40);
+  JobTable job_table(40);
   store::JobRecord record;
   record.spec = Spec("run-2", 100);
   record.group = 70;
-  ledger.Apply(store::ParseKey(store::JobKey("run-2")), store::WriteJob(record));
-  Place(ledger, "run-2", 69, 1, "vm-1");
-  Place(ledger, "run-2", 70, 1, "vm-1");
-  const Job& job = *ledger.Find("run-2");
-  EXPECT_EQ(job.shards().size(), 2U);
+  job_table.Apply(store::ParseKey(store::JobKey("run-2")), store::WriteJob(record));
+  Place(job_table, "run-2", 69, 1, "vm-1");
+  Place(job_table, "run-2", 70, 1, "vm-1");
+  const Job& job = *job_table.Find("run-2");
+  EXPECT_EQ(job.task_groups().size(), 2U);
   EXPECT_EQ(job.groups.layout().End(0), 70U);
-  ledger.Apply(store::ParseKey(store::FormatKey()), store::WriteFormat({2, {40, 2}}));
+  job_table.Apply(store::ParseKey(store::FormatKey()), store::WriteFormat({2, {40, 2}}));
   EXPECT_EQ(job.groups.layout().End(0), 70U);
-  EXPECT_EQ(ledger.Waiting(job, 100).size(), 98U);
+  EXPECT_EQ(job_table.Waiting(job, 100).size(), 98U);
 }
 
 }  // namespace
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -20,8 +20,8 @@
   cli.add_option("--run-s", run_s, "how long every task runs");
   CLI11_PARSE(cli, argc, argv);
   using namespace hallpier;
-  rt::Loop loop;
-  rt::Scope scope(loop);
+  async::EventLoop loop;
+  async::Scope scope(loop);
   standins::State state(scope);
   standins::Cloud cloud(scope, {controllers, nodes, 3, 45, run_s, first_worker_port});
   std::string error;
--- a/tests/standins/standins.cc
+++ b/tests/standins/standins.cc
@@ -3,6 +3,13 @@
 #include <algorithm>
 #include <charconv>
 
+#include "model/cloud.h"
+#include "model/machine_type.h"
+#include "model/task.h"
+#include "wire/cloud_codec.h"
+#include "wire/json.h"
+#include "wire/user_codec.h"
+
 namespace hallpier::standins {
 namespace {
 
@@ -43,7 +50,7 @@
 
 }  // namespace
 
-State::State(rt::Scope& scope)
+State::State(async::Scope& scope)
     : scope_(scope),
       server_(scope, kLimits, [this](wire::HttpRequest r) { return Handle(std::move(r)); }),
       apart_(scope, kLimits, [this](wire::HttpRequest r) { return HandleApart(std::move(r)); }) {
@@ -57,9 +64,9 @@
   for (auto& [lease_id, hold] : holds_) hold.until = scope_.loop().Now() + hold.ttl_s;
 }
 
-rt::Task<> State::ExpireLoop() {
+async::Task<> State::ExpireLoop() {
   while (!scope_.cancelled()) {
-    rt::Sleep pause(scope_, 0.02);
+    async::Sleep pause(scope_, 0.02);
     co_await pause;
     std::vector<uint64_t> over;
     for (const auto& [lease_id, hold] : holds_) {
@@ -118,7 +125,7 @@
   changed_.Notify();
 }
 
-wire::HttpResponse State::Txn(const std::string& body) {
+wire::HttpResponse State::Commit(const std::string& body) {
   auto d = wire::ParseObject(body);
   if (!d) return Answer(400, "{}");
   wire::JsonWriter failed;
@@ -162,21 +169,21 @@
   });
 }
 
-rt::Task<wire::HttpResponse> State::AnswerTxn(std::string body) {
+async::Task<wire::HttpResponse> State::AnswerTxn(std::string body) {
   if (delay_s_ > 0 && Writes(body, delay_prefix_)) {
-    rt::Sleep pause(scope_, delay_s_);
+    async::Sleep pause(scope_, delay_s_);
     co_await pause;
   }
-  if (lose_count_ == 0 || !Writes(body, lose_prefix_)) co_return Txn(body);
+  if (lose_count_ == 0 || !Writes(body, lose_prefix_)) co_return Commit(body);
   --lose_count_;
   ++lost_so_far_;
   if (lost_ == Lost::kAtOnce) {
-    Txn(body);
+    Commit(body);
   } else {
     late_.push_back(std::move(body));
   }
   // Longer than anybody waits for it.
-  rt::Sleep never(scope_, 30);
+  async::Sleep never(scope_, 30);
   co_await never;
   co_return Answer(503, "{}");
 }
@@ -184,7 +191,7 @@
 int State::CarryOutLate() {
   int done = 0;
   for (const std::string& body : std::exchange(late_, {})) {
-    if (Txn(body).status == 200) ++done;
+    if (Commit(body).status == 200) ++done;
   }
   return done;
 }
@@ -227,7 +234,7 @@
   return Answer(200, "{}");
 }
 
-rt::Task<wire::HttpResponse> State::Follow(std::string target) {
+async::Task<wire::HttpResponse> State::Follow(std::string target) {
   auto q = Query(target);
   const uint64_t from = Number(q["from"]);
   const double until = scope_.loop().Now() + static_cast<double>(Number(q["blockMs"])) / 1000;
@@ -251,7 +258,7 @@
     const double left = until - scope_.loop().Now();
     if (any || left <= 0 || scope_.cancelled()) {
       if (watch_lag_s_ > 0) {
-        rt::Sleep lag(scope_, watch_lag_s_);
+        async::Sleep lag(scope_, watch_lag_s_);
         co_await lag;
       }
       co_return Answer(200, w.Take());
@@ -261,14 +268,14 @@
   }
 }
 
-rt::Task<wire::HttpResponse> State::HandleApart(wire::HttpRequest r) {
+async::Task<wire::HttpResponse> State::HandleApart(wire::HttpRequest r) {
   if (cut_) co_return Answer(503, "{}");
   wire::HttpResponse answer = co_await Handle(std::move(r));
   if (cut_) co_return Answer(503, "{}");  // a watch that was open when the cut began
   co_return answer;
 }
 
-rt::Task<wire::HttpResponse> State::Handle(wire::HttpRequest r) {
+async::Task<wire::HttpResponse> State::Handle(wire::HttpRequest r) {
   ++requests_;
   if (outage_) co_return Answer(503, "{}");
   const std::string path(r.path());
@@ -292,7 +299,7 @@
 // One machine: reports, takes orders, runs each task for a set time.
 class Cloud::Worker {
  public:
-  Worker(Cloud& cloud, wire::Listed listed)
+  Worker(Cloud& cloud, model::CloudMachine listed)
       : cloud_(cloud),
         listed_(std::move(listed)),
         life_(cloud.scope_.loop(), &cloud.scope_),
@@ -309,8 +316,8 @@
     life_.Cancel();
     pieces_.clear();
   }
-  const wire::Listed& listed() const { return listed_; }
-  bool Has(const wire::TaskId& task) const {
+  const model::CloudMachine& listed() const { return listed_; }
+  bool Has(const model::TaskId& task) const {
     auto it = pieces_.find(task);
     return it != pieces_.end() && it->second.state == "running";
   }
@@ -341,7 +348,7 @@
     w.StartObject();
     w.Field("host").Text(listed_.machine);
     w.Field("endpoint").Text(listed_.endpoint);
-    w.Field("flavor").Text(listed_.flavor);
+    w.Field("flavor").Text(listed_.machine_type);
     w.Field("hall").Text(listed_.zone);
     w.Field("lendable").Bool(listed_.spot);
     w.Field("tenure").Uint64(tenure_);
@@ -350,7 +357,7 @@
     w.Field("pieces").StartArray();
     for (const auto& [task, p] : pieces_) {
       w.StartObject();
-      w.Field("piece").Text(wire::TaskName(task));
+      w.Field("piece").Text(model::TaskName(task));
       w.Field("try").Uint64(p.attempt);
       w.Field("phase").Text(p.state);
       if (!p.cause.empty()) w.Field("cause").Text(p.cause);
@@ -361,23 +368,23 @@
     return w.Take();
   }
 
-  void Execute(const wire::JsonValue& orders) {
-    for (const auto& o : orders.GetArray()) {
-      const std::string verb = *wire::GetText(o, "verb");
-      auto task = wire::ParseTaskName(*wire::GetText(o, "piece"));
+  void Execute(const wire::JsonValue& commands) {
+    for (const auto& o : commands.GetArray()) {
+      const std::string kind = *wire::GetText(o, "verb");
+      auto task = model::ParseTaskName(*wire::GetText(o, "piece"));
       const uint64_t attempt = *wire::GetCount(o, "try");
       auto it = pieces_.find(*task);
       const bool same = it != pieces_.end() && it->second.attempt == attempt;
-      if (verb == "run" && !same) {
+      if (kind == "run" && !same) {
         cloud_.OnStart(this, *task);
         Running p;
         p.attempt = attempt;
         p.ends = life_.loop().Now() + cloud_.options_.run_s;
         pieces_[*task] = p;
-      } else if (verb == "stop" && same && it->second.state == "running") {
+      } else if (kind == "stop" && same && it->second.state == "running") {
         it->second.state = "ended";
         it->second.cause = "stopped";
-      } else if (verb == "forget" && same && it->second.state == "ended") {
+      } else if (kind == "forget" && same && it->second.state == "ended") {
         pieces_.erase(it);
       }
     }
@@ -394,12 +401,12 @@
     return changed;
   }
 
-  rt::Task<> ReportLoop() {
+  async::Task<> ReportLoop() {
     size_t node = 0;
     double renewed = life_.loop().Now();
     double next = 0;
     while (!life_.cancelled()) {
-      rt::Sleep pause(life_, cloud_.options_.report_s / 20);
+      async::Sleep pause(life_, cloud_.options_.heartbeat_interval_s / 20);
       co_await pause;
       const double now = life_.loop().Now();
       if (now - renewed > cloud_.options_.lease_s) {
@@ -408,11 +415,11 @@
         renewed = now;
       }
       if (!Tick() && now < next) continue;
-      next = now + cloud_.options_.report_s;
+      next = now + cloud_.options_.heartbeat_interval_s;
       const uint64_t session = tenure_;
       wire::HttpRequest q{.method = "POST", .target = "/checkin", .body = Report()};
       auto r = co_await client_.Call(life_, cloud_.options_.controllers[node], std::move(q),
-                                     std::min(4.0, cloud_.options_.report_s), false);
+                                     std::min(4.0, cloud_.options_.heartbeat_interval_s), false);
       if (life_.cancelled()) break;
       auto d = r ? wire::ParseObject(r->body) : std::nullopt;
       if (r && r->status == 200 && d) {
@@ -428,11 +435,11 @@
       auto at = named ? std::find(names.begin(), names.end(), *named) : names.end();
       node = at != names.end() ? static_cast<size_t>(at - names.begin())
                                : (node + 1) % cloud_.options_.controllers.size();
-      next = now + cloud_.options_.report_s / 3;
+      next = now + cloud_.options_.heartbeat_interval_s / 3;
     }
   }
 
-  rt::Task<wire::HttpResponse> Handle(wire::HttpRequest r) {
+  async::Task<wire::HttpResponse> Handle(wire::HttpRequest r) {
     if (r.path() == "/show") co_return Answer(200, Report());
     auto d = wire::ParseObject(r.body);
     auto token = d ? wire::GetCount(*d, "epoch") : std::nullopt;
@@ -445,17 +452,17 @@
   }
 
   Cloud& cloud_;
-  const wire::Listed listed_;
-  rt::Scope life_;
+  const model::CloudMachine listed_;
+  async::Scope life_;
   net::HttpServer server_;
   net::HttpClient client_;
   uint64_t tenure_ = 1;
   uint64_t tick_ = 0;
   uint64_t token_ = 0;
-  std::map<wire::TaskId, Running> pieces_;
+  std::map<model::TaskId, Running> pieces_;
 };
 
-Cloud::Cloud(rt::Scope& scope, Options options)
+Cloud::Cloud(async::Scope& scope, Options options)
     : scope_(scope),
       options_(std::move(options)),
       server_(scope, kLimits, [this](wire::HttpRequest r) { return Handle(std::move(r)); }) {}
@@ -474,7 +481,7 @@
   return n;
 }
 
-void Cloud::OnStart(const Worker* where, const wire::TaskId& task) {
+void Cloud::OnStart(const Worker* where, const model::TaskId& task) {
   if (on_start_) on_start_(task);
   ++starts_;
   for (const auto& [name, other] : machines_) {
@@ -482,19 +489,19 @@
   }
 }
 
-rt::Task<wire::HttpResponse> Cloud::Handle(wire::HttpRequest r) {
+async::Task<wire::HttpResponse> Cloud::Handle(wire::HttpRequest r) {
   const std::string path(r.path());
   if (path == "/flavors") {
-    wire::Flavor f;
+    model::MachineType f;
     f.name = "c4";
     f.cpus = 4;
     f.memory_gb = 16;
     f.fetch_gb_per_s = 1;
     f.price = 0.2;
     f.spot_price = 0.1;
-    f.ready_s = 1;
+    f.boot_s = 1;
     f.zones = {"a", "b"};
-    co_return Answer(200, wire::WriteFlavors({f}));
+    co_return Answer(200, wire::WriteMachineTypes({f}));
   }
   if (path == "/rentals" && r.method == "GET") {
     wire::JsonWriter w;
@@ -504,7 +511,7 @@
       w.StartObject();
       w.Field("id").Text(name);
       w.Field("endpoint").Text(m->listed().endpoint);
-      w.Field("flavor").Text(m->listed().flavor);
+      w.Field("flavor").Text(m->listed().machine_type);
       w.Field("hall").Text(m->listed().zone);
       w.Field("lendable").Bool(m->listed().spot);
       w.Field("phase").Text("running");
@@ -523,11 +530,11 @@
     if (answers_.contains(request)) co_return Answer(200, answers_[request]);
     std::vector<std::string> names;
     for (uint64_t i = 0; i < *wire::GetCount(*d, "howMany") && machines_.size() < 20; ++i) {
-      wire::Listed l;
+      model::CloudMachine l;
       std::string number = std::to_string(next_);
       l.machine = "vm-" + std::string(6 - number.size(), '0') + number;
       l.endpoint = "127.0.0.1:" + std::to_string(options_.first_port + next_ % options_.ports);
-      l.flavor = "c4";
+      l.machine_type = "c4";
       l.zone = *wire::GetText(*d, "hall");
       l.spot = *wire::GetFlag(*d, "lendable");
       ++next_;
@@ -536,7 +543,7 @@
       names.push_back(l.machine);
       machines_[l.machine] = std::move(worker);
     }
-    answers_[request] = wire::WriteReturn(names);
+    answers_[request] = wire::WriteScaleInRequest(names);
     co_return Answer(200, answers_[request]);
   }
   for (const auto& v : (*d)["hosts"].GetArray()) {
--- a/tests/standins/standins.h
+++ b/tests/standins/standins.h
@@ -9,16 +9,18 @@
 #include <string>
 #include <vector>
 
+#include "model/key_value.h"
+#include "model/task.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "wire/messages.h"
+#include "wire/json.h"
 
 namespace hallpier::standins {
 
 // Keys, stamps, leases and watches in memory.
 class State {
  public:
-  explicit State(rt::Scope& scope);
+  explicit State(async::Scope& scope);
   bool Listen(const std::string& address, std::string* error) {
     return server_.Listen(address, error);
   }
@@ -75,11 +77,11 @@
     double ttl_s = 0;
     double until = 0;
   };
-  rt::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
-  rt::Task<wire::HttpResponse> HandleApart(wire::HttpRequest request);
-  rt::Task<wire::HttpResponse> Follow(std::string target);
-  wire::HttpResponse Txn(const std::string& body);
-  rt::Task<wire::HttpResponse> AnswerTxn(std::string body);
+  async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
+  async::Task<wire::HttpResponse> HandleApart(wire::HttpRequest request);
+  async::Task<wire::HttpResponse> Follow(std::string target);
+  wire::HttpResponse Commit(const std::string& body);
+  async::Task<wire::HttpResponse> AnswerTxn(std::string body);
   // Whether a transaction writes a key with this prefix.
   static bool Writes(const std::string& body, const std::string& prefix);
   // Nothing if the limits allow it.
@@ -88,15 +90,15 @@
   wire::HttpResponse Holds(const wire::HttpRequest& request);
   void Put(const std::string& key, const std::string& value, uint64_t lease_id);
   void EndHold(uint64_t lease_id);
-  rt::Task<> ExpireLoop();
+  async::Task<> ExpireLoop();
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   net::HttpServer server_;
   net::HttpServer apart_;
   bool cut_ = false;
   std::map<std::string, Key> keys_;
   std::map<uint64_t, Hold> holds_;
-  std::vector<wire::Change> changes_;
+  std::vector<model::WatchEvent> changes_;
   uint64_t revision_ = 0;
   uint64_t next_lease_id_ = 0;
   bool outage_ = false;
@@ -114,7 +116,7 @@
   double write_level_ = 0;
   double write_at_ = 0;
   OnWrite on_write_;
-  rt::Event changed_;
+  async::Event changed_;
 };
 
 // Rents machines that are up at once, each with a worker that runs tasks by the clock.
@@ -123,14 +125,14 @@
   struct Options {
     std::vector<std::string> controllers;  // addresses that workers report to
     std::vector<std::string> nodes;        // their names, in the same order
-    double report_s = 3;
+    double heartbeat_interval_s = 3;
     double lease_s = 45;
     double run_s = 1;  // of every task
     int first_port = 0;
     // Of machines, used in turn: far more than there ever are machines at a time.
     int ports = 1000;
   };
-  Cloud(rt::Scope& scope, Options options);
+  Cloud(async::Scope& scope, Options options);
   ~Cloud();
   bool Listen(const std::string& address, std::string* error) {
     return server_.Listen(address, error);
@@ -143,14 +145,14 @@
   // Tasks of all jobs whose names begin so, that run now.
   int RunningOf(const std::string& prefix) const;
   // Told of every start of a task.
-  void WatchStarts(std::function<void(const wire::TaskId&)> f) { on_start_ = std::move(f); }
+  void WatchStarts(std::function<void(const model::TaskId&)> f) { on_start_ = std::move(f); }
 
  private:
   class Worker;
-  rt::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
-  void OnStart(const Worker* where, const wire::TaskId& task);
+  async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
+  void OnStart(const Worker* where, const model::TaskId& task);
 
-  rt::Scope& scope_;
+  async::Scope& scope_;
   const Options options_;
   net::HttpServer server_;
   std::map<std::string, std::unique_ptr<Worker>> machines_;
@@ -159,7 +161,7 @@
   int next_ = 0;
   int starts_ = 0;
   int started_twice_ = 0;
-  std::function<void(const wire::TaskId&)> on_start_;
+  std::function<void(const model::TaskId&)> on_start_;
 };
 
 }  // namespace hallpier::standins
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,7 +1,11 @@
 // The upgrade, with both versions at work on the same data: what the new one writes beside the old
 // one, what it does with the old one's records, and when newer forms begin.
 #include "end_to_end.h"
-#include "store/packed.h"
+#include "model/job.h"
+#include "model/key_value.h"
+#include "model/task.h"
+#include "store/packed_task_group.h"
+#include "wire/json.h"
 
 namespace hallpier {
 namespace {
@@ -38,7 +42,7 @@
 }
 
 TEST(OldVersion, WouldLoseWhatIsWrittenTooEarly) {
-  const std::string job = store::JobKey("run-1"), group = store::ShardKey("run-1", 0);
+  const std::string job = store::JobKey("run-1"), group = store::TaskGroupKey("run-1", 0);
   store::JobRecord record;
   record.spec = Spec("run-1", 4);
   EXPECT_TRUE(OldVersionKeeps(job, store::WriteJob(record)));
@@ -47,10 +51,10 @@
   record.group = 0;
   record.spec.awaits = {"run-2"};
   EXPECT_FALSE(OldVersionKeeps(job, store::WriteJob(record)));
-  EXPECT_TRUE(OldVersionKeeps(group, store::WriteShard({})));
+  EXPECT_TRUE(OldVersionKeeps(group, store::WriteTaskGroup({})));
   EXPECT_FALSE(OldVersionKeeps(group, store::WritePacked({}, 0, 4)));
   EXPECT_FALSE(
-      OldVersionKeeps(store::FinalKey("run-1"), store::WriteFinal({wire::Phase::kDone, 4, 1})));
+      OldVersionKeeps(store::FinalKey("run-1"), store::WriteFinal({model::JobPhase::kDone, 4, 1})));
 }
 
 class UpgradeTest : public EndToEnd {
@@ -69,16 +73,16 @@
   }
 
   // As a node of the old version takes the lead; the lease, 0 if it can't.
-  rt::Task<uint64_t> OldNodeLeads(std::string node) {
+  async::Task<uint64_t> OldNodeLeads(std::string node) {
     auto lease_id = co_await state_client_.Grant(60);
     EXPECT_TRUE(lease_id.ok());
-    std::vector<wire::Guard> guards = {{store::LeaderKey(), 0}};
-    std::vector<wire::Write> writes = {
+    std::vector<model::Precondition> preconditions = {{store::LeaderKey(), 0}};
+    std::vector<model::KeyWrite> writes = {
         {store::LeaderKey(),
          R"({"node":")" + node + R"(","permit":)" + std::to_string(lease_id.value) + "}",
          lease_id.value},
-        {store::BlockKey(0), R"({"holder":")" + node + R"("})", 0}};
-    auto r = co_await state_client_.Txn(std::move(guards), std::move(writes));
+        {store::FencingTokenKey(), R"({"holder":")" + node + R"("})", 0}};
+    auto r = co_await state_client_.Commit(std::move(preconditions), std::move(writes));
     co_return r.ok() ? lease_id.value : 0;
   }
 
@@ -93,11 +97,11 @@
 
   // Node 0 of three is new. An old node leads, with a job of which some tasks are done and one
   // waits for its third attempt.
-  rt::Task<> SideBySide() {
+  async::Task<> SideBySide() {
     uint64_t lease_id = co_await OldNodeLeads("node-1");
     EXPECT_NE(lease_id, 0U);
     co_await WriteRecord(store::JobKey("run-1"), OldJob("run-1", 400));
-    co_await WriteRecord(store::ShardKey("run-1", 0),
+    co_await WriteRecord(store::TaskGroupKey("run-1", 0),
                          R"({"done":[0,299],"on":{"":[300,-2]},"runs":{"c4":[300,90.0]}})");
     StartNodes(0, 1, 3);
     bool ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "pending", 5);
@@ -124,7 +128,7 @@
     lease_id = co_await OldNodeLeads("node-2");
     EXPECT_NE(lease_id, 0U);
     co_await WriteRecord(store::JobKey("run-4"), OldJob("run-4", 340));
-    co_await WriteRecord(store::ShardKey("run-4", 1),
+    co_await WriteRecord(store::TaskGroupKey("run-4", 1),
                          R"({"done":[],"on":{"vm-999999":[335,336,-4]},"runs":{}})");
     StartNodes(0, 1, 3);
     ended = co_await state_client_.End(lease_id);
@@ -133,7 +137,7 @@
     EXPECT_TRUE(ok) << "what was on the unknown machine, once its lease is over";
     // The second node is new. One is still old: whatever is written must be good for it.
     StartNodes(1, 2, 3);
-    ok = co_await Within(5, [&] { return !state_->Value(store::MarkKey("node-1")).empty(); });
+    ok = co_await Within(5, [&] { return !state_->Value(store::NodeFormatKey("node-1")).empty(); });
     EXPECT_TRUE(ok);
     co_await Pause(3 * kReport);
     r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-5", 5)));
@@ -170,14 +174,14 @@
 // A format that this version can't read is somebody's all the same: it is never written over.
 class UnreadableFormat : public EndToEnd {
  public:
-  rt::Task<> Script() {
+  async::Task<> Script() {
     const std::string record = R"({"format":9})";
     co_await WriteRecord(store::FormatKey(), record);
     StartNodes(0, 3, 3);
     bool marked = co_await Within(5, [&] {
-      return !state_->Value(store::MarkKey("node-0")).empty() &&
-             !state_->Value(store::MarkKey("node-1")).empty() &&
-             !state_->Value(store::MarkKey("node-2")).empty();
+      return !state_->Value(store::NodeFormatKey("node-0")).empty() &&
+             !state_->Value(store::NodeFormatKey("node-1")).empty() &&
+             !state_->Value(store::NodeFormatKey("node-2")).empty();
     });
     EXPECT_TRUE(marked);
     co_await Pause(5 * kReport);
@@ -193,7 +197,7 @@
 TEST_F(UpgradeTest, BothVersionsWorkOnTheSameData) {
   StartServices(3);
   WatchWrites();
-  cloud_->WatchStarts([this](const wire::TaskId& task) { ++starts_of_[task.job]; });
+  cloud_->WatchStarts([this](const model::TaskId& task) { ++starts_of_[task.job]; });
   Run(SideBySide());
 }
 
@@ -202,14 +206,15 @@
  public:
   LoweredLimits() { state_next_ = config::StateLimits{2000, 300, 2, 4}; }
 
-  rt::Task<> Lowered(int nodes, double large_by) {
+  async::Task<> Lowered(int nodes, double large_by) {
     bool ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-1", 900)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "running", 10);
     EXPECT_TRUE(ok);
-    wire::JobSpec listed = Spec("run-2", 2);
-    for (int i = 0; i < 150; ++i) listed.flavors.push_back("flavor-" + std::to_string(1000 + i));
-    listed.flavors.emplace_back("c4");
+    model::JobSpec listed = Spec("run-2", 2);
+    for (int i = 0; i < 150; ++i)
+      listed.machine_types.push_back("flavor-" + std::to_string(1000 + i));
+    listed.machine_types.emplace_back("c4");
     // Production took it, when a value might still be as large.
     store::JobRecord record;
     record.spec = listed;
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -3,6 +3,7 @@
 #include <functional>
 
 #include "membership_cluster.h"
+#include "model/member.h"
 
 namespace hallpier::report {
 namespace {
@@ -18,10 +19,10 @@
 constexpr Scale kCounts{2000, 2000};
 const std::vector<std::string> kOffAndOn = {"off", "on"};
 
-MembershipCluster::Options ForReportPeriod(double report_s) {
+MembershipCluster::Options ForReportPeriod(double heartbeat_interval_s) {
   MembershipCluster::Options options;
-  options.leader_ttl_s = kLeaseRatio * report_s;
-  options.probe_s = kProbeRatio * report_s;
+  options.leader_ttl_s = kLeaseRatio * heartbeat_interval_s;
+  options.probe_s = kProbeRatio * heartbeat_interval_s;
   return options;
 }
 
@@ -68,9 +69,9 @@
           "of a small core that is late with its turns.",
       .series = kOffAndOn,
       .points = {}};
-  for (const double report_s : {3.0, 4.0, 10.0}) {
-    e.points.push_back(
-        MeasurePoint(report_s, ForReportPeriod(report_s), effort, kTimes, TimeToHandover));
+  for (const double heartbeat_interval_s : {3.0, 4.0, 10.0}) {
+    e.points.push_back(MeasurePoint(heartbeat_interval_s, ForReportPeriod(heartbeat_interval_s),
+                                    effort, kTimes, TimeToHandover));
   }
   return e;
 }
@@ -101,15 +102,15 @@
                .explanation = "Without membership nothing notices it; 30 s is the end of the run.",
                .series = kOffAndOn,
                .points = {}};
-  for (const double report_s : {3.0, 4.0, 10.0}) {
+  for (const double heartbeat_interval_s : {3.0, 4.0, 10.0}) {
     e.points.push_back(MeasurePoint(
-        report_s, ForReportPeriod(report_s), effort, kTimes,
+        heartbeat_interval_s, ForReportPeriod(heartbeat_interval_s), effort, kTimes,
         [](MembershipCluster& c, Samples& samples) {
           const std::string leader = c.Leader();
           const std::string subject = c.Name(leader == c.Name(0) ? 1 : 0);
           const double began = c.now();
           c.Freeze(subject);
-          c.RunUntil([&] { return c.Seen(leader, subject) == wire::MemberState::kSuspect; },
+          c.RunUntil([&] { return c.Seen(leader, subject) == model::MemberState::kSuspect; },
                      kSettleS);
           samples.Add(c.now() - began);
         }));
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -35,8 +35,8 @@
     load.push_back(Milliseconds([&] { fleet.PutRecords(); }));
     takeover.push_back(Milliseconds([&] { fleet.TakeOver(now); }));
     const auto listing = fleet.Listing();
-    list.push_back(Milliseconds([&] { fleet.roster().OnListed(listing, now, now + 1); }));
-    collect.push_back(Milliseconds([&] { fleet.roster().Collect(fleet.ledger(), now + 1); }));
+    list.push_back(Milliseconds([&] { fleet.registry().OnListed(listing, now, now + 1); }));
+    collect.push_back(Milliseconds([&] { fleet.registry().Collect(fleet.job_table(), now + 1); }));
     round.push_back(Milliseconds([&] { placed = fleet.Plan(now + 1).places.size(); }));
   }
   std::printf(
