--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -202,9 +202,9 @@
   return Answer(200, wire::WriteStatus(s));
 }
 
-std::optional<wire::BadField> UserApi::NeverRuns(const model::JobSpec& spec) const {
+std::optional<wire::FieldError> UserApi::NeverRuns(const model::JobSpec& spec) const {
   const config::Team* team = deps_.settings->FindTeam(spec.team);
-  if (team == nullptr) return wire::BadField{"tenant", "unknown team"};
+  if (team == nullptr) return wire::FieldError{"tenant", "unknown team"};
   const bool fits = std::any_of(
       deps_.machine_types->begin(), deps_.machine_types->end(), [&](const model::MachineType& f) {
         const bool there = spec.zone.empty() || f.zones.empty() ||
@@ -212,11 +212,11 @@
         return spec.AllowsMachineType(f.name) && there && spec.cpus <= f.cpus &&
                spec.gpus <= f.gpus && spec.memory_gb <= f.memory_gb;
       });
-  if (!fits) return wire::BadField{"flavors", "a task fits no allowed machine type"};
+  if (!fits) return wire::FieldError{"flavors", "a task fits no allowed machine type"};
   const double together = spec.kind == model::JobKind::kService ? spec.tasks : 1;
   if ((team->cpus_max > 0 && together * spec.cpus > team->cpus_max) ||
       (team->gpus_max > 0 && together * spec.gpus > team->gpus_max)) {
-    return wire::BadField{"pieces", "needs more than the team's limit"};
+    return wire::FieldError{"pieces", "needs more than the team's limit"};
   }
   return std::nullopt;
 }
@@ -224,9 +224,8 @@
 async::Task<wire::HttpResponse> UserApi::Submit(std::string body) {
   auto doc = wire::ParseObject(body);
   if (!doc) co_return Answer(400, wire::WriteError("not a JSON object"));
-  wire::BadField bad;
-  auto spec = wire::ReadJobSpec(*doc, &bad);
-  std::optional<wire::BadField> never;
+  auto spec = wire::ReadJobSpec(*doc);
+  std::optional<wire::FieldError> never;
   if (spec && !deps_.machine_types->empty()) never = NeverRuns(*spec);
   if (!spec || never) {
     // Whoever was told "accepted" once must never be told anything worse, whatever came of the body
@@ -237,7 +236,7 @@
       if (found.kind == Found::Kind::kUnknown) co_return NotNow("the state service is not there");
       if (found.kind != Found::Kind::kNever) co_return Status(id, found);
     }
-    if (!spec) co_return Answer(400, wire::WriteError(bad.reason, bad.field));
+    if (!spec) co_return Answer(400, wire::WriteError(spec.error().reason, spec.error().field));
     co_return Answer(422, wire::WriteError(never->reason, never->field));
   }
   if (deps_.machine_types->empty()) co_return NotNow("machine types are not known yet");
@@ -260,7 +259,7 @@
   record.submitted = deps_.time_of_day();
   std::optional<wire::HttpResponse> refused;
   // Room for what a cancellation adds is not needed: that leaves out what has no room.
-  const double most = deps_.settings->least().value_kb * 1024;
+  const double most = deps_.settings->SmallestStateLimits().value_kb * 1024;
   record.group = deps_.formats->group();
   if (static_cast<double>(store::WriteJob(record).size()) > most) {
     const bool many = record.spec.awaits.size() > record.spec.machine_types.size();
@@ -312,7 +311,7 @@
 
 async::Task<wire::HttpResponse> UserApi::Cancel(std::string id) {
   if (!model::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
-  const auto least = static_cast<size_t>(deps_.settings->least().value_kb * 1024);
+  const auto least = static_cast<size_t>(deps_.settings->SmallestStateLimits().value_kb * 1024);
   size_t most = deps_.formats->value_bytes();
   for (int attempt = 0; attempt < kCasTries; ++attempt) {
     Found found = co_await Lookup(id);
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -76,7 +76,7 @@
   Found FromMemory(const std::string& id) const;
   void Remember(const std::string& id, const store::FinalRecord& r);
   // Why the job can never run; nothing if it can.
-  std::optional<wire::BadField> NeverRuns(const model::JobSpec& spec) const;
+  std::optional<wire::FieldError> NeverRuns(const model::JobSpec& spec) const;
 
   Deps deps_;
   int cancelling_ = 0;
--- a/src/async/task.h
+++ b/src/async/task.h
@@ -1,4 +1,5 @@
-// A lazily started coroutine. Awaiting one runs it to its end and yields its value.
+// A lazily started coroutine. Awaiting it runs it to its end and yields its value; destroying it
+// before that destroys its frame.
 #pragma once
 
 #include <coroutine>
--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "config/operator_options.h"
 #include "model/machine_type.h"
 #include "quota/lender.h"
 #include "quota/usage.h"
@@ -14,7 +15,8 @@
 constexpr double kHoldOffLeases = 1;
 constexpr double kMaxHoldOffLeases = 16;
 
-HolderTable::Options TableOptions(const config::Settings& settings, const config::Blocks& options) {
+HolderTable::Options TableOptions(const config::Settings& settings,
+                                  const config::BlockOptions& options) {
   const double lease_s = options.lease_ratio * settings.heartbeat_interval_s;
   return {.node = settings.node,
           .lease_s = lease_s,
@@ -63,7 +65,7 @@
   return withheld;
 }
 
-Lending::Lending(const config::Settings& settings, const config::Blocks& options)
+Lending::Lending(const config::Settings& settings, const config::BlockOptions& options)
     : settings_(settings),
       holders_(TableOptions(settings, options)),
       divider_(static_cast<size_t>(options.holders)) {}
--- a/src/blocks/lending.h
+++ b/src/blocks/lending.h
@@ -8,6 +8,7 @@
 #include "blocks/block_records.h"
 #include "blocks/divider.h"
 #include "blocks/holder_table.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "jobs/job_table.h"
@@ -31,7 +32,7 @@
 
 class Lending {
  public:
-  Lending(const config::Settings& settings, const config::Blocks& options);
+  Lending(const config::Settings& settings, const config::BlockOptions& options);
 
   // A term has begun under this token.
   void BeginTerm(model::FencingToken token, const BlockRecords& records, double now);
--- a/src/blocks/machine_mirror.h
+++ b/src/blocks/machine_mirror.h
@@ -7,7 +7,7 @@
 
 #include "fleet/worker_registry.h"
 #include "model/ids.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::blocks {
 
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -6,6 +6,7 @@
 #include <set>
 
 #include "wire/block_codec.h"
+#include "wire/peer_codec.h"
 
 namespace hallpier::blocks {
 namespace {
--- a/src/blocks/view_sender.h
+++ b/src/blocks/view_sender.h
@@ -12,7 +12,7 @@
 #include "jobs/job_table.h"
 #include "model/ids.h"
 #include "model/machine_view.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::blocks {
 
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -9,6 +9,9 @@
 #include <optional>
 
 #include "cli/members_command.h"
+#include "config/contradictions.h"
+#include "config/operator_options.h"
+#include "config/settings_parser.h"
 #include "controller/controller.h"
 
 namespace {
@@ -21,6 +24,9 @@
   spdlog::set_default_logger(std::move(log));
 }
 
+// Exit status for settings that are missing or at fault.
+constexpr int kBadSettings = 2;
+
 struct Running {
   hallpier::async::EventLoop loop;
   hallpier::controller::Controller controller;
@@ -31,9 +37,12 @@
   running->controller.Shutdown([running] { running->loop.Stop(); });
 }
 
-bool PrintFaults(const std::string& file, const std::vector<std::string>& faults) {
-  for (const auto& f : faults) std::fprintf(stderr, "%s: %s\n", file.c_str(), f.c_str());
-  return !faults.empty();
+// False, after a line for each, if there are any.
+bool CheckFaults(const std::string& file, const std::vector<hallpier::config::Fault>& faults) {
+  for (const auto& fault : faults) {
+    std::fprintf(stderr, "%s: %s\n", file.c_str(), fault.Text().c_str());
+  }
+  return faults.empty();
 }
 
 struct Arguments {
@@ -65,7 +74,7 @@
 }
 
 // Serves until a signal ends it.
-int Serve(hallpier::config::Settings settings, const hallpier::config::Operator& operators) {
+int Serve(hallpier::config::Settings settings, const hallpier::config::OperatorOptions& operators) {
   SetUpLog(settings.node);
   signal(SIGPIPE, SIG_IGN);
   Running running{{}, {running.loop, std::move(settings), operators}};
@@ -94,19 +103,19 @@
   using namespace hallpier;
   Arguments arguments;
   if (auto status = ParseArguments(argc, argv, &arguments)) return *status;
-  std::vector<std::string> faults;
-  config::Settings settings = config::LoadSettings(arguments.config_file, &faults);
-  if (PrintFaults(arguments.config_file, faults)) return 2;
-  if (arguments.members) return cli::RunMembersCommand(settings, arguments.json);
-  config::Operator operators;
+  auto settings = config::LoadSettings(arguments.config_file);
+  if (!CheckFaults(arguments.config_file, settings.faults)) return kBadSettings;
+  if (arguments.members) return cli::RunMembersCommand(settings.value, arguments.json);
+  config::Parsed<config::OperatorOptions> options;
   if (!arguments.operator_file.empty()) {
-    operators = config::LoadOperator(arguments.operator_file, &faults);
+    options = config::LoadOperatorOptions(arguments.operator_file);
   }
-  if (PrintFaults(arguments.operator_file, faults)) return 2;
-  if (PrintFaults(arguments.config_file, config::ContradictionsOf(settings, operators))) return 2;
+  if (!CheckFaults(arguments.operator_file, options.faults)) return kBadSettings;
+  const auto contradictions = config::FindContradictions(settings.value, options.value);
+  if (!CheckFaults(arguments.config_file, contradictions)) return kBadSettings;
   if (arguments.check) {
     std::printf("settings are good\n");
     return 0;
   }
-  return Serve(std::move(settings), operators);
+  return Serve(std::move(settings.value), options.value);
 }
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -4,10 +4,13 @@
 
 #include <cstdio>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "membership/record.h"
+#include "net/address.h"
 #include "net/stream.h"
+#include "wire/frame.h"
 #include "wire/json.h"
+#include "wire/peer_codec.h"
 #include "wire/varint.h"
 
 namespace hallpier::cli {
@@ -31,10 +34,9 @@
 }
 
 void TakeAnswer(const std::string& payload, MembersAnswer* answer) {
-  std::string fault;
-  auto message = wire::ReadPeerMessage(payload, &fault);
+  auto message = wire::ReadPeerMessage(payload);
   if (!message) {
-    answer->error = "gives an answer that can't be read: " + fault;
+    answer->error = "gives an answer that can't be read: " + message.error().reason;
     return;
   }
   if (auto* report = std::get_if<wire::MembersReport>(&*message)) {
--- a/src/cli/members_command.h
+++ b/src/cli/members_command.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::cli {
 
--- /dev/null
+++ b/src/config/operator_options.cc
@@ -0,0 +1,152 @@
+#include "config/operator_options.h"
+
+#include <confuse.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstdarg>
+#include <cstdio>
+#include <memory>
+#include <sstream>
+
+#include "config/text_file.h"
+
+namespace hallpier::config {
+namespace {
+
+// A number of the file, and the range that it must lie in.
+struct NumberOption {
+  const char* name;
+  double* value;
+  double least;
+  double most;
+};
+
+// libconfuse reports faults through a plain function; this is where the current parse wants them.
+// Options are parsed by one thread, at the start of the process.
+std::vector<Fault>* parse_faults = nullptr;
+
+void OnParseError(cfg_t* file, const char* format, va_list args) {
+  constexpr size_t kMaxMessage = 200;
+  char message[kMaxMessage];
+  vsnprintf(message, sizeof(message), format, args);
+  parse_faults->push_back({"operator file, line " + std::to_string(file->line), message});
+}
+
+std::vector<cfg_opt_t> DescribeNumbers(const std::vector<NumberOption>& numbers) {
+  std::vector<cfg_opt_t> described;
+  described.reserve(numbers.size() + 2);
+  for (const NumberOption& number : numbers) {
+    described.push_back(CFG_FLOAT(number.name, *number.value, CFGF_NONE));
+  }
+  return described;
+}
+
+// Of a section that is switched on and off as a whole.
+std::vector<cfg_opt_t> DescribeSwitchedSection(const std::vector<NumberOption>& numbers) {
+  std::vector<cfg_opt_t> described = DescribeNumbers(numbers);
+  described.push_back(CFG_BOOL("enabled", cfg_false, CFGF_NONE));
+  described.push_back(CFG_END());
+  return described;
+}
+
+// `path`: of the section, before the names of its options.
+void ReadNumbers(cfg_t* section, const std::string& path, const std::vector<NumberOption>& numbers,
+                 std::vector<Fault>* faults) {
+  for (const NumberOption& number : numbers) {
+    const double value = cfg_getfloat(section, number.name);
+    if (value >= number.least && value <= number.most) {
+      *number.value = value;
+      continue;
+    }
+    std::ostringstream reason;
+    reason << value << " is not between " << number.least << " and " << number.most;
+    faults->push_back({path + number.name, reason.str()});
+  }
+}
+
+std::vector<NumberOption> GeneralNumbers(OperatorOptions* options) {
+  return {
+      {"round_s", &options->round_s, 0.1, 60},
+      {"leader_ttl_ratio", &options->leader_ttl_ratio, 0.3, 20},
+      {"blind_ratio", &options->blind_ratio, 0.05, 2},
+      {"silent_ratio", &options->silent_ratio, 2, 100},
+      {"idle_ratio", &options->idle_ratio, 0.1, 1000},
+      {"headroom", &options->headroom, 0, 10},
+      {"patience_ratio", &options->patience_ratio, 0, 100},
+      {"starve_s", &options->starve_s, 1, 1e6},
+      {"starve_share", &options->starve_share, 0, 1},
+      {"urgent_reserve", &options->urgent_reserve, 0, 0.9},
+  };
+}
+
+std::vector<NumberOption> MembershipNumbers(MembershipOptions* membership) {
+  return {
+      {"probe_ratio", &membership->probe_ratio, 0.01, 1},
+      {"missed_probes", &membership->missed_probes, 2, 100},
+      {"confirm_probes", &membership->confirm_probes, 1, 100},
+      {"yield_leases", &membership->yield_leases, 0.1, 100},
+  };
+}
+
+std::vector<NumberOption> BlockNumbers(BlockOptions* blocks) {
+  return {
+      {"holders", &blocks->holders, 2, 64},
+      {"lease_ratio", &blocks->lease_ratio, 0.25, 100},
+      {"widen_ratio", &blocks->widen_ratio, 0.01, 100},
+  };
+}
+
+void CheckBlocks(const OperatorOptions& options, std::vector<Fault>* faults) {
+  if (options.blocks.holders != std::floor(options.blocks.holders)) {
+    faults->push_back({"blocks.holders", "not a whole number"});
+  }
+  if (options.blocks.enabled && !options.membership.enabled) {
+    faults->push_back({"blocks.enabled", "needs membership.enabled"});
+  }
+}
+
+}  // namespace
+
+double ReactionTimeS(const Settings& settings, const OperatorOptions& options) {
+  constexpr double kRounds = 1.5;
+  return std::min(settings.heartbeat_interval_s, kRounds * options.round_s);
+}
+
+Parsed<OperatorOptions> ParseOperatorOptions(const std::string& text) {
+  Parsed<OperatorOptions> parsed;
+  OperatorOptions& options = parsed.value;
+  const std::vector<NumberOption> numbers = GeneralNumbers(&options);
+  const std::vector<NumberOption> membership_numbers = MembershipNumbers(&options.membership);
+  const std::vector<NumberOption> block_numbers = BlockNumbers(&options.blocks);
+  std::vector<cfg_opt_t> membership_section = DescribeSwitchedSection(membership_numbers);
+  std::vector<cfg_opt_t> block_section = DescribeSwitchedSection(block_numbers);
+  std::vector<cfg_opt_t> file_options = DescribeNumbers(numbers);
+  file_options.push_back(CFG_SEC("membership", membership_section.data(), CFGF_NONE));
+  file_options.push_back(CFG_SEC("blocks", block_section.data(), CFGF_NONE));
+  file_options.push_back(CFG_END());
+  const std::unique_ptr<cfg_t, decltype(&cfg_free)> file(cfg_init(file_options.data(), CFGF_NONE),
+                                                         &cfg_free);
+  cfg_set_error_function(file.get(), OnParseError);
+  parse_faults = &parsed.faults;
+  const bool readable = cfg_parse_buf(file.get(), text.c_str()) == CFG_SUCCESS;
+  parse_faults = nullptr;
+  if (!readable) return parsed;
+  ReadNumbers(file.get(), "", numbers, &parsed.faults);
+  cfg_t* membership = cfg_getsec(file.get(), "membership");
+  ReadNumbers(membership, "membership.", membership_numbers, &parsed.faults);
+  options.membership.enabled = cfg_getbool(membership, "enabled") == cfg_true;
+  cfg_t* blocks = cfg_getsec(file.get(), "blocks");
+  ReadNumbers(blocks, "blocks.", block_numbers, &parsed.faults);
+  options.blocks.enabled = cfg_getbool(blocks, "enabled") == cfg_true;
+  CheckBlocks(options, &parsed.faults);
+  return parsed;
+}
+
+Parsed<OperatorOptions> LoadOperatorOptions(const std::string& path) {
+  auto text = ReadTextFile(path);
+  if (!text) return {{}, {{path, "can't be read"}}};
+  return ParseOperatorOptions(*text);
+}
+
+}  // namespace hallpier::config
--- a/src/controller/block_leader.cc
+++ b/src/controller/block_leader.cc
@@ -59,7 +59,7 @@
   link.sender.OnAcknowledged(answer.sequence);
   auto asked = link.asked.find(answer.sequence);
   if (asked == link.asked.end()) return;
-  lending_.holders().OnAcknowledged(node, answer.session, answer.able, asked->second);
+  lending_.holders().OnAcknowledged(node, answer.session, answer.can_place, asked->second);
   link.asked.erase(link.asked.begin(), std::next(asked));
 }
 
--- a/src/controller/block_leader.h
+++ b/src/controller/block_leader.h
@@ -7,13 +7,13 @@
 #include <set>
 #include <string>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "blocks/lending.h"
 #include "blocks/view_sender.h"
 #include "controller/leader_dependencies.h"
 #include "membership/record.h"
 #include "plan/round.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::controller {
 
--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -13,6 +13,7 @@
 #include "store/machine_type_pages.h"
 #include "wire/cloud_codec.h"
 #include "wire/json.h"
+#include "wire/url_query.h"
 
 namespace hallpier::controller {
 namespace {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -4,6 +4,8 @@
 
 #include <chrono>
 
+#include "config/operator_options.h"
+#include "wire/peer_codec.h"
 #include "wire/user_codec.h"
 #include "wire/worker_codec.h"
 
@@ -37,8 +39,8 @@
   o.rps = s.state_rps;
   o.write_rps = s.state_write_rps;
   if (s.state_next) {
-    o.next_rps = s.least().rps;
-    o.next_write_rps = s.least().write_rps;
+    o.next_rps = s.SmallestStateLimits().rps;
+    o.next_write_rps = s.SmallestStateLimits().write_rps;
   }
   o.size = s.size;
   o.timeout_s = kStateTimeoutS;
@@ -47,7 +49,7 @@
 }
 
 // What this node records that it understands (store::Formats).
-uint64_t NodeFormatOf(const config::Operator& operators) {
+uint64_t NodeFormatOf(const config::OperatorOptions& operators) {
   if (operators.blocks.enabled) return store::kBlocksFormat;
   return operators.membership.enabled ? store::kMembershipFormat : store::kCancellationReportFormat;
 }
@@ -72,7 +74,7 @@
 }  // namespace
 
 Controller::Controller(async::EventLoop& loop, config::Settings settings,
-                       config::Operator operators)
+                       config::OperatorOptions operators)
     : settings_(std::move(settings)),
       operators_(operators),
       root_(loop),
@@ -257,7 +259,7 @@
   s.node = settings_.node;
   s.token = election_.highest();
   s.leading = election_.leading();
-  s.state_good = cache_.loaded() && !client_.down();
+  s.state_reachable = cache_.loaded() && !client_.down();
   return s;
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -6,7 +6,8 @@
 #include <string>
 
 #include "api/user_api.h"
-#include "async/event_loop.h"
+#include "async/wait.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "controller/dependency_outcomes.h"
 #include "controller/leader_loop.h"
@@ -26,7 +27,7 @@
 
 class Controller {
  public:
-  Controller(async::EventLoop& loop, config::Settings settings, config::Operator operators);
+  Controller(async::EventLoop& loop, config::Settings settings, config::OperatorOptions operators);
 
   // False, with a reason, if it can't listen.
   bool Start(std::string* error);
@@ -65,7 +66,7 @@
   void CancelAndDrain(std::function<void()> done);
 
   const config::Settings settings_;
-  const config::Operator operators_;
+  const config::OperatorOptions operators_;
   async::Scope root_;
   async::Scope ending_;
   bool leaving_ = false;
--- a/src/controller/dependency_outcomes.h
+++ b/src/controller/dependency_outcomes.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "jobs/job_table.h"
 #include "store/client.h"
 #include "store/watch_cache.h"
--- a/src/controller/leader_dependencies.h
+++ b/src/controller/leader_dependencies.h
@@ -5,6 +5,7 @@
 #include <vector>
 
 #include "blocks/block_records.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "election/leader_election.h"
 #include "jobs/job_table.h"
@@ -12,13 +13,13 @@
 #include "store/client.h"
 #include "store/formats.h"
 #include "store/watch_cache.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::controller {
 
 struct LeaderDependencies {
   const config::Settings* settings;
-  const config::Operator* operators;
+  const config::OperatorOptions* operators;
   store::Client* client;
   store::WatchCache* cache;
   store::Formats* formats;
--- a/src/controller/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -31,10 +31,11 @@
 
 LeaderLoop::LeaderLoop(LeaderDependencies deps)
     : deps_(std::move(deps)),
-      registry_({deps_.settings->heartbeat_interval_s, deps_.settings->lease_s,
-                 deps_.settings->list_lag_s, deps_.operators->silent_ratio,
-                 kRetryWriteShare * deps_.settings->least().write_rps / kWritesPerRetry,
-                 CloudLoop::kReturnsPerCall * deps_.settings->cloud_rps}),
+      registry_(
+          {deps_.settings->heartbeat_interval_s, deps_.settings->lease_s,
+           deps_.settings->list_lag_s, deps_.operators->silent_ratio,
+           kRetryWriteShare * deps_.settings->SmallestStateLimits().write_rps / kWritesPerRetry,
+           CloudLoop::kReturnsPerCall * deps_.settings->cloud_rps}),
       max_sends_(
           std::max<size_t>(1, static_cast<size_t>(kCommandSockets * deps_.settings->max_sockets))),
       workers_(1, kMaxWorkerBody, max_sends_),
--- a/src/controller/placing_loop.h
+++ b/src/controller/placing_loop.h
@@ -4,9 +4,10 @@
 
 #include <optional>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "blocks/block_records.h"
 #include "blocks/machine_mirror.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "controller/transaction_committer.h"
 #include "jobs/job_table.h"
@@ -15,7 +16,7 @@
 #include "store/client.h"
 #include "store/formats.h"
 #include "store/watch_cache.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::controller {
 
@@ -23,7 +24,7 @@
  public:
   struct Dependencies {
     const config::Settings* settings;
-    const config::Operator* operators;
+    const config::OperatorOptions* operators;
     store::Client* client;
     store::WatchCache* cache;
     store::Formats* formats;
--- a/src/controller/round_interval.cc
+++ b/src/controller/round_interval.cc
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "config/operator_options.h"
+
 namespace hallpier::controller {
 namespace {
 
@@ -12,9 +14,9 @@
 
 }  // namespace
 
-double RoundGapS(const config::Settings& settings, const config::Operator& operators,
+double RoundGapS(const config::Settings& settings, const config::OperatorOptions& operators,
                  double round_took_s) {
-  const double least = kRoundGap * config::ReactionS(settings, operators);
+  const double least = kRoundGap * config::ReactionTimeS(settings, operators);
   return std::clamp(kRoundRest * round_took_s, least, std::max(operators.round_s, least));
 }
 
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "config/settings.h"
 #include "jobs/transaction_builder.h"
 #include "model/key_value.h"
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::election {
 
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "config/operator_options.h"
+
 namespace hallpier::election {
 namespace {
 // The lease is renewed this often within its length.
@@ -11,7 +13,7 @@
 }  // namespace
 
 LeaderElection::LeaderElection(async::Scope& scope, const config::Settings& settings,
-                               const config::Operator& operators, store::Client& client,
+                               const config::OperatorOptions& operators, store::Client& client,
                                store::WatchCache& cache, Term term)
     : scope_(scope),
       settings_(settings),
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -8,7 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "model/ids.h"
 #include "model/key_value.h"
@@ -28,8 +29,8 @@
   using Term = std::function<void(async::Scope& scope)>;
 
   LeaderElection(async::Scope& scope, const config::Settings& settings,
-                 const config::Operator& operators, store::Client& client, store::WatchCache& cache,
-                 Term term);
+                 const config::OperatorOptions& operators, store::Client& client,
+                 store::WatchCache& cache, Term term);
 
   async::Task<> Run();
   // The state service's record of the leader has changed; empty: there is none.
@@ -93,7 +94,7 @@
 
   async::Scope& scope_;
   const config::Settings& settings_;
-  const config::Operator& operators_;
+  const config::OperatorOptions& operators_;
   store::Client& client_;
   store::WatchCache& cache_;
   const Term term_;
--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -8,6 +8,7 @@
 #include <string_view>
 #include <vector>
 
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "model/cloud.h"
@@ -19,7 +20,7 @@
 
 class Autoscaler {
  public:
-  Autoscaler(const config::Settings& settings, const config::Operator& operators)
+  Autoscaler(const config::Settings& settings, const config::OperatorOptions& operators)
       : settings_(settings), operators_(operators) {}
 
   // Requests for what the last round wants, at most `most`, cheapest offers first; each names its
@@ -90,7 +91,7 @@
                                             const Census& census, double boot_deadline_s,
                                             double now) const;
   const config::Settings& settings_;
-  const config::Operator& operators_;
+  const config::OperatorOptions& operators_;
   std::map<Offer, double> not_before_;
   uint64_t number_ = 0;
 };
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -15,7 +15,7 @@
 
 #include "jobs/job_table.h"
 #include "model/machine_view.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::fleet {
 
--- a/src/fleet/worker_registry.h
+++ b/src/fleet/worker_registry.h
@@ -22,7 +22,7 @@
 #include "model/machine_type.h"
 #include "model/machine_view.h"
 #include "model/task.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::fleet {
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -26,7 +26,7 @@
 #include "membership/record.h"
 #include "model/key_value.h"
 #include "model/member.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::membership {
 
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <random>
 
+#include "config/operator_options.h"
 #include "store/schema.h"
 
 namespace hallpier::membership {
@@ -27,7 +28,7 @@
 constexpr double kLeavePolls = 20;
 
 MemberTable::Options TableOptions(const config::Settings& settings,
-                                  const config::Membership& options) {
+                                  const config::MembershipOptions& options) {
   std::random_device device;
   std::uniform_int_distribution<uint64_t> draw(1);
   return {.node = settings.node,
@@ -38,7 +39,7 @@
 }
 
 YieldPolicy::Options YieldOptions(const config::Settings& settings,
-                                  const config::Membership& options) {
+                                  const config::MembershipOptions& options) {
   return {.heartbeat_interval_s = settings.heartbeat_interval_s,
           .lease_s = settings.lease_s,
           .hold_leases = options.yield_leases,
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -8,7 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "election/leader_election.h"
 #include "membership/member_table.h"
@@ -18,7 +19,7 @@
 #include "model/member.h"
 #include "store/client.h"
 #include "store/watch_cache.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::membership {
 
@@ -26,7 +27,7 @@
  public:
   struct Dependencies {
     const config::Settings* settings;
-    const config::Membership* options;
+    const config::MembershipOptions* options;
     store::Client* client;
     store::WatchCache* cache;
     election::LeaderElection* election;
--- a/src/membership/yield_policy.h
+++ b/src/membership/yield_policy.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "model/member.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::membership {
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -1,5 +1,8 @@
 #include "net/http_client.h"
 
+#include "net/address.h"
+#include "wire/http_parser.h"
+
 namespace hallpier::net {
 
 std::optional<Stream> HttpClient::TakeIdle(const std::string& endpoint) {
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -2,6 +2,9 @@
 
 #include <optional>
 
+#include "net/address.h"
+#include "wire/http_parser.h"
+
 namespace hallpier::net {
 namespace {
 constexpr size_t kSlack = 32;
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <cerrno>
 
+#include "net/address.h"
+#include "wire/frame.h"
+#include "wire/peer_codec.h"
 #include "wire/varint.h"
 
 namespace hallpier::net {
@@ -51,19 +54,19 @@
 
 bool PeerMesh::AllConfirmOutage() const {
   return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
-    return Fresh(*p) && !p->status.state_good;
+    return Fresh(*p) && !p->status.state_reachable;
   });
 }
 
 bool PeerMesh::AnyReachesState() const {
   return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const auto& p) { return Fresh(*p) && p->status.state_good; });
+                     [&](const auto& p) { return Fresh(*p) && p->status.state_reachable; });
 }
 
 async::Task<Relayed> PeerMesh::Relay(wire::HttpRequest request) {
   Peer* best = nullptr;
   for (auto& p : peers_) {
-    if (!Fresh(*p) || !p->status.state_good || p->pending.size() >= kMaxPending) continue;
+    if (!Fresh(*p) || !p->status.state_reachable || p->pending.size() >= kMaxPending) continue;
     if (best == nullptr || p->pending.size() < best->pending.size()) best = p.get();
   }
   if (best == nullptr) co_return Relayed();
@@ -188,10 +191,9 @@
 }
 
 bool PeerMesh::Take(Peer* peer, const std::string& payload) {
-  std::string fault;
-  auto m = wire::ReadPeerMessage(payload, &fault);
+  auto m = wire::ReadPeerMessage(payload);
   if (!m) {
-    spdlog::warn("peer {}: a message can't be read: {}", peer->seed.node, fault);
+    spdlog::warn("peer message refused: node={} reason={}", peer->seed.node, m.error().reason);
     return false;
   }
   if (auto* s = std::get_if<wire::PeerStatus>(&*m)) {
@@ -247,10 +249,9 @@
 }
 
 async::Task<std::optional<std::string>> PeerMesh::Answer(std::string payload) {
-  std::string fault;
-  auto m = wire::ReadPeerMessage(payload, &fault);
+  auto m = wire::ReadPeerMessage(payload);
   if (!m) {
-    spdlog::warn("somebody's message to this node can't be read: {}", fault);
+    spdlog::warn("peer message refused: node=unknown reason={}", m.error().reason);
     co_return std::nullopt;
   }
   std::optional<wire::PeerMessage> answer;
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -15,7 +15,7 @@
 #include "config/settings.h"
 #include "net/http_client.h"
 #include "net/stream.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::net {
 
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -1,13 +1,11 @@
 #include "net/stream.h"
 
-#include <arpa/inet.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <array>
 #include <cerrno>
-#include <charconv>
 #include <cstring>
 
 namespace hallpier::net {
@@ -31,24 +29,6 @@
 
 }  // namespace
 
-std::optional<sockaddr_in> ParseAddress(std::string_view text) {
-  size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos) return std::nullopt;
-  sockaddr_in out = {};
-  out.sin_family = AF_INET;
-  uint16_t port = 0;
-  std::string_view digits = text.substr(colon + 1);
-  auto r = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  if (digits.empty() || r.ec != std::errc() || r.ptr != digits.data() + digits.size()) {
-    return std::nullopt;
-  }
-  out.sin_port = htons(port);
-  if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &out.sin_addr) != 1) {
-    return std::nullopt;
-  }
-  return out;
-}
-
 Fd::~Fd() {
   if (fd_ >= 0) close(fd_);
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-// Non-blocking TCP: addresses, connected streams, listeners.
+// Non-blocking TCP: connected streams and listeners.
 #pragma once
 
 #include <netinet/in.h>
@@ -7,13 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 
 namespace hallpier::net {
 
-// "10.0.0.1:8080". Names are never looked up.
-std::optional<sockaddr_in> ParseAddress(std::string_view text);
-
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -7,6 +7,7 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "config/operator_options.h"
 #include "plan/demand.h"
 #include "plan/job_order.h"
 
@@ -326,7 +327,7 @@
     return true;
   }
 
-  double Reaction() const { return config::ReactionS(*context_.settings, *context_.operators); }
+  double Reaction() const { return config::ReactionTimeS(*context_.settings, *context_.operators); }
 
   void LearnLatencySensitive(const jobs::Job& job) {
     if (job.spec.priority > model::Priority::kUrgent) return;
--- a/src/plan/round.h
+++ b/src/plan/round.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <vector>
 
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "jobs/job_table.h"
@@ -66,7 +67,7 @@
 // What the settings and the cloud say, and what outlives a round.
 struct Context {
   const config::Settings* settings = nullptr;
-  const config::Operator* operators = nullptr;
+  const config::OperatorOptions* operators = nullptr;
   std::vector<model::MachineType> machine_types;
   // Lanes whose aim is to start at once, with the room that a task takes and the usual size of a
   // job; learned from their jobs.
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include "wire/state_codec.h"
+#include "wire/url_query.h"
 
 namespace hallpier::store {
 namespace {
--- a/src/store/formats.cc
+++ b/src/store/formats.cc
@@ -12,7 +12,7 @@
 
 Layout CommonLayout(const config::Settings& settings) {
   const uint32_t whole = TasksPerGroup(settings.value_kb);
-  const uint32_t fit = TasksPerPacked(settings.least().value_kb);
+  const uint32_t fit = TasksPerPacked(settings.SmallestStateLimits().value_kb);
   return {whole, (whole + fit - 1) / fit};
 }
 
@@ -21,14 +21,16 @@
     : scope_(scope), settings_(settings), client_(client), cache_(cache), mark_(mark) {}
 
 size_t Formats::value_bytes() const {
-  const double kb = packed() ? settings_.least().value_kb : settings_.value_kb;
+  const double kb = packed() ? settings_.SmallestStateLimits().value_kb : settings_.value_kb;
   return static_cast<size_t>(kb * 1024);
 }
 
-int Formats::txn_ops() const { return packed() ? settings_.least().txn_ops : settings_.txn_ops; }
+int Formats::txn_ops() const {
+  return packed() ? settings_.SmallestStateLimits().txn_ops : settings_.txn_ops;
+}
 
 uint32_t Formats::group() const {
-  return packed() ? TasksPerPacked(settings_.least().value_kb) : 0;
+  return packed() ? TasksPerPacked(settings_.SmallestStateLimits().value_kb) : 0;
 }
 
 void Formats::OnNodeFormat(const std::string& node, const std::string& value) {
--- a/src/store/formats.h
+++ b/src/store/formats.h
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "config/settings.h"
 #include "store/client.h"
 #include "store/schema.h"
--- a/src/store/linearizable_read.h
+++ b/src/store/linearizable_read.h
@@ -6,7 +6,7 @@
 #include <limits>
 #include <memory>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "store/client.h"
 #include "store/watch_cache.h"
 
--- a/src/store/schema.cc
+++ b/src/store/schema.cc
@@ -137,8 +137,7 @@
   if (!d) return std::nullopt;
   const wire::JsonValue* spec = wire::Find(*d, "spec");
   if (spec == nullptr) return std::nullopt;
-  wire::BadField bad;
-  auto s = wire::ReadJobSpec(*spec, &bad);
+  auto s = wire::ReadJobSpec(*spec);
   if (!s) return std::nullopt;
   JobRecord job;
   job.spec = std::move(*s);
--- a/src/store/watch_cache.h
+++ b/src/store/watch_cache.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "async/event_loop.h"
+#include "async/wait.h"
 #include "store/client.h"
 #include "store/schema.h"
 
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -3,6 +3,7 @@
 #include "model/job.h"
 #include "model/machine_view.h"
 #include "model/task.h"
+#include "wire/peer_codec.h"
 
 namespace hallpier::wire {
 namespace {
@@ -11,42 +12,12 @@
 // anything is reserved for it.
 constexpr uint64_t kMaxEntries = kMaxPeerFrame;
 
-void PutFlag(std::string& out, bool flag) { PutVarint(out, flag ? 1 : 0); }
-bool ReadFlag(VarintReader& reader) { return reader.Varint() != 0; }
-
-void PutNames(std::string& out, const std::vector<std::string>& names) {
-  PutVarint(out, names.size());
-  for (const std::string& name : names) PutBytes(out, name);
-}
-
-// Reads as many as the count before them says.
-template <class F>
-auto ReadSeveral(VarintReader& reader, std::string_view what, F read) {
-  std::vector<decltype(read(reader))> all;
-  const uint64_t count = reader.Count(what, kMaxEntries);
-  for (uint64_t i = 0; i < count && reader.ok(); ++i) all.push_back(read(reader));
-  return all;
-}
-
-std::vector<std::string> ReadNames(VarintReader& reader, std::string_view what) {
-  return ReadSeveral(reader, what, [](VarintReader& r) { return std::string(r.Bytes()); });
-}
-
-// An enumerator that is not beyond the last one.
-template <class T>
-T ReadEnum(VarintReader& reader, std::string_view what, T last) {
-  const uint64_t number = reader.Varint();
-  if (number <= static_cast<uint64_t>(last)) return static_cast<T>(number);
-  reader.Refuse(what, number);
-  return last;
-}
-
 void PutTaskView(std::string& out, const model::TaskView& view) {
   PutBytes(out, view.task.job);
   PutVarint(out, view.task.index);
   PutVarint(out, view.attempt);
-  PutVarint(out, static_cast<uint64_t>(view.phase));
-  PutVarint(out, static_cast<uint64_t>(view.cause));
+  PutEnum(out, view.phase);
+  PutEnum(out, view.cause);
   PutFlag(out, view.seen_start);
   PutVarint(out, view.for_ms);
 }
@@ -56,9 +27,9 @@
   view.task.job = reader.Bytes();
   view.task.index = static_cast<uint32_t>(reader.Count("a task's number", model::kMaxTasks));
   view.attempt = reader.Varint();
-  view.phase = ReadEnum(reader, "a task's phase", model::TaskPhase::kExited);
-  view.cause = ReadEnum(reader, "the cause of a task's end", model::ExitCause::kUnknown);
-  view.seen_start = ReadFlag(reader);
+  view.phase = reader.Enum("a task's phase", model::TaskPhase::kExited);
+  view.cause = reader.Enum("the cause of a task's end", model::ExitCause::kUnknown);
+  view.seen_start = reader.Flag();
   view.for_ms = reader.Varint();
   return view;
 }
@@ -68,10 +39,10 @@
   view.machine = reader.Bytes();
   view.machine_type = reader.Bytes();
   view.zone = reader.Bytes();
-  view.spot = ReadFlag(reader);
-  view.usable = ReadFlag(reader);
-  view.images = ReadNames(reader, "the number of images");
-  view.tasks = ReadSeveral(reader, "the number of tasks", ReadTaskView);
+  view.spot = reader.Flag();
+  view.usable = reader.Flag();
+  view.images = reader.Names("the number of images", kMaxEntries);
+  view.tasks = reader.List("the number of tasks", kMaxEntries, ReadTaskView);
   return view;
 }
 
@@ -85,9 +56,9 @@
 model::JobFailures ReadJobFailures(VarintReader& reader) {
   model::JobFailures failures;
   failures.job = reader.Bytes();
-  failures.suspected = ReadFlag(reader);
-  failures.retry_due = ReadFlag(reader);
-  failures.failed_on = ReadNames(reader, "the number of machines that failed a job");
+  failures.suspected = reader.Flag();
+  failures.retry_due = reader.Flag();
+  failures.failed_on = reader.Names("the number of machines that failed a job", kMaxEntries);
   return failures;
 }
 
@@ -118,23 +89,23 @@
   BlockView view;
   view.token = model::FencingToken(reader.Varint());
   view.sequence = reader.Varint();
-  view.changed = ReadSeveral(reader, "the number of machines", ReadMachineView);
-  view.gone = ReadNames(reader, "the number of machines that are gone");
-  view.failures = ReadSeveral(reader, "the number of jobs that fail", ReadJobFailures);
+  view.changed = reader.List("the number of machines", kMaxEntries, ReadMachineView);
+  view.gone = reader.Names("the number of machines that are gone", kMaxEntries);
+  view.failures = reader.List("the number of jobs that fail", kMaxEntries, ReadJobFailures);
   return view;
 }
 
 void PutBlockAcknowledgement(std::string& out, const BlockAcknowledgement& acknowledgement) {
   PutVarint(out, acknowledgement.sequence);
   PutVarint(out, acknowledgement.session);
-  PutFlag(out, acknowledgement.able);
+  PutFlag(out, acknowledgement.can_place);
 }
 
 BlockAcknowledgement ReadBlockAcknowledgement(VarintReader& reader) {
   BlockAcknowledgement acknowledgement;
   acknowledgement.sequence = reader.Varint();
   acknowledgement.session = reader.Varint();
-  acknowledgement.able = ReadFlag(reader);
+  acknowledgement.can_place = reader.Flag();
   return acknowledgement;
 }
 
--- a/src/wire/block_codec.h
+++ b/src/wire/block_codec.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "model/machine_view.h"
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 #include "wire/varint.h"
 
 namespace hallpier::wire {
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -12,110 +12,110 @@
 
 }  // namespace
 
-std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& v) {
-  const JsonValue* list = Find(v, "flavors");
+std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& object) {
+  const JsonValue* list = Find(object, "flavors");
   if (list == nullptr || !list->IsArray()) return std::nullopt;
-  std::vector<model::MachineType> out;
-  for (const auto& f : list->GetArray()) {
-    auto name = GetText(f, "sku");
-    auto cpus = GetAmount(f, "vcpus");
-    auto memory = GetAmount(f, "memGb");
+  std::vector<model::MachineType> machine_types;
+  for (const JsonValue& entry : list->GetArray()) {
+    auto name = GetText(entry, "sku");
+    auto cpus = GetAmount(entry, "vcpus");
+    auto memory = GetAmount(entry, "memGb");
     if (!name || name->empty() || !cpus || !memory) return std::nullopt;
-    model::MachineType o;
-    o.name = std::move(*name);
-    o.cpus = *cpus;
-    o.memory_gb = *memory;
-    o.gpus = GetAmount(f, "cards").value_or(0);
-    o.fetch_gb_per_s = GetAmount(f, "fetchGbPerS").value_or(0);
-    o.price = GetAmount(f, "rate").value_or(0);
-    o.spot_price = GetAmount(f, "marketPrice").value_or(0);
-    o.boot_s = GetAmount(f, "readyS").value_or(0);
-    o.zones = GetTexts(Find(f, "halls"));
-    out.push_back(std::move(o));
+    model::MachineType type;
+    type.name = std::move(*name);
+    type.cpus = *cpus;
+    type.memory_gb = *memory;
+    type.gpus = GetAmount(entry, "cards").value_or(0);
+    type.fetch_gb_per_s = GetAmount(entry, "fetchGbPerS").value_or(0);
+    type.price = GetAmount(entry, "rate").value_or(0);
+    type.spot_price = GetAmount(entry, "marketPrice").value_or(0);
+    type.boot_s = GetAmount(entry, "readyS").value_or(0);
+    type.zones = GetTexts(Find(entry, "halls"));
+    machine_types.push_back(std::move(type));
   }
-  return out;
+  return machine_types;
 }
 
 std::string WriteMachineTypes(const std::vector<model::MachineType>& machine_types,
                               uint64_t pages) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("flavors").StartArray();
-  for (const model::MachineType& f : machine_types) {
-    w.StartObject();
-    w.Field("sku").Text(f.name);
-    w.Field("vcpus").Double(f.cpus);
-    w.Field("cards").Double(f.gpus);
-    w.Field("memGb").Double(f.memory_gb);
-    w.Field("fetchGbPerS").Double(f.fetch_gb_per_s);
-    w.Field("rate").Double(f.price);
-    w.Field("marketPrice").Double(f.spot_price);
-    w.Field("readyS").Double(f.boot_s);
-    w.Field("halls").StartArray();
-    for (const auto& z : f.zones) w.Text(z);
-    w.EndArray();
-    w.EndObject();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("flavors").StartArray();
+  for (const model::MachineType& type : machine_types) {
+    writer.StartObject();
+    writer.Field("sku").Text(type.name);
+    writer.Field("vcpus").Double(type.cpus);
+    writer.Field("cards").Double(type.gpus);
+    writer.Field("memGb").Double(type.memory_gb);
+    writer.Field("fetchGbPerS").Double(type.fetch_gb_per_s);
+    writer.Field("rate").Double(type.price);
+    writer.Field("marketPrice").Double(type.spot_price);
+    writer.Field("readyS").Double(type.boot_s);
+    writer.Field("halls").StartArray();
+    for (const std::string& zone : type.zones) writer.Text(zone);
+    writer.EndArray();
+    writer.EndObject();
   }
-  w.EndArray();
-  if (pages > 0) w.Field("pages").Uint64(pages);
-  w.EndObject();
-  return w.Take();
+  writer.EndArray();
+  if (pages > 0) writer.Field("pages").Uint64(pages);
+  writer.EndObject();
+  return writer.Take();
 }
 
-std::string WriteScaleOutRequest(const model::ScaleOutRequest& r) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("hire").Text(r.request);
-  w.Field("flavor").Text(r.machine_type);
-  w.Field("hall").Text(r.zone);
-  w.Field("lendable").Bool(r.spot);
-  w.Field("howMany").Int(r.count);
-  w.EndObject();
-  return w.Take();
+std::string WriteScaleOutRequest(const model::ScaleOutRequest& request) {
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("hire").Text(request.request);
+  writer.Field("flavor").Text(request.machine_type);
+  writer.Field("hall").Text(request.zone);
+  writer.Field("lendable").Bool(request.spot);
+  writer.Field("howMany").Int(request.count);
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::optional<std::vector<std::string>> ReadScaleOutResponse(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  const JsonValue* list = Find(*d, "hosts");
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  const JsonValue* list = Find(*document, "hosts");
   if (list == nullptr || !list->IsArray()) return std::nullopt;
   return GetTexts(list);
 }
 
 std::string WriteScaleInRequest(const std::vector<std::string>& machines) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("hosts").StartArray();
-  for (const auto& m : machines) w.Text(m);
-  w.EndArray();
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("hosts").StartArray();
+  for (const std::string& machine : machines) writer.Text(machine);
+  writer.EndArray();
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::optional<model::CloudMachineList> ReadMachineList(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  const JsonValue* list = Find(*d, "hosts");
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  const JsonValue* list = Find(*document, "hosts");
   if (list == nullptr || !list->IsArray()) return std::nullopt;
-  model::CloudMachineList out;
-  out.more = GetFlag(*d, "truncated").value_or(false);
-  for (const auto& v : list->GetArray()) {
-    auto id = GetText(v, "id");
-    auto machine_type = GetText(v, "flavor");
-    auto zone = GetText(v, "hall");
-    auto state = GetEnum(kMachineStates, v, "phase");
+  model::CloudMachineList page;
+  page.more = GetFlag(*document, "truncated").value_or(false);
+  for (const JsonValue& entry : list->GetArray()) {
+    auto id = GetText(entry, "id");
+    auto machine_type = GetText(entry, "flavor");
+    auto zone = GetText(entry, "hall");
+    auto state = GetEnum(kMachineStates, entry, "phase");
     if (!id || id->empty() || !machine_type || !zone || !state) return std::nullopt;
-    model::CloudMachine m;
-    m.machine = std::move(*id);
-    m.endpoint = GetText(v, "endpoint").value_or("");
-    m.machine_type = std::move(*machine_type);
-    m.zone = std::move(*zone);
-    m.spot = GetFlag(v, "lendable").value_or(false);
-    m.state = *state;
-    m.age_s = GetAmount(v, "heldS").value_or(0);
-    out.machines.push_back(std::move(m));
+    model::CloudMachine machine;
+    machine.machine = std::move(*id);
+    machine.endpoint = GetText(entry, "endpoint").value_or("");
+    machine.machine_type = std::move(*machine_type);
+    machine.zone = std::move(*zone);
+    machine.spot = GetFlag(entry, "lendable").value_or(false);
+    machine.state = *state;
+    machine.age_s = GetAmount(entry, "heldS").value_or(0);
+    page.machines.push_back(std::move(machine));
   }
-  return out;
+  return page;
 }
 
 }  // namespace hallpier::wire
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -14,12 +14,12 @@
 namespace hallpier::wire {
 
 // Nothing if a type lacks its name, processors or memory.
-std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& v);
+std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& object);
 // `pages`: of how many lists this is the first; 0: it is the only one, or not the first.
 std::string WriteMachineTypes(const std::vector<model::MachineType>& machine_types,
                               uint64_t pages = 0);
 
-std::string WriteScaleOutRequest(const model::ScaleOutRequest& r);
+std::string WriteScaleOutRequest(const model::ScaleOutRequest& request);
 // The names of the machines that were granted; they may be fewer than asked for.
 std::optional<std::vector<std::string>> ReadScaleOutResponse(std::string_view body);
 std::string WriteScaleInRequest(const std::vector<std::string>& machines);
--- /dev/null
+++ b/src/wire/http_parser.cc
@@ -0,0 +1,207 @@
+#include "wire/http_parser.h"
+
+#include <algorithm>
+#include <charconv>
+#include <utility>
+
+namespace hallpier::wire {
+namespace {
+
+// Heads of our peers are a few hundred bytes; whatever is far beyond that is no peer of ours.
+constexpr size_t kMaxHead = size_t{16} * 1024;
+// The line with a chunk's size.
+constexpr size_t kMaxChunkHead = 64;
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr int kHexadecimal = 16;
+
+constexpr int kBadRequest = 400;
+constexpr int kContentTooLarge = 413;
+constexpr int kHeadersTooLarge = 431;
+
+char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+
+bool EqualsNoCase(std::string_view left, std::string_view right) {
+  return std::equal(left.begin(), left.end(), right.begin(), right.end(),
+                    [](char a, char b) { return Lower(a) == Lower(b); });
+}
+
+bool ContainsNoCase(std::string_view text, std::string_view word) {
+  for (size_t i = 0; i + word.size() <= text.size(); ++i) {
+    if (EqualsNoCase(text.substr(i, word.size()), word)) return true;
+  }
+  return false;
+}
+
+std::string_view Trim(std::string_view text) {
+  auto blank = [](char c) { return c == ' ' || c == '\t'; };
+  while (!text.empty() && blank(text.front())) text.remove_prefix(1);
+  while (!text.empty() && blank(text.back())) text.remove_suffix(1);
+  return text;
+}
+
+template <class T>
+bool ParseNumber(std::string_view text, T& number, int base = 10) {
+  const char* end = text.data() + text.size();
+  const auto parsed = std::from_chars(text.data(), end, number, base);
+  return !text.empty() && parsed.ec == std::errc() && parsed.ptr == end;
+}
+
+bool IsToken(std::string_view text) {
+  constexpr char kDelete = 127;
+  return !text.empty() &&
+         std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c >= kDelete; });
+}
+
+}  // namespace
+
+HttpParser::State HttpParser::Fail(int status) {
+  error_status_ = status;
+  return State::kError;
+}
+
+bool HttpParser::ParseHeader(std::string_view line) {
+  const size_t colon = line.find(':');
+  if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) return false;
+  const std::string_view name = line.substr(0, colon);
+  const std::string_view value = Trim(line.substr(colon + 1));
+  if (EqualsNoCase(name, "content-length")) {
+    size_t length = 0;
+    // Two different lengths are how one message is made to look like two.
+    if (!ParseNumber(value, length) || (has_length_ && length != length_)) return false;
+    length_ = length;
+    has_length_ = true;
+  } else if (EqualsNoCase(name, "transfer-encoding")) {
+    if (!EqualsNoCase(value, "chunked")) return false;
+    chunked_ = true;
+  } else if (EqualsNoCase(name, "connection")) {
+    const bool close = ContainsNoCase(value, "close");
+    request_.keep_alive = request_.keep_alive && !close;
+    response_.keep_alive = response_.keep_alive && !close;
+  } else if (EqualsNoCase(name, "retry-after")) {
+    int seconds = 0;
+    if (ParseNumber(value, seconds)) response_.retry_after_s = seconds;
+  }
+  return true;
+}
+
+bool HttpParser::ParseRequestLine(std::string_view line) {
+  const size_t method_end = line.find(' ');
+  if (method_end == std::string_view::npos) return false;
+  const size_t target_end = line.find(' ', method_end + 1);
+  if (target_end == std::string_view::npos) return false;
+  const std::string_view version = line.substr(target_end + 1);
+  request_.method = line.substr(0, method_end);
+  request_.target = line.substr(method_end + 1, target_end - method_end - 1);
+  if (!IsToken(request_.method) || !IsToken(request_.target)) return false;
+  if (request_.target[0] != '/') return false;
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
+  request_.keep_alive = version == "HTTP/1.1";
+  return true;
+}
+
+bool HttpParser::ParseStatusLine(std::string_view line) {
+  constexpr std::string_view kVersion = "HTTP/1.";
+  constexpr size_t kCodeDigits = 3;
+  const size_t version_end = line.find(' ');
+  if (version_end == std::string_view::npos || !line.starts_with(kVersion)) return false;
+  const std::string_view code = line.substr(version_end + 1, kCodeDigits);
+  if (code.size() != kCodeDigits || !ParseNumber(code, response_.status)) return false;
+  response_.keep_alive = line[kVersion.size()] == '1';
+  return true;
+}
+
+bool HttpParser::ParseHeaders(std::string_view head) {
+  size_t line_end = head.find(kLineEnd);
+  while (line_end != std::string_view::npos) {
+    const size_t start = line_end + kLineEnd.size();
+    line_end = head.find(kLineEnd, start);
+    const size_t length = line_end == std::string_view::npos ? line_end : line_end - start;
+    if (!ParseHeader(head.substr(start, length))) return false;
+  }
+  return true;
+}
+
+HttpParser::State HttpParser::ParseHead() {
+  // The end of the head may have come in two parts.
+  const size_t overlap = kHeadEnd.size() - 1;
+  const size_t end = buffer_.find(kHeadEnd, scanned_ < overlap ? 0 : scanned_ - overlap);
+  scanned_ = buffer_.size();
+  if (end == std::string::npos) {
+    return buffer_.size() > kMaxHead ? Fail(kHeadersTooLarge) : State::kMore;
+  }
+  if (end > kMaxHead) return Fail(kHeadersTooLarge);
+  const std::string_view head(buffer_.data(), end);
+  const std::string_view first = head.substr(0, head.find(kLineEnd));
+  const bool readable = kind_ == Kind::kRequest ? ParseRequestLine(first) : ParseStatusLine(first);
+  if (!readable || !ParseHeaders(head)) return Fail(kBadRequest);
+  if (chunked_ && has_length_) return Fail(kBadRequest);
+  if (length_ > max_body_) return Fail(kContentTooLarge);
+  head_done_ = true;
+  buffer_.erase(0, end + kHeadEnd.size());
+  return State::kDone;
+}
+
+HttpParser::State HttpParser::ParseChunks() {
+  while (true) {
+    const size_t line_end = buffer_.find(kLineEnd);
+    if (line_end == std::string::npos) {
+      return buffer_.size() > kMaxChunkHead ? Fail(kBadRequest) : State::kMore;
+    }
+    const std::string_view line(buffer_.data(), line_end);
+    size_t size = 0;
+    if (!ParseNumber(line.substr(0, line.find(';')), size, kHexadecimal)) return Fail(kBadRequest);
+    if (size > max_body_ || body().size() + size > max_body_) return Fail(kContentTooLarge);
+    const size_t start = line_end + kLineEnd.size();
+    const size_t end = start + size;
+    if (buffer_.size() < end + kLineEnd.size()) return State::kMore;
+    if (buffer_.compare(end, kLineEnd.size(), kLineEnd) != 0) return Fail(kBadRequest);
+    body().append(buffer_, start, size);
+    buffer_.erase(0, end + kLineEnd.size());
+    if (size == 0) return State::kDone;
+  }
+}
+
+HttpParser::State HttpParser::ParseSizedBody() {
+  if (buffer_.size() < length_) return State::kMore;
+  if (buffer_.size() == length_) {
+    body() = std::move(buffer_);
+    buffer_.clear();
+  } else {
+    body() = buffer_.substr(0, length_);
+    buffer_.erase(0, length_);
+  }
+  return State::kDone;
+}
+
+HttpParser::State HttpParser::Parse() {
+  if (!head_done_) {
+    const State state = ParseHead();
+    if (state != State::kDone) return state;
+  }
+  return chunked_ ? ParseChunks() : ParseSizedBody();
+}
+
+void HttpParser::Reset() {
+  scanned_ = 0;
+  head_done_ = false;
+  chunked_ = false;
+  has_length_ = false;
+  length_ = 0;
+  request_ = {};
+  response_ = {};
+}
+
+HttpRequest HttpParser::TakeRequest() {
+  HttpRequest request = std::move(request_);
+  Reset();
+  return request;
+}
+
+HttpResponse HttpParser::TakeResponse() {
+  HttpResponse response = std::move(response_);
+  Reset();
+  return response;
+}
+
+}  // namespace hallpier::wire
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,4 +1,5 @@
-// Small conveniences over RapidJSON: checked reads and compact writes.
+// Checked reads and compact writes over RapidJSON. A read gives nothing if the member is missing,
+// null or of another type.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -19,20 +20,24 @@
 class JsonWriter : public rapidjson::Writer<rapidjson::StringBuffer> {
  public:
   JsonWriter() : rapidjson::Writer<rapidjson::StringBuffer>(buffer_) {}
+  // The name of the member whose value comes next.
   JsonWriter& Field(const char* name) {
     Key(name);
     return *this;
   }
-  void Text(std::string_view s) { String(s.data(), static_cast<rapidjson::SizeType>(s.size())); }
-  void TextOrNull(std::string_view s) {
-    if (s.empty()) {
+  void Text(std::string_view text) {
+    String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+  }
+  void TextOrNull(std::string_view text) {
+    if (text.empty()) {
       Null();
     } else {
-      Text(s);
+      Text(text);
     }
   }
-  // A finished JSON text, as it is.
+  // A JSON text that is written as it is.
   void Raw(std::string_view json) { RawValue(json.data(), json.size(), rapidjson::kObjectType); }
+  // What has been written.
   std::string Take() const { return {buffer_.GetString(), buffer_.GetSize()}; }
 
  private:
@@ -41,42 +46,43 @@
 
 // Nothing unless the text is one JSON object. Depth is bounded by the text: parsing is iterative.
 inline std::optional<rapidjson::Document> ParseObject(std::string_view text) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(),
-                                                                                  text.size());
-  if (d.HasParseError() || !d.IsObject()) return std::nullopt;
-  return d;
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
+      text.data(), text.size());
+  if (document.HasParseError() || !document.IsObject()) return std::nullopt;
+  return document;
 }
 
 // A member that is there and not null.
-inline const JsonValue* Find(const JsonValue& o, const char* name) {
-  if (!o.IsObject()) return nullptr;
-  auto it = o.FindMember(name);
-  return it == o.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+inline const JsonValue* Find(const JsonValue& object, const char* name) {
+  if (!object.IsObject()) return nullptr;
+  auto member = object.FindMember(name);
+  return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
-inline std::optional<std::string> GetText(const JsonValue& o, const char* name) {
-  const JsonValue* v = Find(o, name);
-  if (v == nullptr || !v->IsString()) return std::nullopt;
-  return std::string(v->GetString(), v->GetStringLength());
+inline std::optional<std::string> GetText(const JsonValue& object, const char* name) {
+  const JsonValue* value = Find(object, name);
+  if (value == nullptr || !value->IsString()) return std::nullopt;
+  return std::string(value->GetString(), value->GetStringLength());
 }
 
-inline std::optional<uint64_t> GetCount(const JsonValue& o, const char* name) {
-  const JsonValue* v = Find(o, name);
-  if (v == nullptr || !v->IsUint64()) return std::nullopt;
-  return v->GetUint64();
+inline std::optional<uint64_t> GetCount(const JsonValue& object, const char* name) {
+  const JsonValue* value = Find(object, name);
+  if (value == nullptr || !value->IsUint64()) return std::nullopt;
+  return value->GetUint64();
 }
 
-inline std::optional<double> GetAmount(const JsonValue& o, const char* name) {
-  const JsonValue* v = Find(o, name);
-  if (v == nullptr || !v->IsNumber() || !std::isfinite(v->GetDouble())) return std::nullopt;
-  return v->GetDouble();
+inline std::optional<double> GetAmount(const JsonValue& object, const char* name) {
+  const JsonValue* value = Find(object, name);
+  if (value == nullptr || !value->IsNumber() || !std::isfinite(value->GetDouble()))
+    return std::nullopt;
+  return value->GetDouble();
 }
 
-inline std::optional<bool> GetFlag(const JsonValue& o, const char* name) {
-  const JsonValue* v = Find(o, name);
-  if (v == nullptr || !v->IsBool()) return std::nullopt;
-  return v->GetBool();
+inline std::optional<bool> GetFlag(const JsonValue& object, const char* name) {
+  const JsonValue* value = Find(object, name);
+  if (value == nullptr || !value->IsBool()) return std::nullopt;
+  return value->GetBool();
 }
 
 // The texts in a list; what is not a text is left out. Null, or no list: none.
@@ -89,10 +95,11 @@
   return out;
 }
 
-inline std::string Dump(const JsonValue& v) {
-  JsonWriter w;
-  v.Accept(w);
-  return w.Take();
+// The value as compact JSON.
+inline std::string Dump(const JsonValue& value) {
+  JsonWriter writer;
+  value.Accept(writer);
+  return writer.Take();
 }
 
 }  // namespace hallpier::wire
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -24,15 +24,9 @@
   return incarnation;
 }
 
-void PutFlag(std::string& out, bool flag) { PutVarint(out, flag ? 1 : 0); }
-
+// A state that is not known is refused; what is returned then is not used.
 model::MemberState ReadState(VarintReader& reader) {
-  const uint64_t number = reader.Varint();
-  if (number > static_cast<uint64_t>(model::MemberState::kLeft)) {
-    reader.Refuse("a member's state", number);
-    return model::MemberState::kAlive;
-  }
-  return static_cast<model::MemberState>(number);
+  return reader.Enum("a member's state", model::MemberState::kLeft);
 }
 
 // 0 stands for never, so that all others are one more than they are; the largest can't be.
@@ -50,7 +44,7 @@
 void PutObservation(std::string& out, const model::MemberObservation& observation) {
   PutBytes(out, observation.node);
   PutIncarnation(out, observation.incarnation);
-  PutVarint(out, static_cast<uint64_t>(observation.state));
+  PutEnum(out, observation.state);
   PutHeard(out, observation.heard_ms_ago);
 }
 
@@ -72,8 +66,8 @@
 
 model::MemberVitals ReadVitals(VarintReader& reader) {
   model::MemberVitals vitals;
-  vitals.leading = reader.Varint() != 0;
-  vitals.state_direct = reader.Varint() != 0;
+  vitals.leading = reader.Flag();
+  vitals.state_direct = reader.Flag();
   vitals.turn_delay_ms = reader.Varint();
   vitals.worker_reports = reader.Varint();
   return vitals;
@@ -82,12 +76,11 @@
 void PutRow(std::string& out, const MemberRow& row) {
   PutBytes(out, row.node);
   PutIncarnation(out, row.incarnation);
-  PutVarint(out, static_cast<uint64_t>(row.state));
+  PutEnum(out, row.state);
   PutFlag(out, row.known);
   PutFlag(out, row.leading);
   PutVarint(out, row.since_ms);
-  PutVarint(out, row.suspected_by.size());
-  for (const std::string& node : row.suspected_by) PutBytes(out, node);
+  PutNames(out, row.suspected_by);
   PutBytes(out, row.reason);
 }
 
@@ -96,13 +89,10 @@
   row.node = reader.Bytes();
   row.incarnation = ReadIncarnation(reader);
   row.state = ReadState(reader);
-  row.known = reader.Varint() != 0;
-  row.leading = reader.Varint() != 0;
+  row.known = reader.Flag();
+  row.leading = reader.Flag();
   row.since_ms = reader.Varint();
-  const uint64_t accusers = reader.Count("the number of accusers", kMaxMembers);
-  for (uint64_t i = 0; i < accusers && reader.ok(); ++i) {
-    row.suspected_by.emplace_back(reader.Bytes());
-  }
+  row.suspected_by = reader.Names("the number of accusers", kMaxMembers);
   row.reason = reader.Bytes();
   return row;
 }
@@ -112,7 +102,7 @@
 void PutMemberStatus(std::string& out, const MemberStatus& status) {
   PutBytes(out, status.node);
   PutIncarnation(out, status.incarnation);
-  PutVarint(out, static_cast<uint64_t>(status.state));
+  PutEnum(out, status.state);
   PutVitals(out, status.vitals);
   PutBytes(out, status.yields_to);
   PutVarint(out, status.observations.size());
@@ -128,10 +118,7 @@
   status.state = ReadState(reader);
   status.vitals = ReadVitals(reader);
   status.yields_to = reader.Bytes();
-  const uint64_t count = reader.Count("the number of observations", kMaxMembers);
-  for (uint64_t i = 0; i < count && reader.ok(); ++i) {
-    status.observations.push_back(ReadObservation(reader));
-  }
+  status.observations = reader.List("the number of observations", kMaxMembers, ReadObservation);
   return status;
 }
 
@@ -148,9 +135,8 @@
 MembersReport ReadMembersReport(VarintReader& reader) {
   MembersReport report;
   report.node = reader.Bytes();
-  report.enabled = reader.Varint() != 0;
-  const uint64_t count = reader.Count("the number of members", kMaxMembers);
-  for (uint64_t i = 0; i < count && reader.ok(); ++i) report.rows.push_back(ReadRow(reader));
+  report.enabled = reader.Flag();
+  report.rows = reader.List("the number of members", kMaxMembers, ReadRow);
   report.handover_from = reader.Bytes();
   report.handover_to = reader.Bytes();
   report.handover_ms_ago = reader.Varint();
--- a/src/wire/member_codec.h
+++ b/src/wire/member_codec.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "wire/peer.h"
+#include "wire/peer_messages.h"
 #include "wire/varint.h"
 
 namespace hallpier::wire {
--- a/src/wire/peer.h
+++ b/src/wire/peer_messages.h
@@ -1,4 +1,4 @@
-// What controllers say to each other, in the varint codec.
+// The messages between controllers. wire/peer_codec.h has their bytes.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace hallpier::wire {
 
-// How a node sees the world; sent as a ping, and back as its answer.
+// How a node sees the lead and the state service; sent as a ping, and back as its answer.
 struct PeerStatus {
   std::string node;
-  model::FencingToken token;  // the highest it knows
+  model::FencingToken token;  // the highest that it knows
   bool leading = false;
-  bool state_good = false;  // the state service answers it
+  bool state_reachable = false;  // the state service answers it
   bool operator==(const PeerStatus&) const = default;
 };
 
@@ -32,48 +32,48 @@
 
 struct RelayAnswer {
   uint64_t id = 0;
-  bool answered = false;  // false: no answer came, or the peer would not try
+  bool answered = false;  // false: no answer came, or the peer refused
   HttpResponse response;
 };
 
-// A job's record says that it is cancelled, since the revision `version`.
+// A job's record says that it is cancelled; `version` is the revision of that change.
 struct Cancellation {
   std::string job;
   uint64_t version = 0;
   bool operator==(const Cancellation&) const = default;
 };
 
-// What follows is understood by nodes whose mark says so (store::kCancellationReportFormat), and
-// sent to no other.
+// Cancellation reports are understood by nodes whose recorded format is at least
+// store::kCancellationReportFormat, and sent to no other.
 
-// A leader that the state service does not answer asks for what it may lack: every cancellation
-// beyond this revision.
+// Sent by a leader that the state service does not answer: it asks for every cancellation that it
+// may lack, which are those beyond this revision.
 struct CancellationReportRequest {
   uint64_t beyond = 0;
 };
 
-// `complete`: whatever cancellation this node may ever have told anybody is in `cancelled`, or no
-// newer than the revision asked for. `revision`: how far its own copy is complete.
+// `complete`: every cancellation that this node may ever have confirmed to a user is in
+// `cancelled`, or no newer than the revision asked for. `revision`: how far its own watch cache is.
 struct CancellationReport {
   bool complete = false;
   uint64_t revision = 0;
   std::vector<Cancellation> cancelled;
 };
 
-// Told without being asked, as soon as a cancellation is recorded.
+// Sent unasked as soon as a cancellation is recorded, so that its tasks are stopped early.
 struct CancelNotice {
   Cancellation cancelled;
 };
 
-// Membership (src/membership). Understood by nodes whose mark says so (store::kMembershipFormat),
-// and sent to no other.
+// Membership (src/membership) is understood by nodes whose recorded format is at least
+// store::kMembershipFormat, and sent to no other.
 
 struct MemberStatus {
   std::string node;
   model::Incarnation incarnation;
-  model::MemberState state = model::MemberState::kAlive;  // kLeft: it is about to end
+  model::MemberState state = model::MemberState::kAlive;  // kLeft: it is shutting down
   model::MemberVitals vitals;
-  std::string yields_to;  // a leader that gives up the lead names who is to take it
+  std::string yields_to;  // a leader that resigns names its successor
   std::vector<model::MemberObservation> observations;
   bool operator==(const MemberStatus&) const = default;
 };
@@ -89,7 +89,7 @@
   MemberStatus status;
 };
 
-// Asked by the command line: how a node sees all members.
+// Sent by the command line: asks how a node sees all members.
 struct MembersRequest {};
 
 struct MemberRow {
@@ -114,23 +114,23 @@
   bool operator==(const MembersReport&) const = default;
 };
 
-// Blocks of machines (src/blocks). Understood by nodes whose mark says so (store::kBlocksFormat),
-// and sent to no other.
+// Blocks of machines (src/blocks) are understood by nodes whose recorded format is at least
+// store::kBlocksFormat, and sent to no other.
 
-// What a holder has to know of machines, as far as it has changed since the view before.
+// The state of machines as a holder of a block needs it: what has changed since the view before.
 struct BlockView {
-  model::FencingToken token;  // of the leader that tells it; the highest one counts
-  uint64_t sequence = 0;      // 1: all that was told before is void
+  model::FencingToken token;  // of the leader that sends it; the highest one counts
+  uint64_t sequence = 0;      // 1: all that was sent before is void
   std::vector<model::MachineView> changed;
   std::vector<std::string> gone;
-  std::vector<model::JobFailures> failures;  // all there are
+  std::vector<model::JobFailures> failures;  // the whole list
   bool operator==(const BlockView&) const = default;
 };
 
 struct BlockAcknowledgement {
-  uint64_t sequence = 0;  // of the view; 0: one was missed, and all is to be told anew
-  uint64_t session = 0;   // of the process that answers
-  bool able = false;      // the state service answers it, and its copy of the records is current
+  uint64_t sequence = 0;   // of the view; 0: one was missed, and all is to be sent anew
+  uint64_t session = 0;    // of the process that answers
+  bool can_place = false;  // the state service answers it, and its watch cache is current
   bool operator==(const BlockAcknowledgement&) const = default;
 };
 
@@ -138,15 +138,4 @@
                                  CancellationReport, CancelNotice, MemberProbe, MemberAnswer,
                                  MembersRequest, MembersReport, BlockView, BlockAcknowledgement>;
 
-// The payload of a frame.
-std::string WritePeerMessage(const PeerMessage& m);
-// Nothing if it is malformed; `fault`, if given, then says what came and what is wrong with it.
-std::optional<PeerMessage> ReadPeerMessage(std::string_view payload, std::string* fault = nullptr);
-// What a message is, in words for a log or a console.
-std::string_view PeerMessageName(const PeerMessage& message);
-
-inline constexpr size_t kMaxPeerFrame = size_t{256} * 1024;
-// Cancellations in one frame; job ids are short.
-inline constexpr size_t kMaxCancellations = 4096;
-
 }  // namespace hallpier::wire
--- a/src/wire/state_codec.cc
+++ b/src/wire/state_codec.cc
@@ -5,120 +5,122 @@
 namespace hallpier::wire {
 namespace {
 
-std::optional<model::KeyValue> ReadKeyValueObject(const JsonValue& v) {
-  auto key = GetText(v, "key");
-  auto version = GetCount(v, "stamp");
-  auto data = v.FindMember("data");
-  if (!key || !version || data == v.MemberEnd()) return std::nullopt;
+constexpr double kMillisecondsPerSecond = 1000;
+
+std::optional<model::KeyValue> ReadKeyValueObject(const JsonValue& object) {
+  auto key = GetText(object, "key");
+  auto version = GetCount(object, "stamp");
+  auto data = object.FindMember("data");
+  if (!key || !version || data == object.MemberEnd()) return std::nullopt;
   return model::KeyValue{std::move(*key), Dump(data->value), *version};
 }
 
+// A write names its key as "put" and has a value; a drop names it as "drop".
+std::optional<model::WatchEvent> ReadWatchEvent(const JsonValue& object) {
+  auto version = GetCount(object, "stamp");
+  auto put = GetText(object, "put");
+  auto drop = GetText(object, "drop");
+  if (!version || put.has_value() == drop.has_value()) return std::nullopt;
+  if (drop) return model::WatchEvent{std::move(*drop), {}, *version};
+  auto data = object.FindMember("data");
+  if (data == object.MemberEnd()) return std::nullopt;
+  return model::WatchEvent{std::move(*put), Dump(data->value), *version};
+}
+
 }  // namespace
 
 std::optional<model::KeyValue> ReadKeyValue(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  return ReadKeyValueObject(*d);
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  return ReadKeyValueObject(*document);
 }
 
 std::optional<model::KeyValueList> ReadKeyValueList(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  const JsonValue* list = Find(*d, "entries");
-  auto revision = GetCount(*d, "rev");
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  const JsonValue* list = Find(*document, "entries");
+  auto revision = GetCount(*document, "rev");
   if (list == nullptr || !list->IsArray() || !revision) return std::nullopt;
-  model::KeyValueList out;
-  out.revision = *revision;
-  out.more = GetFlag(*d, "truncated").value_or(false);
-  for (const auto& v : list->GetArray()) {
-    if (!v.IsObject()) return std::nullopt;
-    auto e = ReadKeyValueObject(v);
-    if (!e) return std::nullopt;
-    out.entries.push_back(std::move(*e));
+  model::KeyValueList page;
+  page.revision = *revision;
+  page.more = GetFlag(*document, "truncated").value_or(false);
+  for (const JsonValue& object : list->GetArray()) {
+    if (!object.IsObject()) return std::nullopt;
+    auto entry = ReadKeyValueObject(object);
+    if (!entry) return std::nullopt;
+    page.entries.push_back(std::move(*entry));
   }
-  return out;
+  return page;
 }
 
 std::string WriteTransaction(const std::vector<model::Precondition>& preconditions,
                              const std::vector<model::KeyWrite>& writes) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("guards").StartArray();
-  for (const model::Precondition& g : preconditions) {
-    w.StartObject();
-    w.Field("key").Text(g.key);
-    w.Field("stamp").Uint64(g.version);
-    w.EndObject();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("guards").StartArray();
+  for (const model::Precondition& precondition : preconditions) {
+    writer.StartObject();
+    writer.Field("key").Text(precondition.key);
+    writer.Field("stamp").Uint64(precondition.version);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.Field("then").StartArray();
-  for (const model::KeyWrite& o : writes) {
-    w.StartObject();
-    if (o.value.empty()) {
-      w.Field("drop").Text(o.key);
+  writer.EndArray();
+  writer.Field("then").StartArray();
+  for (const model::KeyWrite& write : writes) {
+    writer.StartObject();
+    if (write.value.empty()) {
+      writer.Field("drop").Text(write.key);
     } else {
-      w.Field("put").Text(o.key);
-      w.Field("data").Raw(o.value);
-      if (o.lease_id != 0) w.Field("permit").Uint64(o.lease_id);
+      writer.Field("put").Text(write.key);
+      writer.Field("data").Raw(write.value);
+      if (write.lease_id != 0) writer.Field("permit").Uint64(write.lease_id);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
-  return w.Take();
+  writer.EndArray();
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::optional<model::WatchResponse> ReadWatchResponse(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  auto revision = GetCount(*d, "rev");
-  const JsonValue* list = Find(*d, "news");
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  auto revision = GetCount(*document, "rev");
   if (!revision) return std::nullopt;
-  model::WatchResponse out;
-  out.revision = *revision;
-  if (list == nullptr) return out;
+  model::WatchResponse response;
+  response.revision = *revision;
+  const JsonValue* list = Find(*document, "news");
+  if (list == nullptr) return response;
   if (!list->IsArray()) return std::nullopt;
-  for (const auto& v : list->GetArray()) {
-    auto version = GetCount(v, "stamp");
-    auto put = GetText(v, "put");
-    auto drop = GetText(v, "drop");
-    if (!version || put.has_value() == drop.has_value()) return std::nullopt;
-    model::WatchEvent c;
-    c.version = *version;
-    if (drop) {
-      c.key = std::move(*drop);
-    } else {
-      auto data = v.FindMember("data");
-      if (data == v.MemberEnd()) return std::nullopt;
-      c.key = std::move(*put);
-      c.value = Dump(data->value);
-    }
-    out.events.push_back(std::move(c));
+  for (const JsonValue& entry : list->GetArray()) {
+    auto event = ReadWatchEvent(entry);
+    if (!event) return std::nullopt;
+    response.events.push_back(std::move(*event));
   }
-  return out;
+  return response;
 }
 
 std::optional<uint64_t> ReadRevision(std::string_view body) {
-  auto d = ParseObject(body);
-  return d ? GetCount(*d, "rev") : std::nullopt;
+  auto document = ParseObject(body);
+  return document ? GetCount(*document, "rev") : std::nullopt;
 }
 
 std::vector<std::string> ReadFailedPreconditions(std::string_view body) {
-  auto d = ParseObject(body);
-  return d ? GetTexts(Find(*d, "failed")) : std::vector<std::string>();
+  auto document = ParseObject(body);
+  return document ? GetTexts(Find(*document, "failed")) : std::vector<std::string>();
 }
 
 std::string WriteLeaseRequest(double ttl_s) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("ttlMs").Uint64(static_cast<uint64_t>(ttl_s * 1000));
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("ttlMs").Uint64(static_cast<uint64_t>(ttl_s * kMillisecondsPerSecond));
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::optional<uint64_t> ReadLeaseId(std::string_view body) {
-  auto d = ParseObject(body);
-  return d ? GetCount(*d, "permit") : std::nullopt;
+  auto document = ParseObject(body);
+  return document ? GetCount(*document, "permit") : std::nullopt;
 }
 
 }  // namespace hallpier::wire
--- /dev/null
+++ b/src/wire/url_query.cc
@@ -0,0 +1,73 @@
+#include "wire/url_query.h"
+
+#include <cstdint>
+#include <utility>
+
+namespace hallpier::wire {
+namespace {
+
+constexpr std::string_view kHexDigits = "0123456789ABCDEF";
+constexpr int kHexBase = 16;
+
+bool IsDigit(char c) { return c >= '0' && c <= '9'; }
+bool IsLetter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z'); }
+
+// Negative: not a hexadecimal digit.
+int HexDigit(char c) {
+  constexpr int kTen = 10;
+  if (IsDigit(c)) return c - '0';
+  if (c >= 'a' && c <= 'f') return c - 'a' + kTen;
+  if (c >= 'A' && c <= 'F') return c - 'A' + kTen;
+  return -1;
+}
+
+// Whether an escaped character ("%2F") stands at `at`.
+bool IsEscape(std::string_view text, size_t at) {
+  return text[at] == '%' && at + 2 < text.size() && HexDigit(text[at + 1]) >= 0 &&
+         HexDigit(text[at + 2]) >= 0;
+}
+
+}  // namespace
+
+std::vector<QueryParameter> ParseQuery(std::string_view target) {
+  std::vector<QueryParameter> parameters;
+  const size_t question_mark = target.find('?');
+  if (question_mark == std::string_view::npos) return parameters;
+  QueryParameter parameter;
+  std::string* part = &parameter.name;
+  for (size_t i = question_mark + 1; i <= target.size(); ++i) {
+    const char c = i < target.size() ? target[i] : '&';
+    if (c == '&') {
+      if (!parameter.name.empty()) parameters.push_back(std::move(parameter));
+      parameter = {};
+      part = &parameter.name;
+    } else if (c == '=' && part == &parameter.name) {
+      part = &parameter.value;
+    } else if (IsEscape(target, i)) {
+      const int code = HexDigit(target[i + 1]) * kHexBase + HexDigit(target[i + 2]);
+      part->push_back(static_cast<char>(code));
+      i += 2;
+    } else {
+      part->push_back(c);
+    }
+  }
+  return parameters;
+}
+
+std::string EscapeQuery(std::string_view text) {
+  constexpr std::string_view kPlain = "-_./";
+  std::string escaped;
+  for (const char c : text) {
+    if (IsDigit(c) || IsLetter(c) || kPlain.find(c) != std::string_view::npos) {
+      escaped.push_back(c);
+      continue;
+    }
+    const auto code = static_cast<uint8_t>(c);
+    escaped.push_back('%');
+    escaped.push_back(kHexDigits[code / kHexBase]);
+    escaped.push_back(kHexDigits[code % kHexBase]);
+  }
+  return escaped;
+}
+
+}  // namespace hallpier::wire
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -26,46 +26,79 @@
 // Reads the fields of a submission one by one and remembers the first fault.
 class SpecReader {
  public:
-  SpecReader(const JsonValue& v, BadField* bad) : v_(v), bad_(bad) {}
+  explicit SpecReader(const JsonValue& object) : object_(object) {}
 
-  bool ok() const { return ok_; }
+  // Nothing: all that was read so far is good.
+  const std::optional<FieldError>& error() const { return error_; }
 
   void Fail(const char* field, std::string reason) {
-    if (ok_) *bad_ = {field, std::move(reason)};
-    ok_ = false;
+    if (!error_) error_ = FieldError{field, std::move(reason)};
   }
+  bool Has(const char* field) const { return Find(object_, field) != nullptr; }
   std::string Text(const char* field) {
-    auto t = GetText(v_, field);
-    if (!t || t->empty() || t->size() > kMaxText) {
+    auto text = GetText(object_, field);
+    if (!text || text->empty() || text->size() > kMaxText) {
       Fail(field, "must be a text of 1 to 200 bytes");
       return {};
     }
-    return *t;
+    return *text;
   }
-  double Amount(const char* field, double least) {
-    auto a = GetAmount(v_, field);
-    if (!a || *a < least || *a > kMaxAmount) {
-      Fail(field, "must be a number of at least " + std::to_string(static_cast<int>(least)));
+  double Amount(const char* field) {
+    auto amount = GetAmount(object_, field);
+    if (!amount || *amount < 0 || *amount > kMaxAmount) {
+      Fail(field, "must be a number of at least 0");
       return 0;
     }
-    return *a;
+    return *amount;
   }
   bool Flag(const char* field) {
-    auto f = GetFlag(v_, field);
-    if (!f) Fail(field, "must be true or false");
-    return f.value_or(false);
+    auto flag = GetFlag(object_, field);
+    if (!flag) Fail(field, "must be true or false");
+    return flag.value_or(false);
   }
   template <class E, size_t N>
-  E Name(const EnumNames<E, N>& names, const char* field) {
-    auto e = GetEnum(names, v_, field);
-    if (!e) Fail(field, "is not one of the allowed words");
-    return e.value_or(names[0].first);
+  E Enum(const EnumNames<E, N>& names, const char* field) {
+    auto value = GetEnum(names, object_, field);
+    if (!value) Fail(field, "is not one of the allowed words");
+    return value.value_or(names[0].first);
+  }
+  std::string JobId() {
+    std::string id = Text("id");
+    if (!error_ && !model::IsJobId(id)) Fail("id", "is not a job id");
+    return id;
+  }
+  uint32_t TaskCount() {
+    auto tasks = GetCount(object_, "pieces");
+    if (tasks && *tasks >= 1 && *tasks <= model::kMaxTasks) return static_cast<uint32_t>(*tasks);
+    Fail("pieces", "must be a whole number from 1 to 100000");
+    return 1;
+  }
+  std::vector<std::string> MachineTypes() {
+    const JsonValue* list = Find(object_, "flavors");
+    if (list == nullptr) return {};
+    std::vector<std::string> names = GetTexts(list);
+    if (!list->IsArray() || names.empty() || names.size() != list->Size()) {
+      Fail("flavors", "must be null or a list of machine types");
+    }
+    return names;
+  }
+  std::vector<std::string> Dependencies() {
+    const JsonValue* list = Find(object_, "awaits");
+    if (list == nullptr) return {};
+    std::vector<std::string> ids = GetTexts(list);
+    if (!list->IsArray() || ids.size() != list->Size() ||
+        !std::all_of(ids.begin(), ids.end(), model::IsJobId)) {
+      Fail("awaits", "must be null or a list of job ids");
+    }
+    // A job that is named twice is one dependency.
+    std::sort(ids.begin(), ids.end());
+    ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
+    return ids;
   }
 
  private:
-  const JsonValue& v_;
-  BadField* bad_;
-  bool ok_ = true;
+  const JsonValue& object_;
+  std::optional<FieldError> error_;
 };
 
 }  // namespace
@@ -75,115 +108,95 @@
   return ValueOf(kJobPhases, name);
 }
 
-std::optional<model::JobSpec> ReadJobSpec(const JsonValue& v, BadField* bad) {
-  SpecReader r(v, bad);
-  model::JobSpec s;
-  s.id = r.Text("id");
-  if (r.ok() && !model::IsJobId(s.id)) r.Fail("id", "is not a job id");
-  s.job_class = r.Text("lane");
-  s.team = r.Text("tenant");
-  s.kind = r.Name(kJobKinds, "shape");
-  s.priority = r.Name(kPriorities, "urgency");
-  auto tasks = GetCount(v, "pieces");
-  if (!tasks || *tasks < 1 || *tasks > model::kMaxTasks) {
-    r.Fail("pieces", "must be a whole number from 1 to 100000");
-  } else {
-    s.tasks = static_cast<uint32_t>(*tasks);
-  }
-  s.cpus = r.Amount("vcpus", 0);
-  s.gpus = r.Amount("cards", 0);
-  s.memory_gb = r.Amount("memGb", 0);
-  s.image = r.Text("bundle");
-  s.image_gb = r.Amount("sizeGb", 0);
-  if (const JsonValue* list = Find(v, "flavors")) {
-    s.machine_types = GetTexts(list);
-    if (!list->IsArray() || s.machine_types.empty() || s.machine_types.size() != list->Size()) {
-      r.Fail("flavors", "must be null or a list of machine types");
-    }
-  }
-  if (Find(v, "hall") != nullptr) s.zone = r.Text("hall");
-  s.one_zone = r.Flag("oneZone");
-  s.spread = r.Flag("spread");
-  s.spot = r.Flag("lendable");
-  s.estimate_s = r.Amount("expectS", 0);
-  s.checkpoint_every_s = r.Amount("snapshotEveryS", 0);
-  s.checkpoint_s = r.Amount("snapshotS", 0);
-  if (Find(v, "dueS") != nullptr) s.due_s = r.Amount("dueS", 0);
-  if (const JsonValue* list = Find(v, "awaits")) {
-    s.awaits = GetTexts(list);
-    if (!list->IsArray() || s.awaits.size() != list->Size() ||
-        !std::all_of(s.awaits.begin(), s.awaits.end(), model::IsJobId)) {
-      r.Fail("awaits", "must be null or a list of job ids");
-    }
-    // One that is named twice is awaited once.
-    std::sort(s.awaits.begin(), s.awaits.end());
-    s.awaits.erase(std::unique(s.awaits.begin(), s.awaits.end()), s.awaits.end());
-  }
-  if (!r.ok()) return std::nullopt;
-  return s;
+Result<model::JobSpec, FieldError> ReadJobSpec(const JsonValue& object) {
+  SpecReader reader(object);
+  model::JobSpec spec;
+  spec.id = reader.JobId();
+  spec.job_class = reader.Text("lane");
+  spec.team = reader.Text("tenant");
+  spec.kind = reader.Enum(kJobKinds, "shape");
+  spec.priority = reader.Enum(kPriorities, "urgency");
+  spec.tasks = reader.TaskCount();
+  spec.cpus = reader.Amount("vcpus");
+  spec.gpus = reader.Amount("cards");
+  spec.memory_gb = reader.Amount("memGb");
+  spec.image = reader.Text("bundle");
+  spec.image_gb = reader.Amount("sizeGb");
+  spec.machine_types = reader.MachineTypes();
+  if (reader.Has("hall")) spec.zone = reader.Text("hall");
+  spec.one_zone = reader.Flag("oneZone");
+  spec.spread = reader.Flag("spread");
+  spec.spot = reader.Flag("lendable");
+  spec.estimate_s = reader.Amount("expectS");
+  spec.checkpoint_every_s = reader.Amount("snapshotEveryS");
+  spec.checkpoint_s = reader.Amount("snapshotS");
+  if (reader.Has("dueS")) spec.due_s = reader.Amount("dueS");
+  spec.awaits = reader.Dependencies();
+  if (reader.error()) return Error(*reader.error());
+  return spec;
 }
 
-void WriteJobSpec(JsonWriter& w, const model::JobSpec& s) {
-  w.StartObject();
-  w.Field("id").Text(s.id);
-  w.Field("lane").Text(s.job_class);
-  w.Field("tenant").Text(s.team);
-  w.Field("shape").Text(NameOf(kJobKinds, s.kind));
-  w.Field("urgency").Text(NameOf(kPriorities, s.priority));
-  w.Field("pieces").Uint(s.tasks);
-  w.Field("vcpus").Double(s.cpus);
-  w.Field("cards").Double(s.gpus);
-  w.Field("memGb").Double(s.memory_gb);
-  w.Field("bundle").Text(s.image);
-  w.Field("sizeGb").Double(s.image_gb);
-  if (!s.machine_types.empty()) {
-    w.Field("flavors").StartArray();
-    for (const auto& f : s.machine_types) w.Text(f);
-    w.EndArray();
+void WriteJobSpec(JsonWriter& writer, const model::JobSpec& spec) {
+  writer.StartObject();
+  writer.Field("id").Text(spec.id);
+  writer.Field("lane").Text(spec.job_class);
+  writer.Field("tenant").Text(spec.team);
+  writer.Field("shape").Text(NameOf(kJobKinds, spec.kind));
+  writer.Field("urgency").Text(NameOf(kPriorities, spec.priority));
+  writer.Field("pieces").Uint(spec.tasks);
+  writer.Field("vcpus").Double(spec.cpus);
+  writer.Field("cards").Double(spec.gpus);
+  writer.Field("memGb").Double(spec.memory_gb);
+  writer.Field("bundle").Text(spec.image);
+  writer.Field("sizeGb").Double(spec.image_gb);
+  if (!spec.machine_types.empty()) {
+    writer.Field("flavors").StartArray();
+    for (const auto& type : spec.machine_types) writer.Text(type);
+    writer.EndArray();
   }
-  if (!s.zone.empty()) w.Field("hall").Text(s.zone);
-  w.Field("oneZone").Bool(s.one_zone);
-  w.Field("spread").Bool(s.spread);
-  w.Field("lendable").Bool(s.spot);
-  w.Field("expectS").Double(s.estimate_s);
-  w.Field("snapshotEveryS").Double(s.checkpoint_every_s);
-  w.Field("snapshotS").Double(s.checkpoint_s);
-  if (s.due_s > 0) w.Field("dueS").Double(s.due_s);
-  if (!s.awaits.empty()) {
-    w.Field("awaits").StartArray();
-    for (const auto& id : s.awaits) w.Text(id);
-    w.EndArray();
+  if (!spec.zone.empty()) writer.Field("hall").Text(spec.zone);
+  writer.Field("oneZone").Bool(spec.one_zone);
+  writer.Field("spread").Bool(spec.spread);
+  writer.Field("lendable").Bool(spec.spot);
+  writer.Field("expectS").Double(spec.estimate_s);
+  writer.Field("snapshotEveryS").Double(spec.checkpoint_every_s);
+  writer.Field("snapshotS").Double(spec.checkpoint_s);
+  if (spec.due_s > 0) writer.Field("dueS").Double(spec.due_s);
+  if (!spec.awaits.empty()) {
+    writer.Field("awaits").StartArray();
+    for (const auto& id : spec.awaits) writer.Text(id);
+    writer.EndArray();
   }
-  w.EndObject();
+  writer.EndObject();
 }
 
-std::string WriteStatus(const model::JobStatus& s) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("id").Text(s.id);
-  w.Field("phase").Text(JobPhaseName(s.phase));
-  w.Field("done").Uint64(s.done);
-  w.Field("running").Uint64(s.running);
-  w.EndObject();
-  return w.Take();
+std::string WriteStatus(const model::JobStatus& status) {
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("id").Text(status.id);
+  writer.Field("phase").Text(JobPhaseName(status.phase));
+  writer.Field("done").Uint64(status.done);
+  writer.Field("running").Uint64(status.running);
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::string WritePhase(std::string_view id, model::JobPhase phase) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("id").Text(id);
-  w.Field("phase").Text(JobPhaseName(phase));
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("id").Text(id);
+  writer.Field("phase").Text(JobPhaseName(phase));
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::string WriteError(std::string_view reason, std::string_view field) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("error").Text(reason);
-  if (!field.empty()) w.Field("field").Text(field);
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("error").Text(reason);
+  if (!field.empty()) writer.Field("field").Text(field);
+  writer.EndObject();
+  return writer.Take();
 }
 
 }  // namespace hallpier::wire
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -5,6 +5,7 @@
 #include <string>
 #include <string_view>
 
+#include "base/result.h"
 #include "model/job.h"
 #include "wire/json.h"
 
@@ -13,18 +14,18 @@
 std::string_view JobPhaseName(model::JobPhase phase);
 std::optional<model::JobPhase> ParseJobPhase(std::string_view name);
 
-// The first field of a submission that is missing or invalid.
-struct BadField {
+// The first field of a submission that is missing or invalid, by its name on the wire.
+struct FieldError {
   std::string field;
   std::string reason;
 };
 
-// Nothing, with `bad` filled in, if a field is missing or invalid.
-std::optional<model::JobSpec> ReadJobSpec(const JsonValue& v, BadField* bad);
-void WriteJobSpec(JsonWriter& w, const model::JobSpec& spec);
+Result<model::JobSpec, FieldError> ReadJobSpec(const JsonValue& object);
+void WriteJobSpec(JsonWriter& writer, const model::JobSpec& spec);
 
-std::string WriteStatus(const model::JobStatus& s);
+std::string WriteStatus(const model::JobStatus& status);
 std::string WritePhase(std::string_view id, model::JobPhase phase);
+// `field`: the one at fault; empty: none.
 std::string WriteError(std::string_view reason, std::string_view field = {});
 
 }  // namespace hallpier::wire
--- a/src/wire/varint.cc
+++ b/src/wire/varint.cc
@@ -2,13 +2,17 @@
 
 namespace hallpier::wire {
 namespace {
-constexpr int kMaxVarintBytes = 10;
+
+// Each byte but the last has its highest bit set; the others hold seven bits of the number.
+constexpr uint8_t kMoreFollows = 0x80;
+constexpr int kBitsPerByte = 7;
+
 }  // namespace
 
 void PutVarint(std::string& out, uint64_t value) {
-  while (value >= 0x80) {
-    out.push_back(static_cast<char>(value | 0x80));
-    value >>= 7;
+  while (value >= kMoreFollows) {
+    out.push_back(static_cast<char>(value | kMoreFollows));
+    value >>= kBitsPerByte;
   }
   out.push_back(static_cast<char>(value));
 }
@@ -18,14 +22,21 @@
   out.append(bytes);
 }
 
+void PutFlag(std::string& out, bool flag) { PutVarint(out, flag ? 1 : 0); }
+
+void PutNames(std::string& out, const std::vector<std::string>& names) {
+  PutVarint(out, names.size());
+  for (const std::string& name : names) PutBytes(out, name);
+}
+
 uint64_t VarintReader::Varint() {
   uint64_t value = 0;
   for (int i = 0; ok_ && i < kMaxVarintBytes && static_cast<size_t>(i) < data_.size(); ++i) {
     const auto byte = static_cast<uint8_t>(data_[static_cast<size_t>(i)]);
-    // The tenth byte holds the last of 64 bits; more would be lost without a word.
+    // The tenth byte holds the last of 64 bits; more would be lost silently.
     if (i == kMaxVarintBytes - 1 && byte > 1) break;
-    value |= static_cast<uint64_t>(byte & 0x7f) << (7 * i);
-    if (byte < 0x80) {
+    value |= static_cast<uint64_t>(byte & ~kMoreFollows) << (kBitsPerByte * i);
+    if (byte < kMoreFollows) {
       data_.remove_prefix(static_cast<size_t>(i) + 1);
       return value;
     }
@@ -63,35 +74,4 @@
   return out;
 }
 
-std::string Frame(std::string_view payload) {
-  std::string out;
-  PutBytes(out, payload);
-  return out;
-}
-
-std::optional<std::string> FrameBuffer::Next() {
-  if (corrupt_) return std::nullopt;
-  VarintReader r(buffer_);
-  const uint64_t size = r.Varint();
-  if (!r.ok()) {
-    corrupt_ = buffer_.size() >= kMaxVarintBytes;
-    return std::nullopt;
-  }
-  if (size > max_frame_) {
-    corrupt_ = true;
-    return std::nullopt;
-  }
-  std::string head;
-  PutVarint(head, size);
-  if (buffer_.size() < head.size() + size) return std::nullopt;
-  // A length written in more bytes than it needs is none of ours.
-  if (buffer_.compare(0, head.size(), head) != 0) {
-    corrupt_ = true;
-    return std::nullopt;
-  }
-  std::string payload = buffer_.substr(head.size(), size);
-  buffer_.erase(0, head.size() + size);
-  return payload;
-}
-
 }  // namespace hallpier::wire
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -8,115 +8,121 @@
 namespace hallpier::wire {
 namespace {
 
-constexpr EnumNames<model::TaskPhase, 4> kTaskJobPhases = {
-    {{model::TaskPhase::kFetching, "pulling"},
-     {model::TaskPhase::kRunning, "running"},
-     {model::TaskPhase::kSaving, "flushing"},
-     {model::TaskPhase::kExited, "ended"}}};
-constexpr EnumNames<model::ExitCause, 6> kCauses = {{{model::ExitCause::kDone, "done"},
-                                                     {model::ExitCause::kStopped, "stopped"},
-                                                     {model::ExitCause::kError, "error"},
-                                                     {model::ExitCause::kNoRoom, "no_room"},
-                                                     {model::ExitCause::kBusy, "busy"},
-                                                     {model::ExitCause::kUnknown, "unknown"}}};
+constexpr EnumNames<model::TaskPhase, 4> kTaskPhases = {{{model::TaskPhase::kFetching, "pulling"},
+                                                         {model::TaskPhase::kRunning, "running"},
+                                                         {model::TaskPhase::kSaving, "flushing"},
+                                                         {model::TaskPhase::kExited, "ended"}}};
+constexpr EnumNames<model::ExitCause, 6> kExitCauses = {{{model::ExitCause::kDone, "done"},
+                                                         {model::ExitCause::kStopped, "stopped"},
+                                                         {model::ExitCause::kError, "error"},
+                                                         {model::ExitCause::kNoRoom, "no_room"},
+                                                         {model::ExitCause::kBusy, "busy"},
+                                                         {model::ExitCause::kUnknown, "unknown"}}};
 constexpr EnumNames<model::CommandKind, 3> kCommandKinds = {
     {{model::CommandKind::kRun, "run"},
      {model::CommandKind::kStop, "stop"},
      {model::CommandKind::kForget, "forget"}}};
 
-std::optional<model::TaskStatus> ReadTaskStatus(const JsonValue& v) {
-  auto name = GetText(v, "piece");
-  auto attempt = GetCount(v, "try");
-  auto state = GetEnum(kTaskJobPhases, v, "phase");
+std::optional<model::TaskStatus> ReadTaskStatus(const JsonValue& object) {
+  auto name = GetText(object, "piece");
+  auto attempt = GetCount(object, "try");
+  auto state = GetEnum(kTaskPhases, object, "phase");
   if (!name || !attempt || !state) return std::nullopt;
   auto task = model::ParseTaskName(*name);
   if (!task) return std::nullopt;
-  model::TaskStatus p;
-  p.task = std::move(*task);
-  p.attempt = *attempt;
-  p.state = *state;
-  p.cause = GetEnum(kCauses, v, "cause").value_or(model::ExitCause::kNone);
-  p.saved = GetFlag(v, "stored").value_or(false);
-  return p;
+  model::TaskStatus status;
+  status.task = std::move(*task);
+  status.attempt = *attempt;
+  status.state = *state;
+  status.cause = GetEnum(kExitCauses, object, "cause").value_or(model::ExitCause::kNone);
+  status.saved = GetFlag(object, "stored").value_or(false);
+  return status;
 }
 
-void WriteWorkerCommands(JsonWriter& w, const std::vector<model::WorkerCommand>& commands) {
-  w.Field("orders").StartArray();
-  for (const model::WorkerCommand& o : commands) {
-    w.StartObject();
-    w.Field("verb").Text(NameOf(kCommandKinds, o.kind));
-    w.Field("piece").Text(model::TaskName(o.task));
-    w.Field("try").Uint64(o.attempt);
-    if (o.kind == model::CommandKind::kStop) w.Field("windDownS").Double(o.grace_s);
-    w.EndObject();
+// Null: there are none. Nothing if any can't be read: a list that lacks a task would prove its
+// absence.
+std::optional<std::vector<model::TaskStatus>> ReadTaskStatuses(const JsonValue* list) {
+  std::vector<model::TaskStatus> tasks;
+  if (list == nullptr) return tasks;
+  if (!list->IsArray()) return std::nullopt;
+  for (const JsonValue& entry : list->GetArray()) {
+    auto task = ReadTaskStatus(entry);
+    if (!task) return std::nullopt;
+    tasks.push_back(std::move(*task));
   }
-  w.EndArray();
+  return tasks;
+}
+
+void WriteWorkerCommands(JsonWriter& writer, const std::vector<model::WorkerCommand>& commands) {
+  writer.Field("orders").StartArray();
+  for (const model::WorkerCommand& command : commands) {
+    writer.StartObject();
+    writer.Field("verb").Text(NameOf(kCommandKinds, command.kind));
+    writer.Field("piece").Text(model::TaskName(command.task));
+    writer.Field("try").Uint64(command.attempt);
+    if (command.kind == model::CommandKind::kStop)
+      writer.Field("windDownS").Double(command.grace_s);
+    writer.EndObject();
+  }
+  writer.EndArray();
 }
 
 }  // namespace
 
 std::optional<model::Heartbeat> ReadHeartbeat(std::string_view body) {
-  auto d = ParseObject(body);
-  if (!d) return std::nullopt;
-  auto machine = GetText(*d, "host");
-  auto endpoint = GetText(*d, "endpoint");
-  auto machine_type = GetText(*d, "flavor");
-  auto zone = GetText(*d, "hall");
-  auto agent_epoch = GetCount(*d, "tenure");
-  auto sequence = GetCount(*d, "tick");
-  if (!machine || machine->empty() || machine->size() > kMaxText || !endpoint || !machine_type ||
-      !zone || !agent_epoch || !sequence) {
-    return std::nullopt;
-  }
-  model::Heartbeat r;
-  r.machine = std::move(*machine);
-  r.endpoint = std::move(*endpoint);
-  r.machine_type = std::move(*machine_type);
-  r.zone = std::move(*zone);
-  r.spot = GetFlag(*d, "lendable").value_or(false);
-  r.agent_epoch = model::AgentEpoch(*agent_epoch);
-  r.sequence = *sequence;
-  r.token = model::FencingToken(GetCount(*d, "epoch").value_or(0));
-  r.spot_notice_s = GetAmount(*d, "reclaimS");
-  if (const JsonValue* tasks = Find(*d, "pieces")) {
-    if (!tasks->IsArray()) return std::nullopt;
-    for (const auto& v : tasks->GetArray()) {
-      // A list with a hole in it would prove the absence of what it fails to name.
-      auto p = ReadTaskStatus(v);
-      if (!p) return std::nullopt;
-      r.tasks.push_back(std::move(*p));
-    }
-  }
-  return r;
+  auto document = ParseObject(body);
+  if (!document) return std::nullopt;
+  auto machine = GetText(*document, "host");
+  auto endpoint = GetText(*document, "endpoint");
+  auto machine_type = GetText(*document, "flavor");
+  auto zone = GetText(*document, "hall");
+  auto agent_epoch = GetCount(*document, "tenure");
+  auto sequence = GetCount(*document, "tick");
+  if (!machine || machine->empty() || machine->size() > kMaxText) return std::nullopt;
+  if (!endpoint || !machine_type || !zone || !agent_epoch || !sequence) return std::nullopt;
+  auto tasks = ReadTaskStatuses(Find(*document, "pieces"));
+  if (!tasks) return std::nullopt;
+  model::Heartbeat heartbeat;
+  heartbeat.machine = std::move(*machine);
+  heartbeat.endpoint = std::move(*endpoint);
+  heartbeat.machine_type = std::move(*machine_type);
+  heartbeat.zone = std::move(*zone);
+  heartbeat.spot = GetFlag(*document, "lendable").value_or(false);
+  heartbeat.agent_epoch = model::AgentEpoch(*agent_epoch);
+  heartbeat.sequence = *sequence;
+  heartbeat.token = model::FencingToken(GetCount(*document, "epoch").value_or(0));
+  heartbeat.spot_notice_s = GetAmount(*document, "reclaimS");
+  heartbeat.tasks = std::move(*tasks);
+  return heartbeat;
 }
 
 std::string WriteHeartbeatResponse(model::FencingToken token,
                                    const std::vector<model::WorkerCommand>& commands) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("epoch").Uint64(token.value());
-  WriteWorkerCommands(w, commands);
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("epoch").Uint64(token.value());
+  WriteWorkerCommands(writer, commands);
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::string WriteCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
                           const std::vector<model::WorkerCommand>& commands) {
-  JsonWriter w;
-  w.StartObject();
-  w.Field("epoch").Uint64(token.value());
-  w.Field("tenure").Uint64(agent_epoch.value());
-  WriteWorkerCommands(w, commands);
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  writer.Field("epoch").Uint64(token.value());
+  writer.Field("tenure").Uint64(agent_epoch.value());
+  WriteWorkerCommands(writer, commands);
+  writer.EndObject();
+  return writer.Take();
 }
 
 std::string WriteRedirect(std::string_view leader) {
-  JsonWriter w;
-  w.StartObject();
-  if (!leader.empty()) w.Field("foreman").Text(leader);
-  w.EndObject();
-  return w.Take();
+  JsonWriter writer;
+  writer.StartObject();
+  if (!leader.empty()) writer.Field("foreman").Text(leader);
+  writer.EndObject();
+  return writer.Take();
 }
 
 }  // namespace hallpier::wire
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
@@ -31,7 +32,7 @@
   }
 
   config::Settings settings_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   jobs::JobTable job_table_;
   WorkerRegistry registry_;
   Autoscaler autoscaler_{settings_, operators_};
--- a/tests/blocks_cluster.h
+++ b/tests/blocks_cluster.h
@@ -19,6 +19,7 @@
 #include "blocks/lending.h"
 #include "blocks/machine_mirror.h"
 #include "blocks/view_sender.h"
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "jobs/transaction_builder.h"
 #include "model/heartbeat.h"
@@ -790,7 +791,7 @@
 
   const Options options_;
   config::Settings settings_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   std::mt19937_64 random_;
   std::vector<std::string> names_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -10,6 +10,7 @@
 #include "model/heartbeat.h"
 #include "model/job.h"
 #include "model/task.h"
+#include "wire/peer_codec.h"
 
 namespace hallpier::blocks {
 namespace {
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -6,6 +6,7 @@
 #include <map>
 #include <set>
 
+#include "config/operator_options.h"
 #include "controller/controller.h"
 #include "fixtures.h"
 #include "model/job.h"
@@ -241,7 +242,7 @@
   double cpus_max_ = 0;         // of the team; 0: no limit
   double run_s_ = 0.3;
   std::optional<config::StateLimits> state_next_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   int apart_ = -1;
   int refused_ = -1;  // the node that Cut() takes the state service from, and nothing else
   double lease_s_ = 3;
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -24,9 +24,11 @@
 #include "store/schema.h"
 #include "store/task_group.h"
 #include "wire/cloud_codec.h"
+#include "wire/frame.h"
 #include "wire/http.h"
 #include "wire/json.h"
-#include "wire/peer.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 #include "wire/state_codec.h"
 #include "wire/user_codec.h"
 #include "wire/varint.h"
@@ -285,8 +287,9 @@
       R"("pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.0,"bundle":"img-07","sizeGb":6.2,)"
       R"("flavors":["g8"],"hall":null,"oneZone":true,"spread":false,"lendable":true,)"
       R"("expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"awaits":["run-1"]})"));
-  wire::BadField bad;
-  const auto s = Checked(wire::ReadJobSpec(json, &bad));
+  const auto spec = wire::ReadJobSpec(json);
+  ASSERT_TRUE(spec) << spec.error().field;
+  const model::JobSpec& s = *spec;
   EXPECT_EQ(std::tie(s.id, s.job_class, s.team, s.kind, s.priority, s.tasks),
             std::tuple("run-000412", "train", "vision", model::JobKind::kArray,
                        model::Priority::kUrgent, 16U));
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -2,6 +2,9 @@
 
 #include <gtest/gtest.h>
 
+#include "wire/http_parser.h"
+#include "wire/url_query.h"
+
 namespace hallpier::wire {
 namespace {
 
@@ -97,9 +100,9 @@
   const std::string odd = "a b&c=d%/\xc3\xa9";
   auto q = ParseQuery("/x?k=" + EscapeQuery(odd) + "&empty=&n=1");
   ASSERT_EQ(q.size(), 3U);
-  EXPECT_EQ(q[0].second, odd);
-  EXPECT_EQ(q[1].second, "");
-  EXPECT_EQ(q[2].first, "n");
+  EXPECT_EQ(q[0].value, odd);
+  EXPECT_EQ(q[1].value, "");
+  EXPECT_EQ(q[2].name, "n");
 }
 
 }  // namespace
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "model/job.h"
 #include "model/machine_type.h"
@@ -31,7 +32,7 @@
   int Tier(const jobs::Job& job, bool within) { return JobOrder(context_, kNow).Tier(job, within); }
 
   config::Settings settings_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   jobs::JobTable job_table_;
   Context context_;
 };
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <vector>
 
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
@@ -109,7 +110,7 @@
   }
 
   config::Settings settings_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   plan::Context context_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -4,7 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "model/cloud.h"
-#include "wire/peer.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier {
 namespace {
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -14,6 +14,9 @@
 #include "end_to_end.h"
 #include "membership/record.h"
 #include "model/member.h"
+#include "net/address.h"
+#include "wire/frame.h"
+#include "wire/peer_codec.h"
 #include "wire/varint.h"
 
 namespace hallpier {
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -10,7 +10,8 @@
 #include "membership/yield_policy.h"
 #include "model/member.h"
 #include "store/schema.h"
-#include "wire/peer.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier {
 namespace {
--- /dev/null
+++ b/tests/message_codec_test.cc
@@ -0,0 +1,57 @@
+// The codecs of users' and workers' messages.
+#include <gtest/gtest.h>
+
+#include "model/job.h"
+#include "wire/json.h"
+#include "wire/user_codec.h"
+#include "wire/worker_codec.h"
+
+namespace hallpier {
+namespace {
+
+const char* const kJob = R"({"id":"run-000412","lane":"train","tenant":"vision","shape":"array",
+ "urgency":"urgent","pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.0,"bundle":"img-07",
+ "sizeGb":6.2,"flavors":["g8"],"hall":null,"oneZone":true,"spread":false,"lendable":true,
+ "expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0})";
+
+TEST(UserCodec, ASubmissionSurvivesARoundTrip) {
+  const auto spec = wire::ReadJobSpec(*wire::ParseObject(kJob));
+  ASSERT_TRUE(spec) << spec.error().field;
+  wire::JsonWriter w;
+  wire::WriteJobSpec(w, *spec);
+  const auto again = wire::ReadJobSpec(*wire::ParseObject(w.Take()));
+  ASSERT_TRUE(again) << again.error().field;
+  EXPECT_EQ(again->priority, model::Priority::kUrgent);
+  EXPECT_EQ(again->machine_types, spec->machine_types);
+  EXPECT_EQ(again->due_s, 900);
+  EXPECT_TRUE(again->one_zone);
+}
+
+TEST(UserCodec, ABadSubmissionNamesTheField) {
+  auto refuse = [](const std::string& from, const std::string& to) {
+    std::string text = kJob;
+    text.replace(text.find(from), from.size(), to);
+    const auto spec = wire::ReadJobSpec(*wire::ParseObject(text));
+    EXPECT_FALSE(spec);
+    return spec ? std::string() : spec.error().field;
+  };
+  EXPECT_EQ(refuse("\"pieces\":16", "\"pieces\":0"), "pieces");
+  EXPECT_EQ(refuse("\"pieces\":16", "\"pieces\":100001"), "pieces");
+  EXPECT_EQ(refuse("\"urgent\"", "\"soon\""), "urgency");
+  EXPECT_EQ(refuse("\"memGb\":64.0", "\"memGb\":-1"), "memGb");
+  EXPECT_EQ(refuse("run-000412", "job-1"), "id");
+  EXPECT_EQ(refuse("[\"g8\"]", "[3]"), "flavors");
+  EXPECT_EQ(refuse("\"spread\":false,", ""), "spread");
+}
+
+TEST(WorkerCodec, AHeartbeatWithAnUnreadableTaskIsRefusedWhole) {
+  const std::string head =
+      R"({"host":"vm-1","endpoint":"e","flavor":"f","hall":"a","tenure":1,"tick":2,"pieces":[)";
+  EXPECT_TRUE(wire::ReadHeartbeat(
+      head + R"({"piece":"run-1/0","try":1,"phase":"ended","cause":"done"}]})"));
+  EXPECT_FALSE(wire::ReadHeartbeat(head + R"({"piece":"run-1/0","try":1,"phase":"odd"}]})"));
+  EXPECT_FALSE(wire::ReadHeartbeat(head + R"({"piece":"nonsense","try":1,"phase":"running"}]})"));
+}
+
+}  // namespace
+}  // namespace hallpier
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -9,16 +9,20 @@
 #include <memory>
 #include <thread>
 
+#include "config/operator_options.h"
 #include "election/leader_election.h"
 #include "fixtures.h"
 #include "model/key_value.h"
+#include "net/address.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "port_block.h"
 #include "standins/standins.h"
 #include "store/linearizable_read.h"
-#include "wire/peer.h"
+#include "wire/frame.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 #include "wire/varint.h"
 
 namespace hallpier {
@@ -239,7 +243,7 @@
       while (auto payload = frames.Next()) {
         wire::PeerStatus s;
         s.node = "node-1";
-        s.state_good = false;
+        s.state_reachable = false;
         out += wire::Frame(wire::WritePeerMessage(s));
         ++answered_;
       }
@@ -356,7 +360,7 @@
     scope.Spawn(lead.Run());
   }
   const config::Settings settings;
-  const config::Operator operators;
+  const config::OperatorOptions operators;
   int terms = 0;
   store::Client client;
   store::WatchCache cache;
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -1,11 +1,12 @@
-#include "wire/peer.h"
-
 #include <gtest/gtest.h>
 
 #include <limits>
 #include <random>
 
 #include "model/job.h"
+#include "wire/frame.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 #include "wire/varint.h"
 
 namespace hallpier::wire {
@@ -207,9 +208,8 @@
       const PeerMessage message = messages.OfType(type);
       ASSERT_EQ(message.index(), type);
       const std::string payload = WritePeerMessage(message);
-      std::string fault;
-      const auto back = ReadPeerMessage(payload, &fault);
-      ASSERT_TRUE(back) << "seed " << seed << ": " << fault;
+      const auto back = ReadPeerMessage(payload);
+      ASSERT_TRUE(back) << "seed " << seed << ": " << back.error().reason;
       EXPECT_EQ(back->index(), type);
       EXPECT_EQ(WritePeerMessage(*back), payload) << "seed " << seed << ", type " << type;
       if (const auto* report = std::get_if<MembersReport>(&message)) {
@@ -233,9 +233,9 @@
 }
 
 std::string FaultOf(const std::string& payload) {
-  std::string fault;
-  EXPECT_FALSE(ReadPeerMessage(payload, &fault));
-  return fault;
+  const auto message = ReadPeerMessage(payload);
+  EXPECT_FALSE(message);
+  return message ? std::string() : message.error().reason;
 }
 
 TEST(PeerMessages, AFaultNamesTheMessageAndTheField) {
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <set>
 
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "model/heartbeat.h"
 #include "model/job.h"
@@ -126,7 +127,7 @@
   }
 
   config::Settings settings_;
-  config::Operator operators_;
+  config::OperatorOptions operators_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
   Context context_;
--- a/tests/port_block.cc
+++ b/tests/port_block.cc
@@ -7,6 +7,8 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "net/address.h"
+
 namespace hallpier::testing_support {
 namespace {
 
--- a/tests/port_block_test.cc
+++ b/tests/port_block_test.cc
@@ -4,6 +4,8 @@
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
+#include "net/address.h"
+
 namespace hallpier::testing_support {
 namespace {
 
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -10,7 +10,8 @@
 #include "store/packed_task_group.h"
 #include "wire/cloud_codec.h"
 #include "wire/digits.h"
-#include "wire/peer.h"
+#include "wire/peer_codec.h"
+#include "wire/peer_messages.h"
 
 namespace hallpier::store {
 namespace {
--- a/tests/standins/standins.cc
+++ b/tests/standins/standins.cc
@@ -8,6 +8,7 @@
 #include "model/task.h"
 #include "wire/cloud_codec.h"
 #include "wire/json.h"
+#include "wire/url_query.h"
 #include "wire/user_codec.h"
 
 namespace hallpier::standins {
@@ -21,7 +22,7 @@
 
 std::map<std::string, std::string> Query(const std::string& target) {
   std::map<std::string, std::string> out;
-  for (auto& [k, v] : wire::ParseQuery(target)) out[k] = v;
+  for (auto& [name, value] : wire::ParseQuery(target)) out[name] = value;
   return out;
 }
 
