--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -70,9 +70,9 @@
           {store::ShareKey(node), ShareVersion(node)}};
 }
 
-plan::Scope BlockRecords::WholeScope(double widen_s, double wall_now) const {
-  plan::Scope scope;
-  scope.holders = division_.record().holders.size();
+plan::PlacementScope BlockRecords::WholeScope(double widen_s, double wall_now) const {
+  plan::PlacementScope scope;
+  scope.holder_count = division_.record().holders.size();
   scope.holder_of = [this](const std::string& machine) { return division_.HolderOf(machine); };
   scope.may_place = [this, widen_s, wall_now](size_t holder, const jobs::Job& job) {
     return division_.MayPlace(holder, job.spec, job.priority, wall_now - job.since, widen_s);
@@ -80,17 +80,17 @@
   return scope;
 }
 
-plan::Scope BlockRecords::HolderScope(size_t holder, double widen_s, double wall_now,
-                                      const config::Settings& settings,
-                                      const jobs::JobTable& job_table) const {
-  plan::Scope scope = WholeScope(widen_s, wall_now);
-  scope.only = holder;
+plan::PlacementScope BlockRecords::HolderScope(size_t holder, double widen_s, double wall_now,
+                                               const config::Settings& settings,
+                                               const jobs::JobTable& job_table) const {
+  plan::PlacementScope scope = WholeScope(widen_s, wall_now);
+  scope.single_holder = holder;
   const Holder& self = division_.record().holders.at(holder);
-  const quota::Usage usage = quota::CountPlaced(job_table, scope.holders, scope.holder_of);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
   for (const config::Team& team : settings.teams) {
     const quota::Amount left =
         quota::RoomLeft(team, ShareOf(self.node), self.grant, usage.by_holder[holder]);
-    scope.room[team.name] = {left.cpus, left.gpus, 0};
+    scope.team_allowances[team.name] = {left.cpus, left.gpus, 0};
   }
   return scope;
 }
--- a/src/blocks/block_records.h
+++ b/src/blocks/block_records.h
@@ -50,10 +50,11 @@
 
   // The scope of the leader's round over all machines. `widen_s`: Division::MayPlace. `wall_now`:
   // the time of day, which jobs are stamped with.
-  plan::Scope WholeScope(double widen_s, double wall_now) const;
+  plan::PlacementScope WholeScope(double widen_s, double wall_now) const;
   // That of one holder's own round.
-  plan::Scope HolderScope(size_t holder, double widen_s, double wall_now,
-                          const config::Settings& settings, const jobs::JobTable& job_table) const;
+  plan::PlacementScope HolderScope(size_t holder, double widen_s, double wall_now,
+                                   const config::Settings& settings,
+                                   const jobs::JobTable& job_table) const;
 
  private:
   uint64_t ShareVersion(const std::string& node) const;
--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "model/machine_type.h"
+#include "plan/feasibility.h"
 #include "quota/lender.h"
 #include "quota/usage.h"
 #include "store/schema.h"
@@ -22,7 +23,7 @@
           .max_hold_off_s = kMaxHoldOffLeases * lease_s};
 }
 
-quota::AmountByTeam AmountsOf(const std::map<std::string, plan::Room>& rooms) {
+quota::AmountByTeam AmountsOf(const std::map<std::string, plan::Resources>& rooms) {
   quota::AmountByTeam amounts;
   for (const auto& [team, room] : rooms) amounts[team] = {room.cpus, room.gpus};
   return amounts;
@@ -30,13 +31,14 @@
 
 // By holder, whether it can place a job on one of its machines, were these empty.
 std::vector<char> HoldersAble(const jobs::Job& job, const fleet::WorkerRegistry& registry,
-                              const plan::Context& context, const plan::Scope& scope) {
-  std::vector<char> able(scope.holders, 0);
+                              const plan::Context& context, const plan::PlacementScope& scope) {
+  std::vector<char> able(scope.holder_count, 0);
   for (const auto& [name, machine] : registry.all()) {
     const std::optional<size_t> holder = scope.holder_of(name);
     if (!holder || able[*holder] != 0 || !machine.has_reported() || machine.returning) continue;
     const model::MachineType* machine_type = context.FindMachineType(machine.machine_type);
-    const bool could = machine_type != nullptr && plan::CouldRun(job.spec, machine, *machine_type);
+    const bool could =
+        machine_type != nullptr && plan::IsFeasible(job.spec, machine, *machine_type);
     if (could && scope.may_place(*holder, job)) able[*holder] = 1;
   }
   return able;
@@ -48,9 +50,9 @@
                                           const fleet::WorkerRegistry& registry,
                                           const plan::Context& context,
                                           const plan::RoundResult& round,
-                                          const plan::Scope& scope) {
-  std::vector<quota::AmountByTeam> withheld(scope.holders);
-  for (const auto& [team, id] : round.first_over_limit) {
+                                          const plan::PlacementScope& scope) {
+  std::vector<quota::AmountByTeam> withheld(scope.holder_count);
+  for (const auto& [team, id] : round.first_over_quota) {
     const jobs::Job* job = job_table.Find(id);
     if (job == nullptr) continue;
     const std::vector<char> able = HoldersAble(*job, registry, context, scope);
@@ -90,18 +92,19 @@
 std::optional<RecordChange> Lending::ReviewShares(
     const BlockRecords& records, const CopyState& copy, const jobs::JobTable& job_table,
     const fleet::WorkerRegistry& registry, const plan::Context& context,
-    const plan::RoundResult& round, const plan::Scope& scope, const WriteLimits& limits) const {
+    const plan::RoundResult& round, const plan::PlacementScope& scope,
+    const WriteLimits& limits) const {
   // What a holder placed before its share shrank may not have come yet: lent anew now, it would
   // count twice.
   if (copy.revision < records.newest()) return std::nullopt;
   const DivisionRecord& division = records.division().record();
-  const quota::Usage usage = quota::CountPlaced(job_table, scope.holders, scope.holder_of);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
   const auto withheld = Withheld(job_table, registry, context, round, scope);
   std::vector<quota::HolderAccount> accounts;
   for (size_t i = 0; i < division.holders.size(); ++i) {
     const Holder& holder = division.holders[i];
     accounts.push_back({holder.node, holder.grant, records.ShareOf(holder.node), usage.by_holder[i],
-                        AmountsOf(round.planned[i]), withheld[i]});
+                        AmountsOf(round.planned_by_holder[i]), withheld[i]});
   }
   auto changes = quota::ReviewShares(settings_.teams, {usage.outside, quota::LeastTasks(job_table)},
                                      accounts, limits.value_bytes);
--- a/src/blocks/lending.h
+++ b/src/blocks/lending.h
@@ -47,7 +47,8 @@
                                            const jobs::JobTable& job_table,
                                            const fleet::WorkerRegistry& registry,
                                            const plan::Context& context,
-                                           const plan::RoundResult& round, const plan::Scope& scope,
+                                           const plan::RoundResult& round,
+                                           const plan::PlacementScope& scope,
                                            const WriteLimits& limits) const;
 
  private:
@@ -61,6 +62,7 @@
 std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
                                           const fleet::WorkerRegistry& registry,
                                           const plan::Context& context,
-                                          const plan::RoundResult& round, const plan::Scope& scope);
+                                          const plan::RoundResult& round,
+                                          const plan::PlacementScope& scope);
 
 }  // namespace hallpier::blocks
--- a/src/controller/block_leader.cc
+++ b/src/controller/block_leader.cc
@@ -79,11 +79,11 @@
   return deps_.records->Holding(deps_.settings->node, session, Copy());
 }
 
-plan::Scope BlockLeader::WholeScope() const {
+plan::PlacementScope BlockLeader::WholeScope() const {
   return deps_.records->WholeScope(WidenS(), deps_.time_of_day());
 }
 
-plan::Scope BlockLeader::OwnScope(size_t holder) const {
+plan::PlacementScope BlockLeader::OwnScope(size_t holder) const {
   return deps_.records->HolderScope(holder, WidenS(), deps_.time_of_day(), *deps_.settings,
                                     *deps_.job_table);
 }
@@ -96,11 +96,12 @@
 }
 
 async::Task<> BlockLeader::Review(async::Scope& term, const plan::RoundResult& round,
-                                  const plan::Scope* scope) {
+                                  const plan::PlacementScope* scope) {
   NotePause(Now());
   co_await ReviewDivision(term);
   if (term.cancelled()) co_return;
-  if (scope != nullptr && scope->holders == deps_.records->division().record().holders.size()) {
+  if (scope != nullptr &&
+      scope->holder_count == deps_.records->division().record().holders.size()) {
     NoteRetries(round, *scope);
     co_await ReviewShares(term, round, *scope);
     if (term.cancelled()) co_return;
@@ -121,7 +122,7 @@
 }
 
 async::Task<> BlockLeader::ReviewShares(async::Scope& term, const plan::RoundResult& round,
-                                        const plan::Scope& scope) {
+                                        const plan::PlacementScope& scope) {
   const blocks::WriteLimits limits = {static_cast<size_t>(deps_.formats->txn_ops()),
                                       deps_.formats->value_bytes()};
   auto change = lending_.ReviewShares(*deps_.records, Copy(), *deps_.job_table, registry_, context_,
@@ -151,10 +152,10 @@
   }
 }
 
-void BlockLeader::NoteRetries(const plan::RoundResult& round, const plan::Scope& scope) {
+void BlockLeader::NoteRetries(const plan::RoundResult& round, const plan::PlacementScope& scope) {
   std::erase_if(retries_, [&](const auto& entry) { return entry.second.until < Now(); });
   const std::set<std::string> retried(round.retried_jobs.begin(), round.retried_jobs.end());
-  for (const jobs::TaskTransition& place : round.places) {
+  for (const jobs::TaskTransition& place : round.placements) {
     if (!retried.contains(place.task.job)) continue;
     const std::optional<size_t> holder = scope.holder_of(place.machine);
     if (holder) retries_[place.task.job] = {*holder, Now() + deps_.settings->heartbeat_interval_s};
--- a/src/controller/block_leader.h
+++ b/src/controller/block_leader.h
@@ -36,13 +36,13 @@
   // The number of this node among the holders, if it may place on its block now. `session`: of this
   // process.
   std::optional<size_t> Holding(uint64_t session) const;
-  plan::Scope WholeScope() const;
-  plan::Scope OwnScope(size_t holder) const;
+  plan::PlacementScope WholeScope() const;
+  plan::PlacementScope OwnScope(size_t holder) const;
 
   // After a plan over all machines: writes what has to change, and tells holders what is new.
   // `scope`: the one it was made with; null: machines were not divided.
   async::Task<> Review(async::Scope& term, const plan::RoundResult& round,
-                       const plan::Scope* scope);
+                       const plan::PlacementScope* scope);
 
  private:
   // What a node was sent and has not acknowledged yet.
@@ -54,10 +54,10 @@
   void NotePause(double now);
   async::Task<> ReviewDivision(async::Scope& term);
   async::Task<> ReviewShares(async::Scope& term, const plan::RoundResult& round,
-                             const plan::Scope& scope);
+                             const plan::PlacementScope& scope);
   async::Task<> Write(async::Scope& term, blocks::RecordChange change) const;
   // Notes for how long which holder is asked to retry which failing job.
-  void NoteRetries(const plan::RoundResult& round, const plan::Scope& scope);
+  void NoteRetries(const plan::RoundResult& round, const plan::PlacementScope& scope);
   std::set<std::string> RetriesOf(size_t holder) const;
   void SendViews();
   blocks::CopyState Copy() const;
--- a/src/controller/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -193,7 +193,7 @@
     if (m.kind == jobs::TaskTransition::Kind::kRequeue) ++requeued[m.machine + ": " + m.why];
   }
   for (const auto& [why, n] : requeued) spdlog::info("{} tasks back from {}", n, why);
-  std::optional<plan::Scope> scope;
+  std::optional<plan::PlacementScope> scope;
   if (blocks_ && blocks_->divided()) scope = blocks_->WholeScope();
   plan::RoundResult plan = plan::PlanRound(context_, *deps_.job_table, registry_, begin,
                                            deps_.time_of_day(), scope ? &*scope : nullptr);
@@ -207,8 +207,9 @@
     registry_.failures().OnRetry(job, begin);
   }
   if (!decided.placements.empty() || !plan.preemptions.empty()) {
-    spdlog::info("round: {} waiting, {} placed, {} stopped for others, {:.1f} ms", plan.waiting,
-                 decided.placements.size(), plan.preemptions.size(), round_took_ * 1000);
+    spdlog::info("round: {} waiting, {} placed, {} stopped for others, {:.1f} ms",
+                 plan.waiting_tasks, decided.placements.size(), plan.preemptions.size(),
+                 round_took_ * 1000);
   }
   for (const auto& m : decided.placements) {
     spdlog::debug("place {} try {} on {}", model::TaskName(m.task), m.attempt, m.machine);
@@ -229,17 +230,17 @@
 
 async::Task<LeaderLoop::Decided> LeaderLoop::DecidePlacements(async::Scope& term,
                                                               plan::RoundResult* plan,
-                                                              const plan::Scope* scope) {
+                                                              const plan::PlacementScope* scope) {
   Decided decided;
   decided.preconditions = {store::TokenPrecondition(deps_.election->token())};
   if (!blocks_) {
-    decided.placements = std::move(plan->places);
+    decided.placements = std::move(plan->placements);
     co_return decided;
   }
   co_await blocks_->Review(term, *plan, scope);
   if (term.cancelled()) co_return decided;
   if (scope == nullptr && blocks_->MayPlaceOnAll()) {
-    decided.placements = std::move(plan->places);
+    decided.placements = std::move(plan->placements);
     co_return decided;
   }
   const std::optional<size_t> holder = blocks_->Holding(deps_.session());
@@ -248,12 +249,12 @@
     work_waits_ = true;
     co_return decided;
   }
-  const plan::Scope own = blocks_->OwnScope(*holder);
+  const plan::PlacementScope own = blocks_->OwnScope(*holder);
   const double now = term.loop().Now();
   plan::RoundResult placed =
       plan::PlanRound(context_, *deps_.job_table, registry_, now, deps_.time_of_day(), &own);
   round_took_ += term.loop().Now() - now;
-  decided.placements = std::move(placed.places);
+  decided.placements = std::move(placed.placements);
   decided.preconditions = deps_.records->PlacementPreconditions(*holder);
   co_return decided;
 }
--- a/src/controller/leader_loop.h
+++ b/src/controller/leader_loop.h
@@ -58,7 +58,7 @@
   // Lends and takes back as the plan over all machines says, and decides what this node itself
   // places. `scope`: the one of the plan; null: machines were not divided.
   async::Task<Decided> DecidePlacements(async::Scope& term, plan::RoundResult* plan,
-                                        const plan::Scope* scope);
+                                        const plan::PlacementScope* scope);
   void CarryOutStops(async::Scope& term, const std::vector<plan::Preemption>& stops);
   // Turns a round's mutations into transactions under these guards and sends them.
   async::Task<> Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
--- a/src/controller/placing_loop.cc
+++ b/src/controller/placing_loop.cc
@@ -86,7 +86,7 @@
   const double time_of_day = deps_.time_of_day();
   context_.machine_types = *deps_.machine_types;
   const double widen_s = deps_.operators->blocks.widen_ratio * deps_.settings->heartbeat_interval_s;
-  const plan::Scope scope =
+  const plan::PlacementScope scope =
       deps_.records->HolderScope(holder, widen_s, time_of_day, *deps_.settings, *deps_.job_table);
   plan::RoundResult plan =
       plan::PlanRound(context_, *deps_.job_table, mirror_.registry(), now, time_of_day, &scope);
@@ -107,15 +107,15 @@
   plan::RoundResult plan = Plan(*holder);
   for (const std::string& job : plan.retried_jobs)
     mirror_.registry().failures().OnRetry(job, Now());
-  if (plan.places.empty()) co_return;
-  spdlog::info("round of block {}: {} waiting, {} placed, {:.1f} ms", *holder, plan.waiting,
-               plan.places.size(), round_took_ * 1000);
+  if (plan.placements.empty()) co_return;
+  spdlog::info("round of block {}: {} waiting, {} placed, {:.1f} ms", *holder, plan.waiting_tasks,
+               plan.placements.size(), round_took_ * 1000);
   jobs::TransactionLimits limits =
       committer_.Limits(deps_.records->PlacementPreconditions(*holder), deps_.time_of_day());
   limits.placements_only = true;
   limits.others_place = true;
   auto version = [this](const std::string& key) { return deps_.cache->Version(key); };
-  auto transactions = jobs::BuildTransactions(*deps_.job_table, plan.places, limits, version);
+  auto transactions = jobs::BuildTransactions(*deps_.job_table, plan.placements, limits, version);
   co_await committer_.Commit(scope_, std::move(transactions), deps_.operators->round_s);
 }
 
--- /dev/null
+++ b/src/plan/context.cc
@@ -0,0 +1,23 @@
+#include "plan/context.h"
+
+#include <algorithm>
+
+namespace hallpier::plan {
+
+const model::MachineType* Context::FindMachineType(const std::string& name) const {
+  return model::FindMachineType(machine_types, name);
+}
+
+double ReactionTime(const Context& context) {
+  return config::ReactionS(*context.settings, *context.operators);
+}
+
+double LongestBootTime(const Context& context) {
+  double boot_s = context.settings->heartbeat_interval_s;
+  for (const model::MachineType& machine_type : context.machine_types) {
+    boot_s = std::max(boot_s, machine_type.boot_s);
+  }
+  return boot_s;
+}
+
+}  // namespace hallpier::plan
--- a/src/plan/duplex.cc
+++ b/src/plan/duplex.cc
@@ -4,218 +4,207 @@
 #include <cmath>
 #include <cstdint>
 #include <functional>
+#include <utility>
 
 namespace hallpier::plan {
 namespace {
-constexpr double kEpsilon = 1e-6;
-// Steps in which it is compared how much longer a machine would be in use.
-constexpr double kSteps = 4;
-}  // namespace
-
-Room& Room::operator+=(const Room& o) {
-  cpus += o.cpus;
-  gpus += o.gpus;
-  memory_gb += o.memory_gb;
-  return *this;
-}
-
-Room& Room::operator-=(const Room& o) {
-  cpus -= o.cpus;
-  gpus -= o.gpus;
-  memory_gb -= o.memory_gb;
-  return *this;
-}
-
-bool Room::Fits(const Room& need) const {
-  return need.cpus <= cpus + kEpsilon && need.gpus <= gpus + kEpsilon &&
-         need.memory_gb <= memory_gb + kEpsilon;
-}
-
-size_t Timeline::Split(double time) {
-  size_t i = steps_.size();
-  while (i > 0 && steps_[i - 1].time > time) --i;
-  // The first step is at 0 and time is never negative, so there is one before.
-  if (i > 0 && steps_[i - 1].time == time) return i - 1;
-  Step step = steps_[i - 1];
-  step.time = time;
-  steps_.insert(steps_.begin() + static_cast<ptrdiff_t>(i), step);
-  return i;
-}
 
-void Timeline::Release(double time, const Room& room) {
-  for (size_t i = Split(std::max(time, 0.0)); i < steps_.size(); ++i) steps_[i].free += room;
-}
-
-double Timeline::Earliest(const Room& room, double length) const {
-  for (size_t i = 0; i < steps_.size(); ++i) {
-    if (!steps_[i].free.Fits(room)) continue;
-    const double end = steps_[i].time + length;
-    size_t j = i + 1;
-    while (j < steps_.size() && steps_[j].time < end && steps_[j].free.Fits(room)) ++j;
-    if (j == steps_.size() || steps_[j].time >= end) return steps_[i].time;
-    i = j;  // does not fit at j; the loop goes on behind it
-  }
-  return -1;
-}
-
-void Timeline::Reserve(double start, double length, const Room& room) {
-  Split(start + length);
-  for (size_t i = Split(start); i < steps_.size() && steps_[i].time < start + length; ++i) {
-    steps_[i].free -= room;
-  }
-}
-
-namespace {
+// In how many steps of the task's run time it is compared how much longer a machine would be in
+// use.
+constexpr double kExtensionSteps = 4;
+constexpr double kMillisecondsPerSecond = 1e3;
 
-// What a class would get on a machine when it was last looked at. Reservations only ever take room,
-// so a candidate can become worse but never better: the best one is found by looking again at the
-// top of a heap, not at every machine.
+// What a class would get on a machine when it was last evaluated.
 struct Candidate {
   double completion;
-  int64_t ms;  // the completion in whole milliseconds
+  int64_t completion_ms;  // in whole milliseconds
   double start;
-  double longer;  // how much longer the machine would be in use, where the class packs
-  double room;    // free processors, where the class packs
+  double extension;  // how much longer the machine would be in use, where the class packs
+  double free_cpus;  // where the class packs
   size_t machine;
 
   // Of equal completions the machine that would be in use anyway, then the fullest, then the first
   // one: so that whole machines come free for tasks that need one. Completions are compared in
   // whole milliseconds: that is an order, as a comparison with a tolerance would not be.
-  friend bool operator>(const Candidate& a, const Candidate& b) {
-    if (a.ms != b.ms) return a.ms > b.ms;
-    if (a.longer != b.longer) return a.longer > b.longer;
-    if (a.room != b.room) return a.room > b.room;
-    return a.machine > b.machine;
+  friend bool operator>(const Candidate& left, const Candidate& right) {
+    if (left.completion_ms != right.completion_ms) return left.completion_ms > right.completion_ms;
+    if (left.extension != right.extension) return left.extension > right.extension;
+    if (left.free_cpus != right.free_cpus) return left.free_cpus > right.free_cpus;
+    return left.machine > right.machine;
+  }
+  friend bool operator==(const Candidate& left, const Candidate& right) {
+    return !(left > right) && !(right > left);
   }
 };
 
-class ClassState {
+// The candidates of one class, as a heap with the best on top. Reservations only ever take
+// resources, so a candidate can become worse but never better: the best one is found by evaluating
+// the top of the heap again, not every machine.
+class CandidateHeap {
  public:
-  ClassState(const TaskClass& tc, const std::vector<Slots>& machines)
-      : tc_(tc),
+  CandidateHeap(const TaskClass& task_class, const std::vector<MachineSlots>& machines)
+      : task_class_(task_class),
         machines_(machines),
-        left_(tc.count),
-        fixed_zone_(tc.fixed_zone),
-        zone_room_(tc.zone_room) {
-    for (size_t m = 0; m < machines.size(); ++m) {
-      Candidate c;
-      if (Evaluate(m, &c)) heap_.push_back(c);
+        tasks_left_(task_class.count),
+        fixed_zone_(task_class.fixed_zone),
+        zone_allowance_(task_class.zone_allowance) {
+    for (size_t machine = 0; machine < machines.size(); ++machine) {
+      Candidate candidate;
+      if (Evaluate(machine, &candidate)) heap_.push_back(candidate);
     }
     std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
     Refresh();
   }
 
-  // Nothing if no task is left, or none fits anywhere.
-  const Candidate* best() const { return left_ == 0 || heap_.empty() ? nullptr : &heap_.front(); }
+  // Null if no task is left, or none fits anywhere.
+  const Candidate* best() const {
+    return tasks_left_ == 0 || heap_.empty() ? nullptr : &heap_.front();
+  }
 
-  void Take() {
-    --left_;
+  // The best candidate is assigned to a task of the class.
+  void TakeBest() {
+    --tasks_left_;
     const size_t zone = machines_[heap_.front().machine].zone;
-    if (tc_.one_zone) fixed_zone_ = static_cast<int>(zone);
-    if (!zone_room_.empty()) --zone_room_[zone];
+    if (task_class_.one_zone) fixed_zone_ = zone;
+    if (!zone_allowance_.empty()) --zone_allowance_[zone];
   }
 
-  // Looks at the top again until it is what it says.
+  // Evaluates the top again until it is up to date.
   void Refresh() {
-    while (left_ > 0 && !heap_.empty()) {
+    while (tasks_left_ > 0 && !heap_.empty()) {
       const Candidate top = heap_.front();
-      Candidate now;
-      const bool there = ZoneAllowed(machines_[top.machine].zone) && Evaluate(top.machine, &now);
-      if (there && !(now > top) && !(top > now)) return;
+      Candidate current;
+      const bool fits = ZoneAllowed(machines_[top.machine].zone) && Evaluate(top.machine, &current);
+      if (fits && current == top) return;
       std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
-      if (!there) {
+      if (!fits) {
         heap_.pop_back();
         continue;
       }
-      heap_.back() = now;
+      heap_.back() = current;
       std::push_heap(heap_.begin(), heap_.end(), std::greater<>());
     }
   }
 
  private:
-  bool Evaluate(size_t m, Candidate* out) const {
-    const double run = tc_.run_s[m];
-    if (run < 0) return false;
-    const double start = machines_[m].timeline.Earliest(tc_.need, run);
+  // What a task of the class would get on the machine; false if it can never run there. Fills
+  // `candidate` in place: with std::optional as the result GCC 12 compiles the heap's comparisons
+  // to conditional moves, which wait for memory, and a round of 4,000 machines took a quarter to a
+  // half longer.
+  bool Evaluate(size_t machine, Candidate* candidate) const {
+    const double run_s = task_class_.run_s[machine];
+    if (run_s < 0) return false;
+    const ResourceTimeline& timeline = machines_[machine].timeline;
+    const double start = timeline.EarliestStart(task_class_.need, run_s);
     if (start < 0) return false;
-    *out = {start + run, std::llround((start + run) * 1e3), start, 0, 0, m};
-    if (!tc_.pack) return true;
+    const double completion = start + run_s;
+    *candidate = {.completion = completion,
+                  .completion_ms = std::llround(completion * kMillisecondsPerSecond),
+                  .start = start,
+                  .extension = 0,
+                  .free_cpus = 0,
+                  .machine = machine};
+    if (!task_class_.pack) return true;
     // In steps, so that small differences do not spread tasks over half-empty machines.
-    const double longer = std::max(0.0, run - machines_[m].timeline.last());
-    out->longer = std::ceil(longer * kSteps / run);
-    out->room = machines_[m].timeline.now().cpus;
+    const double longer_s = std::max(0.0, run_s - timeline.last_change());
+    candidate->extension = std::ceil(longer_s * kExtensionSteps / run_s);
+    candidate->free_cpus = timeline.free_now().cpus;
     return true;
   }
+
   bool ZoneAllowed(size_t zone) const {
-    if (tc_.one_zone && fixed_zone_ >= 0 && static_cast<size_t>(fixed_zone_) != zone) return false;
-    return zone_room_.empty() || zone_room_[zone] > 0;
+    if (task_class_.one_zone && fixed_zone_ && *fixed_zone_ != zone) return false;
+    return zone_allowance_.empty() || zone_allowance_[zone] > 0;
   }
 
-  const TaskClass& tc_;
-  const std::vector<Slots>& machines_;
-  size_t left_;
-  int fixed_zone_;
-  std::vector<size_t> zone_room_;
+  const TaskClass& task_class_;
+  const std::vector<MachineSlots>& machines_;
+  size_t tasks_left_;
+  std::optional<size_t> fixed_zone_;
+  std::vector<size_t> zone_allowance_;
   std::vector<Candidate> heap_;
 };
 
-}  // namespace
+bool ComesBefore(MappingOrder order, const Candidate& left, const Candidate& right) {
+  return order == MappingOrder::kMinMin ? left.completion < right.completion
+                                        : left.completion > right.completion;
+}
 
-Map MapTier(MappingOrder order, const std::vector<TaskClass>& classes, std::vector<Slots>& machines,
-            size_t limit, std::vector<Touched>* touched) {
-  std::vector<ClassState> states;
-  states.reserve(classes.size());
-  for (const TaskClass& tc : classes) states.emplace_back(tc, machines);
-  std::vector<bool> noted(touched == nullptr ? 0 : machines.size(), false);
-  Map map;
-  while (map.assignments.size() < limit) {
-    const Candidate* best = nullptr;
-    size_t chosen = 0;
-    for (size_t c = 0; c < states.size(); ++c) {
-      const Candidate* b = states[c].best();
-      if (b == nullptr) continue;
-      if (best == nullptr || (order == MappingOrder::kMinMin ? b->completion < best->completion
-                                                             : b->completion > best->completion)) {
-        best = b;
-        chosen = c;
-      }
-    }
-    if (best == nullptr) break;
-    const TaskClass& tc = classes[chosen];
-    const size_t m = best->machine;
-    const double start = best->start;
-    if (touched != nullptr && !noted[m]) {
-      noted[m] = true;
-      touched->push_back({m, machines[m].timeline});
+// The class whose best candidate is assigned next; the first of equals. Nothing if no class has a
+// candidate.
+std::optional<size_t> NextClass(MappingOrder order, const std::vector<CandidateHeap>& heaps) {
+  const Candidate* chosen = nullptr;
+  size_t chosen_class = 0;
+  for (size_t i = 0; i < heaps.size(); ++i) {
+    const Candidate* best = heaps[i].best();
+    if (best == nullptr) continue;
+    if (chosen == nullptr || ComesBefore(order, *best, *chosen)) {
+      chosen = best;
+      chosen_class = i;
     }
-    machines[m].timeline.Reserve(start, tc.run_s[m], tc.need);
-    map.assignments.push_back({chosen, m, start, tc.run_s[m]});
-    map.cost += tc.run_s[m] + start;
-    states[chosen].Take();
-    // Only who wanted this machine, or has new bounds on its zones, must look around again.
-    for (size_t c = 0; c < states.size(); ++c) {
-      const Candidate* b = states[c].best();
-      if (b != nullptr && (c == chosen || b->machine == m)) states[c].Refresh();
+  }
+  if (chosen == nullptr) return std::nullopt;
+  return chosen_class;
+}
+
+}  // namespace
+
+void TimelineUndoLog::Save(size_t machine, const ResourceTimeline& timeline) {
+  if (saved_[machine]) return;
+  saved_[machine] = true;
+  snapshots_.push_back({machine, timeline});
+}
+
+void TimelineUndoLog::Exchange(std::vector<MachineSlots>& machines) {
+  for (Snapshot& snapshot : snapshots_) {
+    std::swap(machines[snapshot.machine].timeline, snapshot.timeline);
+  }
+}
+
+Mapping MapTasks(MappingOrder order, const std::vector<TaskClass>& classes,
+                 std::vector<MachineSlots>& machines, size_t limit, TimelineUndoLog* undo_log) {
+  std::vector<CandidateHeap> heaps;
+  heaps.reserve(classes.size());
+  for (const TaskClass& task_class : classes) heaps.emplace_back(task_class, machines);
+  Mapping mapping;
+  while (mapping.assignments.size() < limit) {
+    const std::optional<size_t> chosen = NextClass(order, heaps);
+    if (!chosen) break;
+    const TaskClass& task_class = classes[*chosen];
+    const size_t machine = heaps[*chosen].best()->machine;
+    const double start = heaps[*chosen].best()->start;
+    const double run_s = task_class.run_s[machine];
+    ResourceTimeline& timeline = machines[machine].timeline;
+    if (undo_log != nullptr) undo_log->Save(machine, timeline);
+    timeline.Reserve(start, run_s, task_class.need);
+    mapping.assignments.push_back({*chosen, machine, start, run_s});
+    mapping.cost += run_s + start;
+    heaps[*chosen].TakeBest();
+    // Only the classes whose best candidate is this machine, and the one that has less allowance
+    // left in its zones, must be evaluated again.
+    for (size_t i = 0; i < heaps.size(); ++i) {
+      const Candidate* best = heaps[i].best();
+      if (best != nullptr && (i == *chosen || best->machine == machine)) heaps[i].Refresh();
     }
   }
-  return map;
+  return mapping;
 }
 
-Map Duplex(const std::vector<TaskClass>& classes, std::vector<Slots>& machines, size_t limit) {
+Mapping Duplex(const std::vector<TaskClass>& classes, std::vector<MachineSlots>& machines,
+               size_t limit) {
   // Tasks that are all alike leave nothing to order.
-  if (classes.size() == 1) return MapTier(MappingOrder::kMinMin, classes, machines, limit);
-  std::vector<Touched> undo;
-  Map min_min = MapTier(MappingOrder::kMinMin, classes, machines, limit, &undo);
-  // From here on `undo` holds how min-min leaves the machines.
-  for (Touched& t : undo) std::swap(machines[t.machine].timeline, t.before);
-  std::vector<Touched> undo_max;
-  Map min_max = MapTier(MappingOrder::kMinMax, classes, machines, limit, &undo_max);
-  // A map that serves more tasks is better however much they add to the sum.
+  if (classes.size() == 1) return MapTasks(MappingOrder::kMinMin, classes, machines, limit);
+  TimelineUndoLog min_min_log(machines.size());
+  Mapping min_min = MapTasks(MappingOrder::kMinMin, classes, machines, limit, &min_min_log);
+  min_min_log.Exchange(machines);
+  TimelineUndoLog min_max_log(machines.size());
+  Mapping min_max = MapTasks(MappingOrder::kMinMax, classes, machines, limit, &min_max_log);
+  // A mapping that serves more tasks is better however much they add to the sum.
   const bool more = min_max.assignments.size() > min_min.assignments.size();
   const bool same = min_max.assignments.size() == min_min.assignments.size();
   if (more || (same && min_max.cost < min_min.cost)) return min_max;
-  for (Touched& t : undo_max) machines[t.machine].timeline = std::move(t.before);
-  for (Touched& t : undo) machines[t.machine].timeline = std::move(t.before);
+  min_max_log.Exchange(machines);
+  min_min_log.Exchange(machines);
   return min_min;
 }
 
--- a/src/plan/job_order.h
+++ b/src/plan/job_order.h
@@ -1,34 +1,39 @@
-// In which order a round looks at the jobs: tiers by priority and guarantee, bands within a tier by
-// what is left of a job and whether it can still make its aim. Pure.
+// In which order a round serves the jobs: priority tiers by priority and guarantee, and bands
+// within a tier by the work that is left of a job and whether it can still meet its objective. Does
+// no I/O; refers to the context of the round that it is made for.
 #pragma once
 
 #include "jobs/job_table.h"
-#include "plan/round.h"
+#include "plan/context.h"
 
 namespace hallpier::plan {
 
 // Bands of a tier.
 inline constexpr int kBands = 16;
 
-// Seconds that a new machine usually takes until it is up, whatever its type.
-double BootTime(const Context& context);
-
 class JobOrder {
  public:
-  // `wall_now`: the time of day, which submissions are stamped with.
-  JobOrder(const Context& context, double wall_now) : context_(context), wall_now_(wall_now) {}
-
-  // The smaller comes first. `within`: the job is within its team's guarantee.
-  int Tier(const jobs::Job& job, bool within) const;
-  int Band(const jobs::Job& job) const;
+  // `time_of_day`: what submissions are stamped with, seconds.
+  JobOrder(const Context& context, double time_of_day)
+      : context_(context), time_of_day_(time_of_day) {}
+
+  // The job's tier; the smallest is served first. `within_guarantee`: the job is within what its
+  // team is guaranteed.
+  int PriorityTier(const jobs::Job& job, bool within_guarantee) const;
+  // The job's band within its tier, 0 to kBands - 1; the smallest is served first.
+  int RemainingWorkBand(const jobs::Job& job) const;
   // True if a job within a guarantee has waited for as long as a machine takes to boot.
-  bool Overdue(const jobs::Job& job, bool within) const;
+  bool IsGuaranteeOverdue(const jobs::Job& job, bool within_guarantee) const;
 
  private:
-  bool Pressing(const jobs::Job& job) const;
+  // True if a best-effort job has waited long enough to move up (priority aging).
+  bool HasAged(const jobs::Job& job) const;
+  // True if the job can't meet any of its objectives any more, and has not waited long enough yet
+  // to be served like those that can.
+  bool HasMissedObjectives(const jobs::Job& job, double run_s) const;
 
   const Context& context_;
-  const double wall_now_;
+  const double time_of_day_;
 };
 
 }  // namespace hallpier::plan
--- /dev/null
+++ b/src/plan/job_queue.cc
@@ -0,0 +1,104 @@
+#include "plan/job_queue.h"
+
+#include <algorithm>
+#include <tuple>
+
+#include "plan/retry_budget.h"
+#include "plan/starvation.h"
+#include "plan/team_quota.h"
+
+namespace hallpier::plan {
+namespace {
+
+// Before the ranks of all tiers.
+constexpr int kStarvedRank = -1;
+
+class JobQueueBuilder {
+ public:
+  JobQueueBuilder(const RoundInput& input, const RoundMachines& machines, const JobOrder& order,
+                  const std::vector<const jobs::Job*>& jobs)
+      : input_(input),
+        order_(order),
+        quotas_(input.IsSingleHolder() ? TeamQuotas::OfAllowances(input.scope->team_allowances)
+                                       : TeamQuotas::OfLimits(input.context.settings->teams, jobs,
+                                                              machines.ended_by_team)),
+        starvation_(input, machines.total_cpus),
+        retries_(input.registry.failures(), input.now, machines.total_cpus) {
+    for (const jobs::Job* job : jobs) {
+      // A blocked job takes no part of its team's guarantee, and creates no demand for machines.
+      if (!job->cancelled && !job->blocked) Add(*job);
+    }
+    std::stable_sort(
+        queue_.jobs.begin(), queue_.jobs.end(),
+        [](const QueuedJob& left, const QueuedJob& right) { return left.rank < right.rank; });
+    ApplyQuotas();
+  }
+
+  JobQueue Take() { return std::move(queue_); }
+
+ private:
+  void Add(const jobs::Job& job) {
+    const config::Team* team = input_.context.settings->FindTeam(job.spec.team);
+    const bool within_guarantee = quotas_.ChargeGuarantee(job, team);
+    if (within_guarantee) queue_.guaranteed.insert(&job);
+    const int tier = order_.PriorityTier(job, within_guarantee);
+    queue_.tiers[&job] = tier;
+    if (job.waiting() == 0 || !MayPlaceHere(job)) return;
+    const int rank = tier * kBands + order_.RemainingWorkBand(job);
+    QueuedJob queued{&job, within_guarantee, rank, job.waiting()};
+    if (input_.registry.failures().Suspected(job.spec.id)) {
+      // The last of its tier: no other job waits for what most likely fails again.
+      queued.retry = true;
+      queued.rank = tier * kBands + kBands - 1;
+      queued.tasks = retries_.TryRetry(job) ? 1 : 0;
+    } else if (const size_t first = starvation_.TasksServedFirst(job); first > 0) {
+      queued.rank = kStarvedRank;
+      queued.tasks = std::min(queued.tasks, first);
+    }
+    queue_.jobs.push_back(queued);
+  }
+
+  bool MayPlaceHere(const jobs::Job& job) const {
+    return !input_.IsSingleHolder() || input_.scope->may_place(*input_.scope->single_holder, job);
+  }
+
+  // Leaves out what is over its team's quota, in the order of the queue.
+  void ApplyQuotas() {
+    for (QueuedJob& queued : queue_.jobs) {
+      const model::JobSpec& spec = queued.job->spec;
+      const size_t admitted = quotas_.Admit(spec, queued.tasks);
+      if (admitted < queued.tasks) queue_.first_over_quota.try_emplace(spec.team, spec.id);
+      queued.tasks = admitted;
+      queue_.waiting_tasks += admitted;
+    }
+    std::erase_if(queue_.jobs, [](const QueuedJob& queued) { return queued.tasks == 0; });
+  }
+
+  const RoundInput& input_;
+  const JobOrder& order_;
+  TeamQuotas quotas_;
+  StarvationGuard starvation_;
+  RetryBudget retries_;
+  JobQueue queue_;
+};
+
+}  // namespace
+
+// kStarvedRank is rounded towards 0, so that its tier is the first one.
+int TierOfRank(int rank) { return rank / kBands; }
+
+std::vector<const jobs::Job*> JobsByAge(const jobs::JobTable& job_table) {
+  std::vector<const jobs::Job*> jobs;
+  for (const auto& [id, job] : job_table.all()) jobs.push_back(&job);
+  std::sort(jobs.begin(), jobs.end(), [](const jobs::Job* left, const jobs::Job* right) {
+    return std::tie(left->since, left->spec.id) < std::tie(right->since, right->spec.id);
+  });
+  return jobs;
+}
+
+JobQueue BuildJobQueue(const RoundInput& input, const RoundMachines& machines,
+                       const JobOrder& order, const std::vector<const jobs::Job*>& jobs) {
+  return JobQueueBuilder(input, machines, order, jobs).Take();
+}
+
+}  // namespace hallpier::plan
--- /dev/null
+++ b/src/plan/latency_reservation.cc
@@ -0,0 +1,53 @@
+#include "plan/latency_reservation.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace hallpier::plan {
+namespace {
+
+// A job class is latency-sensitive if its tasks should start within this many heartbeat intervals.
+constexpr double kLatencySensitiveIntervals = 3;
+// Resources are kept for this many jobs of a class, each of the usual size.
+constexpr double kReservedJobs = 3;
+// Each unfinished job moves the usual size by this part of the difference, in every round.
+constexpr double kSizeLearningRate = 0.02;
+// Seconds for which a reservation holds its slot: longer than any task is predicted to run,
+// services included.
+constexpr double kReservationTime = 1e6;
+
+bool IsLatencySensitive(const config::Objective& objective, const jobs::Job& job,
+                        const config::Settings& settings) {
+  return objective.kind == "wait" && objective.job_class == job.spec.job_class &&
+         objective.within_s <= kLatencySensitiveIntervals * settings.heartbeat_interval_s;
+}
+
+}  // namespace
+
+void LearnLatencySensitiveClass(Context& context, const jobs::Job& job) {
+  if (job.spec.priority > model::Priority::kUrgent) return;
+  for (const config::Objective& objective : context.settings->objectives) {
+    if (!IsLatencySensitive(objective, job, *context.settings)) continue;
+    auto [entry, is_new] = context.latency_sensitive.try_emplace(job.spec.job_class);
+    Context::LatencySensitiveClass& job_class = entry->second;
+    const double tasks = job.spec.tasks;
+    job_class.need = RequirementOf(job.spec);
+    job_class.tasks += (is_new ? 1 : kSizeLearningRate) * (tasks - job_class.tasks);
+  }
+}
+
+void ReserveForLatencySensitive(const Context& context, double total_cpus,
+                                std::vector<MachineSlots>& slots) {
+  for (const auto& [name, job_class] : context.latency_sensitive) {
+    if (job_class.need.cpus <= 0) continue;
+    const double most = context.operators->urgent_reserve * total_cpus / job_class.need.cpus;
+    TaskClass reservation;
+    reservation.need = job_class.need;
+    reservation.count =
+        static_cast<size_t>(std::ceil(std::min(most, kReservedJobs * job_class.tasks)));
+    reservation.run_s.assign(slots.size(), kReservationTime);
+    MapTasks(MappingOrder::kMinMin, {reservation}, slots, reservation.count);
+  }
+}
+
+}  // namespace hallpier::plan
--- /dev/null
+++ b/src/plan/round_input.h
@@ -0,0 +1,26 @@
+// What one round is planned from. The references belong to the caller of PlanRound() and hold for
+// that call; nothing else changes them meanwhile.
+#pragma once
+
+#include "fleet/worker_registry.h"
+#include "jobs/job_table.h"
+#include "plan/context.h"
+#include "plan/placement_scope.h"
+
+namespace hallpier::plan {
+
+struct RoundInput {
+  const Context& context;
+  const jobs::JobTable& job_table;
+  const fleet::WorkerRegistry& registry;
+  double now = 0;                         // steady time, seconds
+  double time_of_day = 0;                 // what submissions are stamped with, seconds
+  const PlacementScope* scope = nullptr;  // null: machines are not divided
+
+  // True for a round of one holder alone.
+  bool IsSingleHolder() const { return scope != nullptr && scope->single_holder.has_value(); }
+  // Seconds for which a job has been waiting to be done; from when it might start.
+  double AgeOf(const jobs::Job& job) const { return time_of_day - job.since; }
+};
+
+}  // namespace hallpier::plan
--- /dev/null
+++ b/src/plan/run_time.cc
@@ -0,0 +1,40 @@
+#include "plan/run_time.h"
+
+#include <algorithm>
+
+namespace hallpier::plan {
+namespace {
+
+// A running task that has outlived its prediction is expected to take this part of it more.
+constexpr double kOverrun = 0.1;
+// A service runs until it is cancelled: for more than a day, so that nobody waits for its end.
+constexpr double kServiceRunTime = 1e5;
+
+}  // namespace
+
+const fleet::ReportedTask* FindReported(const fleet::Machine& machine, const model::TaskId& task,
+                                        uint64_t attempt) {
+  const auto found = machine.reported_tasks.find(task);
+  if (found == machine.reported_tasks.end() || found->second.attempt != attempt) return nullptr;
+  return &found->second;
+}
+
+double PredictRunTime(const jobs::Job& job, const std::string& machine_type) {
+  if (job.spec.kind == model::JobKind::kService) return kServiceRunTime;
+  if (auto mean = job.MeanRun(machine_type)) return *mean;
+  if (auto mean = job.MeanRun()) return *mean;
+  return job.spec.estimate_s;
+}
+
+double RemainingTime(const RoundInput& input, const jobs::Job& job, const fleet::Machine& machine,
+                     const model::TaskId& task, uint64_t attempt) {
+  if (input.registry.Stopping(task, attempt)) {
+    return job.spec.checkpoint_s + kStopReactions * ReactionTime(input.context);
+  }
+  const double run_s = PredictRunTime(job, machine.machine_type);
+  const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
+  if (reported == nullptr || reported->state != model::TaskPhase::kRunning) return run_s;
+  return std::max(run_s - (input.now - reported->since), kOverrun * run_s);
+}
+
+}  // namespace hallpier::plan
--- /dev/null
+++ b/src/plan/task_classes.cc
@@ -0,0 +1,134 @@
+#include "plan/task_classes.h"
+
+#include <algorithm>
+#include <map>
+#include <optional>
+
+#include "plan/feasibility.h"
+#include "plan/run_time.h"
+
+namespace hallpier::plan {
+namespace {
+
+// Where the placed tasks of a job are.
+struct PlacedByZone {
+  std::map<std::string, size_t> tasks;  // by zone
+  bool unknown = false;                 // one is on a machine of which nothing is known
+};
+
+PlacedByZone CountPlacedByZone(const jobs::Job& job, const fleet::WorkerRegistry& registry) {
+  PlacedByZone placed;
+  for (const auto& [number, task_group] : job.task_groups()) {
+    for (const auto& [index, task] : task_group.open) {
+      if (task.machine.empty()) continue;
+      const auto machine = registry.all().find(task.machine);
+      if (machine == registry.all().end()) {
+        placed.unknown = true;
+      } else {
+        ++placed.tasks[machine->second.zone];
+      }
+    }
+  }
+  return placed;
+}
+
+// Seconds that fetching the image takes; 0 if the machine has it. `image`: its number, if any
+// machine is known to have it.
+double FetchTime(const model::JobSpec& spec, std::optional<size_t> image,
+                 const fleet::Machine& machine, const model::MachineType& machine_type) {
+  const bool present = image && *image < machine.images.size() && machine.images[*image];
+  if (present || machine_type.fetch_gb_per_s <= 0) return 0;
+  return spec.image_gb / machine_type.fetch_gb_per_s;
+}
+
+}  // namespace
+
+TaskClass TaskClassBuilder::Build(const QueuedJob& queued) {
+  const model::JobSpec& spec = queued.job->spec;
+  TaskClass task_class;
+  task_class.need = RequirementOf(spec);
+  task_class.count = queued.tasks;
+  // Whole machines stay free for large tasks. Urgent tasks start faster where little else starts.
+  task_class.pack = queued.job->priority > model::Priority::kUrgent;
+  task_class.one_zone = spec.one_zone;
+  const fleet::FailureTracker& failures = input_.registry.failures();
+  const std::set<std::string>* failed_on = failures.FailedOn(spec.id);
+  if (failed_on != nullptr && FailedOnAllMachines(spec, *failed_on)) {
+    // There is no machine that it has not failed on: it is retried there, but not at once.
+    failed_on = nullptr;
+    if (!queued.retry) task_class.count = failures.RetryDue(spec.id, input_.now) ? 1 : 0;
+  }
+  task_class.run_s = RunTimes(*queued.job, failed_on);
+  if (spec.one_zone || spec.spread) ConstrainZones(*queued.job, task_class);
+  return task_class;
+}
+
+// True if a job has failed on every machine that it allows.
+bool TaskClassBuilder::FailedOnAllMachines(const model::JobSpec& spec,
+                                           const std::set<std::string>& failed_on) const {
+  return std::all_of(machines_.machines.begin(), machines_.machines.end(),
+                     [&](const fleet::Machine* machine) {
+                       return !AllowsMachine(spec, *machine) || failed_on.contains(machine->name);
+                     });
+}
+
+// By holder, whether it may place tasks of a job; empty: all machines of the round are open to it.
+std::vector<char> TaskClassBuilder::HoldersAllowed(const jobs::Job& job) const {
+  std::vector<char> allowed;
+  if (input_.scope == nullptr || input_.scope->single_holder) return allowed;
+  for (size_t holder = 0; holder < input_.scope->holder_count; ++holder) {
+    allowed.push_back(input_.scope->may_place(holder, job) ? 1 : 0);
+  }
+  return allowed;
+}
+
+// Expected run time of a job's task on each machine, with the image's fetch where the machine lacks
+// it. `failed_on`: machines that it must not run on; null: none.
+std::vector<double> TaskClassBuilder::RunTimes(const jobs::Job& job,
+                                               const std::set<std::string>* failed_on) const {
+  const model::JobSpec& spec = job.spec;
+  std::map<const model::MachineType*, double> predicted;
+  for (const model::MachineType& machine_type : input_.context.machine_types) {
+    predicted[&machine_type] = PredictRunTime(job, machine_type.name);
+  }
+  const std::optional<size_t> image = input_.registry.ImageId(spec.image);
+  const std::vector<char> allowed_holders = HoldersAllowed(job);
+  std::vector<double> run_times;
+  run_times.reserve(machines_.size());
+  for (size_t i = 0; i < machines_.size(); ++i) {
+    const fleet::Machine& machine = *machines_.machines[i];
+    const model::MachineType& machine_type = *machines_.machine_types[i];
+    const bool closed = !allowed_holders.empty() && allowed_holders[machines_.holders[i]] == 0;
+    if (closed || !AllowsMachine(spec, machine) ||
+        (failed_on != nullptr && failed_on->contains(machine.name))) {
+      run_times.push_back(kNotAllowed);
+      continue;
+    }
+    run_times.push_back(predicted[&machine_type] + FetchTime(spec, image, machine, machine_type));
+  }
+  return run_times;
+}
+
+// Where the zones of a job's tasks depend on each other, the tasks that are placed already decide
+// what is left for the others.
+void TaskClassBuilder::ConstrainZones(const jobs::Job& job, TaskClass& task_class) {
+  const model::JobSpec& spec = job.spec;
+  const PlacedByZone placed = CountPlacedByZone(job, input_.registry);
+  // While a task is on a machine of which nothing is known, its zone is not known either.
+  if (placed.unknown || (spec.one_zone && placed.tasks.size() > 1)) task_class.count = 0;
+  if (spec.one_zone && placed.tasks.size() == 1) {
+    task_class.fixed_zone = machines_.zones.NumberOf(placed.tasks.begin()->first);
+  }
+  if (!spec.spread) return;
+  // No zone takes more than half of the tasks, rounded up.
+  const size_t most = (spec.tasks + 1) / 2;
+  task_class.zone_allowance.assign(machines_.zones.size(), most);
+  for (const auto& [zone, tasks] : placed.tasks) {
+    const size_t number = machines_.zones.NumberOf(zone);
+    // A zone that got its number just now has no machine in this round.
+    if (number >= task_class.zone_allowance.size()) continue;
+    task_class.zone_allowance[number] -= std::min(tasks, most);
+  }
+}
+
+}  // namespace hallpier::plan
--- a/tests/blocks_cluster.h
+++ b/tests/blocks_cluster.h
@@ -452,16 +452,16 @@
     // Whoever was frozen or cut off plans by what it knows: the guards must hold.
     const auto holder = node.records.Holding(node.name, node.session, Copy(node));
     if (!holder) return;
-    const plan::Scope scope =
+    const plan::PlacementScope scope =
         node.records.HolderScope(*holder, WidenS(), now_, settings_, node.job_table);
     const plan::RoundResult plan =
         plan::PlanRound(node.context, node.job_table, node.mirror->registry(), now_, now_, &scope);
-    Send(node, plan.places, node.records.PlacementPreconditions(*holder), true);
+    Send(node, plan.placements, node.records.PlacementPreconditions(*holder), true);
   }
 
   void LeaderRound(Node& node) {
     if (node.revision < node.token.value() && node.followed < log_.size()) return;
-    std::optional<plan::Scope> scope;
+    std::optional<plan::PlacementScope> scope;
     if (node.divides && node.records.division().divided())
       scope = node.records.WholeScope(WidenS(), now_);
     node.registry->Learn(node.job_table);
@@ -474,26 +474,28 @@
     if (node.divides) {
       if (Lend(node, plan, scope)) return;
       SendViews(node);
-      plan.places.clear();
+      plan.placements.clear();
       const auto holder = node.records.Holding(node.name, node.session, Copy(node));
       if (!scope && !node.records.division().divided() && node.revision >= node.records.newest()) {
-        plan.places =
-            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_).places;
+        plan.placements =
+            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_).placements;
       } else if (holder) {
-        const plan::Scope own =
+        const plan::PlacementScope own =
             node.records.HolderScope(*holder, WidenS(), now_, settings_, node.job_table);
-        plan.places =
-            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_, &own).places;
+        plan.placements =
+            plan::PlanRound(node.context, node.job_table, *node.registry, now_, now_, &own)
+                .placements;
         preconditions = node.records.PlacementPreconditions(*holder);
       }
     }
-    transitions.insert(transitions.end(), plan.places.begin(), plan.places.end());
+    transitions.insert(transitions.end(), plan.placements.begin(), plan.placements.end());
     Send(node, transitions, preconditions, false);
     for (const auto& [name, machine] : node.registry->all()) Poke(node, name);
   }
 
   // True if a write on records of blocks is under way.
-  bool Lend(Node& node, const plan::RoundResult& plan, const std::optional<plan::Scope>& scope) {
+  bool Lend(Node& node, const plan::RoundResult& plan,
+            const std::optional<plan::PlacementScope>& scope) {
     for (const std::string& other : names_) TellMember(node, other);
     auto change = node.lending->ReviewDivision(node.records, Copy(node), true, now_);
     if (!change && scope) {
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -251,8 +251,8 @@
   }
   config::Settings settings = SettingsOf();
   settings.teams = {{"team", 0, 12, 0, 0}};
-  const plan::Scope scope = records_.HolderScope(1, 1, 0, settings, job_table);
-  EXPECT_EQ(scope.room.at("team").cpus, 1);
+  const plan::PlacementScope scope = records_.HolderScope(1, 1, 0, settings, job_table);
+  EXPECT_EQ(scope.team_allowances.at("team").cpus, 1);
 }
 
 class ViewTest : public testing::Test {
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -6,7 +6,7 @@
 #include "fixtures.h"
 #include "model/job.h"
 #include "model/machine_type.h"
-#include "plan/demand.h"
+#include "plan/capacity_demand.h"
 
 namespace hallpier::plan {
 namespace {
@@ -28,7 +28,9 @@
     PutJob(job_table_, spec, kNow - age);
     return *job_table_.Find(id);
   }
-  int Tier(const jobs::Job& job, bool within) { return JobOrder(context_, kNow).Tier(job, within); }
+  int Tier(const jobs::Job& job, bool within) {
+    return JobOrder(context_, kNow).PriorityTier(job, within);
+  }
 
   config::Settings settings_;
   config::Operator operators_;
@@ -50,7 +52,7 @@
 
 TEST_F(JobOrderTest, WorkWithinAGuaranteeThatHasWaitedForABootComesBeforeAllBeyondOne) {
   const double boot = context_.machine_types[0].boot_s;
-  EXPECT_EQ(BootTime(context_), boot);
+  EXPECT_EQ(LongestBootTime(context_), boot);
   const jobs::Job& waited = Put("run-1", model::Priority::kBestEffort, boot + 1);
   EXPECT_LT(Tier(waited, true), Tier(Put("run-2", model::Priority::kUrgent, 0), false));
   EXPECT_GT(Tier(waited, true), Tier(Put("run-3", model::Priority::kUrgent, 0), true));
@@ -60,9 +62,9 @@
 TEST_F(JobOrderTest, JobsThatMissedTheirAimWaitForOthersButNotForEver) {
   settings_.objectives = {{"finished", "lane", 100, 0.9}};
   const JobOrder order(context_, kNow);
-  const int in_time = order.Band(Put("run-1", model::Priority::kNormal, 10));
-  EXPECT_GT(order.Band(Put("run-2", model::Priority::kNormal, 120)), in_time);
-  EXPECT_EQ(order.Band(Put("run-3", model::Priority::kNormal, 301)), in_time);
+  const int in_time = order.RemainingWorkBand(Put("run-1", model::Priority::kNormal, 10));
+  EXPECT_GT(order.RemainingWorkBand(Put("run-2", model::Priority::kNormal, 120)), in_time);
+  EXPECT_EQ(order.RemainingWorkBand(Put("run-3", model::Priority::kNormal, 301)), in_time);
 }
 
 TEST(Demand, NamesTheTypesThatFitCheapestPerTaskFirst) {
@@ -82,9 +84,9 @@
 }
 
 TEST(Demand, MissingIsWhatCannotBeDoneInTime) {
-  EXPECT_EQ(MissingShare(0, 4, 30), 0);
-  EXPECT_EQ(MissingShare(100, 4, 30), 0);
-  EXPECT_DOUBLE_EQ(MissingShare(240, 4, 30), 0.5);
+  EXPECT_EQ(ShortfallShare(0, 4, 30), 0);
+  EXPECT_EQ(ShortfallShare(100, 4, 30), 0);
+  EXPECT_DOUBLE_EQ(ShortfallShare(240, 4, 30), 0.5);
 }
 
 }  // namespace
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -22,10 +22,10 @@
   EXPECT_TRUE(fleet.registry().Collect(fleet.job_table(), LargeFleet::kStart + 1).empty())
       << "what runs is neither ended nor given up";
   const plan::RoundResult plan = fleet.Plan(LargeFleet::kStart + 1);
-  EXPECT_GE(plan.places.size(), 500U);
+  EXPECT_GE(plan.placements.size(), 500U);
   EXPECT_TRUE(plan.preemptions.empty());
   std::map<std::string, size_t> load;
-  for (const jobs::TaskTransition& place : plan.places) ++load[place.machine];
+  for (const jobs::TaskTransition& place : plan.placements) ++load[place.machine];
   for (const auto& [machine, tasks] : load) EXPECT_LE(tasks, LargeFleet::kCpus / 2) << machine;
 }
 
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -9,6 +9,7 @@
 #include "model/task.h"
 #include "plan/duplex.h"
 #include "plan/round.h"
+#include "plan/run_time.h"
 
 namespace hallpier::plan {
 namespace {
@@ -23,24 +24,24 @@
   return c;
 }
 
-std::vector<Slots> Machines(const std::vector<double>& cpus) {
-  std::vector<Slots> out;
+std::vector<MachineSlots> Machines(const std::vector<double>& cpus) {
+  std::vector<MachineSlots> out;
   out.reserve(cpus.size());
-  for (double c : cpus) out.push_back({Timeline(Room{c, 0, 100}), 0});
+  for (double c : cpus) out.push_back({ResourceTimeline(Resources{c, 0, 100}), 0});
   return out;
 }
 
-TEST(Timeline, FindsGapsAndEnds) {
-  Timeline t(Room{2, 0, 10});
+TEST(ResourceTimeline, FindsGapsAndEnds) {
+  ResourceTimeline t(Resources{2, 0, 10});
   t.Reserve(0, 5, {1, 0, 1});
   t.Reserve(8, 4, {2, 0, 1});
-  EXPECT_EQ(t.Earliest({1, 0, 1}, 8), 0);
-  EXPECT_EQ(t.Earliest({1, 0, 1}, 9), 12) << "the gap before the second block is too short";
-  EXPECT_EQ(t.Earliest({2, 0, 1}, 3), 5);
-  EXPECT_EQ(t.Earliest({2, 0, 1}, 4), 12);
-  EXPECT_LT(t.Earliest({3, 0, 1}, 1), 0);
+  EXPECT_EQ(t.EarliestStart({1, 0, 1}, 8), 0);
+  EXPECT_EQ(t.EarliestStart({1, 0, 1}, 9), 12) << "the gap before the second block is too short";
+  EXPECT_EQ(t.EarliestStart({2, 0, 1}, 3), 5);
+  EXPECT_EQ(t.EarliestStart({2, 0, 1}, 4), 12);
+  EXPECT_LT(t.EarliestStart({3, 0, 1}, 1), 0);
   t.Release(6, {1, 0, 0});
-  EXPECT_EQ(t.Earliest({3, 0, 1}, 1), 6);
+  EXPECT_EQ(t.EarliestStart({3, 0, 1}, 1), 6);
 }
 
 // One slot, tasks of 1 and 10 seconds. Min-min: 1 then 10 (delays 0 + 1); min-max: 10 then 1
@@ -49,9 +50,9 @@
   auto machines = Machines({1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {1}), ClassOf(1, 1, {10})};
   auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMin, classes, a, 10).cost, 12);
-  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMax, classes, b, 10).cost, 21);
-  Map map = Duplex(classes, machines, 10);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 12);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 21);
+  Mapping map = Duplex(classes, machines, 10);
   EXPECT_DOUBLE_EQ(map.cost, 12);
   EXPECT_EQ(map.assignments[0].task_class, 0U);
 }
@@ -63,22 +64,22 @@
   auto machines = Machines({1, 1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {2, 2}), ClassOf(1, 1, {3, 30})};
   auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMin, classes, a, 10).cost, 7);
-  EXPECT_DOUBLE_EQ(MapTier(MappingOrder::kMinMax, classes, b, 10).cost, 5);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 7);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 5);
   EXPECT_DOUBLE_EQ(Duplex(classes, machines, 10).cost, 5);
 }
 
 TEST(Duplex, KeepsZonesTogetherOrApart) {
-  std::vector<Slots> machines = Machines({2, 2});
+  std::vector<MachineSlots> machines = Machines({2, 2});
   machines[1].zone = 1;
   TaskClass together = ClassOf(1, 3, {5, 5});
   together.one_zone = true;
   auto m = machines;
-  Map map = Duplex({together}, m, 10);
+  Mapping map = Duplex({together}, m, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
   for (const auto& a : map.assignments) EXPECT_EQ(a.machine, map.assignments[0].machine);
   TaskClass apart = ClassOf(1, 3, {5, 5});
-  apart.zone_room = {1, 2};
+  apart.zone_allowance = {1, 2};
   m = machines;
   map = Duplex({apart}, m, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
@@ -94,7 +95,7 @@
   machines[2].timeline.Reserve(0, 100, {1, 0, 1});
   TaskClass packed = ClassOf(1, 1, {50, 50, 50});
   packed.pack = true;
-  Map map = Duplex({packed}, machines, 10);
+  Mapping map = Duplex({packed}, machines, 10);
   ASSERT_EQ(map.assignments.size(), 1U);
   EXPECT_EQ(map.assignments[0].machine, 2U);
 }
@@ -121,7 +122,7 @@
   }
   RoundResult Plan() { return PlanRound(context_, job_table_, registry_, 100, 100); }
   size_t PlacedOf(const RoundResult& r, const std::string& job) {
-    return static_cast<size_t>(std::count_if(r.places.begin(), r.places.end(),
+    return static_cast<size_t>(std::count_if(r.placements.begin(), r.placements.end(),
                                              [&](const auto& p) { return p.task.job == job; }));
   }
 
@@ -137,7 +138,7 @@
   PutJob(job_table_, Spec("run-1", 4));
   Place(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts, wherever it may be
   AddMachine("vm-1");
-  EXPECT_EQ(Plan().places.size(), 2U);
+  EXPECT_EQ(Plan().placements.size(), 2U);
 }
 
 // A team at its limit, whose jobs are cancelled while their machines can't be asked: what may be
@@ -149,10 +150,10 @@
   PutJob(job_table_, Spec("run-1", 3), 1, true);
   PutJob(job_table_, Spec("run-2", 2));
   AddMachine("vm-1");
-  EXPECT_EQ(Plan().places.size(), 0U);
+  EXPECT_EQ(Plan().placements.size(), 0U);
   job_table_.Apply(store::ParseKey(store::TaskGroupKey("run-1", 0)),
                    R"({"done":[],"on":{"":[0,1,2]},"runs":{}})");
-  EXPECT_EQ(Plan().places.size(), 2U);
+  EXPECT_EQ(Plan().placements.size(), 2U);
 }
 
 // A team at its limit, one of whose tasks was stopped: until that is recorded nobody takes its part
@@ -165,7 +166,7 @@
   model::Heartbeat r = ReportOf("vm-1", 1, 1, kTestToken);
   r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)};
   registry_.OnHeartbeat(r, 100, false);
-  EXPECT_EQ(Plan().places.size(), 0U);
+  EXPECT_EQ(Plan().placements.size(), 0U);
   r.agent_epoch = model::AgentEpoch(2);
   r.sequence = 2;
   r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)};
@@ -186,18 +187,18 @@
     r.zone = "b";
     registry_.OnHeartbeat(r, 100, false);
   }
-  EXPECT_EQ(Plan().places.size(), 0U);
+  EXPECT_EQ(Plan().placements.size(), 0U);
   job_table_.Apply(store::ParseKey(store::TaskGroupKey("run-1", 0)),
                    R"({"done":[],"on":{"":[0]},"runs":{}})");
   const RoundResult r = Plan();
   std::set<std::string> zones;
-  for (const auto& p : r.places) zones.insert(registry_.Find(p.machine)->zone);
-  EXPECT_GT(r.places.size(), 0U);
+  for (const auto& p : r.placements) zones.insert(registry_.Find(p.machine)->zone);
+  EXPECT_GT(r.placements.size(), 0U);
   EXPECT_EQ(zones.size(), 1U);
   // What runs in a zone keeps the rest there, also once a new leader takes over.
   Place(job_table_, "run-1", 1, 1, "vm-1");
   registry_.BeginTerm(model::FencingToken(8), 100, 100);
-  for (const auto& p : Plan().places) EXPECT_EQ(registry_.Find(p.machine)->zone, "a");
+  for (const auto& p : Plan().placements) EXPECT_EQ(registry_.Find(p.machine)->zone, "a");
 }
 
 TEST_F(RoundTest, AHigherTierTakesTheRoomFirst) {
@@ -231,7 +232,7 @@
   PutJob(job_table_, spec);
   AddMachine("vm-1");  // zone a
   auto r = Plan();
-  EXPECT_TRUE(r.places.empty());
+  EXPECT_TRUE(r.placements.empty());
   ASSERT_EQ(r.demands.size(), 1U);
   EXPECT_EQ(r.demands[0].zone, "b");
   EXPECT_EQ(r.demands[0].tasks, 8U);
@@ -258,7 +259,7 @@
   auto r = Plan();
   ASSERT_EQ(r.preemptions.size(), 1U);
   EXPECT_EQ(r.preemptions[0].task.index, 3U) << "it started last";
-  EXPECT_TRUE(r.places.empty()) << "the room is not there yet";
+  EXPECT_TRUE(r.placements.empty()) << "the room is not there yet";
 }
 
 // A leader that has just taken over knows of no task how long it has run: of two that it heard of
@@ -396,9 +397,9 @@
   for (int i = 0; i < 50; ++i) AddMachine("vm-" + std::to_string(i));
   auto r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-1"), 200U);
-  EXPECT_EQ(r.places.front().task.index, 0U);
-  EXPECT_EQ(r.places.back().task.index, 199U);
-  EXPECT_EQ(r.waiting, 100000U);
+  EXPECT_EQ(r.placements.front().task.index, 0U);
+  EXPECT_EQ(r.placements.back().task.index, 199U);
+  EXPECT_EQ(r.waiting_tasks, 100000U);
 }
 
 // Nothing starves: not the largest job behind a stream of small ones, not a class behind an urgent
@@ -445,7 +446,7 @@
   PutJob(job_table_, Spec("run-2", 3), 2);
   AddMachine("vm-1");
   RoundResult r = Plan();
-  EXPECT_EQ(r.waiting, 4U);
+  EXPECT_EQ(r.waiting_tasks, 4U);
   EXPECT_EQ(PlacedOf(r, "run-1"), 0U);
   EXPECT_EQ(PlacedOf(r, "run-2"), 3U);
   EXPECT_TRUE(r.demands.empty());
@@ -495,7 +496,7 @@
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failures().OnFailure("run-1", name, 99);
   registry_.Learn(job_table_);
-  EXPECT_TRUE(Plan().places.empty());
+  EXPECT_TRUE(Plan().placements.empty());
   registry_.failures().OnSuccess("run-1", "vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
 }
@@ -528,20 +529,20 @@
     for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
   }
   registry_.Learn(job_table_);
-  EXPECT_EQ(Plan().places.size(), 2U) << "2 of 120 processors";
+  EXPECT_EQ(Plan().placements.size(), 2U) << "2 of 120 processors";
 }
 
 TEST_F(RoundTest, PredictsFromTheLearnedMeanOnceThereIsOne) {
   PutJob(job_table_, Spec("run-1", 4));
-  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 10);
+  EXPECT_DOUBLE_EQ(PredictRunTime(*job_table_.Find("run-1"), "c4"), 10);
   store::TaskGroup task_group;
   task_group.done.Insert(0);
   task_group.runs["c8"] = {2, 12};
   PutTaskGroup(job_table_, "run-1", 0, task_group);
-  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 6);
+  EXPECT_DOUBLE_EQ(PredictRunTime(*job_table_.Find("run-1"), "c4"), 6);
   task_group.runs["c4"] = {1, 8};
   PutTaskGroup(job_table_, "run-1", 0, task_group);
-  EXPECT_DOUBLE_EQ(PredictRun(*job_table_.Find("run-1"), "c4"), 8);
+  EXPECT_DOUBLE_EQ(PredictRunTime(*job_table_.Find("run-1"), "c4"), 8);
 }
 
 }  // namespace
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -37,7 +37,7 @@
     const auto listing = fleet.Listing();
     list.push_back(Milliseconds([&] { fleet.registry().OnListed(listing, now, now + 1); }));
     collect.push_back(Milliseconds([&] { fleet.registry().Collect(fleet.job_table(), now + 1); }));
-    round.push_back(Milliseconds([&] { placed = fleet.Plan(now + 1).places.size(); }));
+    round.push_back(Milliseconds([&] { placed = fleet.Plan(now + 1).placements.size(); }));
   }
   std::printf(
       "%6zu machines: load %.1f ms, takeover %.1f ms, list %.1f ms, collect %.1f ms, "
