--- /dev/null
+++ b/tests/capacity_demand_test.cc
@@ -0,0 +1,60 @@
+// What waiting tasks need new machines for.
+#include "plan/capacity_demand.h"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "config/settings.h"
+#include "fixtures.h"
+#include "jobs/job_table.h"
+#include "model/machine_type.h"
+
+namespace hallpier::plan {
+namespace {
+
+using namespace testing_support;
+
+TEST(CapacityDemand, NamesTheTypesThatFitCheapestPerTaskFirst) {
+  std::vector<model::MachineType> types = {MachineTypeOf("c2", 2), MachineTypeOf("c8", 8),
+                                           MachineTypeOf("c16", 16)};
+  types[0].spot_price = 0.1;
+  types[1].spot_price = 0.3;
+  types[2].spot_price = 1.0;
+  const auto demand = DemandFor(Spec("run-1", 10, 4), 7, types);
+  ASSERT_TRUE(demand);
+  ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit two processors";
+  EXPECT_EQ(demand->choices[0].machine_type, "c8");
+  EXPECT_EQ(demand->choices[0].fit, 2U);
+  EXPECT_EQ(demand->choices[1].fit, 4U);
+  EXPECT_EQ(demand->tasks, 7U);
+  EXPECT_FALSE(DemandFor(Spec("run-2", 10, 32), 7, types));
+}
+
+TEST(CapacityDemand, TheShortfallIsWhatCannotBeDoneInTime) {
+  EXPECT_EQ(ShortfallShare(0, 4, 30), 0);
+  EXPECT_EQ(ShortfallShare(100, 4, 30), 0);
+  EXPECT_DOUBLE_EQ(ShortfallShare(240, 4, 30), 0.5);
+}
+
+TEST(CapacityDemand, OfWhatNoRoundLookedAtIsThePartThatMachinesCannotDoInTime) {
+  const config::Settings settings = SettingsOf();
+  Context context;
+  context.settings = &settings;
+  context.machine_types = {MachineTypeOf("c4", 4)};
+  jobs::JobTable job_table(64);
+  PutJob(job_table, Spec("run-1", 5));
+  PutJob(job_table, Spec("run-2", 24));
+  JobQueue queue;
+  queue.jobs = {{job_table.Find("run-1"), false, 0, 5}, {job_table.Find("run-2"), false, 1, 24}};
+  ASSERT_EQ(LongestBootTime(context), 30);
+  // 24 tasks of 10 s; four processors do 120 s of work while a machine boots.
+  const auto demands = DemandForUnmapped(queue, 1, context, 4);
+  ASSERT_EQ(demands.size(), 1U);
+  EXPECT_EQ(demands[0].tasks, 12U);
+  EXPECT_TRUE(DemandForUnmapped(queue, 1, context, 8).empty());
+  EXPECT_TRUE(DemandForUnmapped(queue, 2, context, 0).empty());
+}
+
+}  // namespace
+}  // namespace hallpier::plan
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -1,4 +1,4 @@
-// The order in which a round looks at jobs, and what it asks new machines for.
+// The order in which a round serves jobs.
 #include "plan/job_order.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,6 @@
 #include "fixtures.h"
 #include "model/job.h"
 #include "model/machine_type.h"
-#include "plan/capacity_demand.h"
 
 namespace hallpier::plan {
 namespace {
@@ -67,27 +66,5 @@
   EXPECT_EQ(order.RemainingWorkBand(Put("run-3", model::Priority::kNormal, 301)), in_time);
 }
 
-TEST(Demand, NamesTheTypesThatFitCheapestPerTaskFirst) {
-  std::vector<model::MachineType> types = {MachineTypeOf("c2", 2), MachineTypeOf("c8", 8),
-                                           MachineTypeOf("c16", 16)};
-  types[0].spot_price = 0.1;
-  types[1].spot_price = 0.3;
-  types[2].spot_price = 1.0;
-  const auto demand = DemandFor(Spec("run-1", 10, 4), 7, types);
-  ASSERT_TRUE(demand);
-  ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit two processors";
-  EXPECT_EQ(demand->choices[0].machine_type, "c8");
-  EXPECT_EQ(demand->choices[0].fit, 2U);
-  EXPECT_EQ(demand->choices[1].fit, 4U);
-  EXPECT_EQ(demand->tasks, 7U);
-  EXPECT_FALSE(DemandFor(Spec("run-2", 10, 32), 7, types));
-}
-
-TEST(Demand, MissingIsWhatCannotBeDoneInTime) {
-  EXPECT_EQ(ShortfallShare(0, 4, 30), 0);
-  EXPECT_EQ(ShortfallShare(100, 4, 30), 0);
-  EXPECT_DOUBLE_EQ(ShortfallShare(240, 4, 30), 0.5);
-}
-
 }  // namespace
 }  // namespace hallpier::plan
--- /dev/null
+++ b/tests/retry_budget_test.cc
@@ -0,0 +1,83 @@
+// Retries of jobs that fail on every machine.
+#include "plan/retry_budget.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "model/heartbeat.h"
+#include "model/job.h"
+#include "plan/round.h"
+#include "round_fixture.h"
+
+namespace hallpier::plan {
+namespace {
+
+using namespace testing_support;
+
+class RetryBudgetTest : public RoundFixture {};
+
+// A job that failed wherever it ran: one task at a time, behind what waits beside it, and nothing
+// is rented or stopped for it.
+TEST_F(RetryBudgetTest, AJobThatFailsEverywhereIsRetriedBehindAllOthersOfItsRank) {
+  for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
+  PutJob(job_table_, Spec("run-1", 20), 1);
+  for (const char* name : {"vm-1", "vm-2", "vm-3"})
+    registry_.failures().OnFailure("run-1", name, 90);
+  registry_.Learn(job_table_);
+  RoundResult alone = Plan();
+  EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
+  EXPECT_EQ(alone.retried_jobs, std::vector<std::string>{"run-1"});
+  EXPECT_TRUE(alone.demands.empty());
+  PutJob(job_table_, Spec("run-2", 12), 50);
+  RoundResult beside = Plan();
+  EXPECT_EQ(PlacedOf(beside, "run-2"), 12U);
+  EXPECT_EQ(PlacedOf(beside, "run-1"), 0U);
+  EXPECT_TRUE(beside.preemptions.empty());
+}
+
+TEST_F(RetryBudgetTest, ARetryWaitsForItsBackoff) {
+  for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
+  PutJob(job_table_, Spec("run-1", 20), 1);
+  for (const char* name : {"vm-1", "vm-2", "vm-3"})
+    registry_.failures().OnFailure("run-1", name, 99);
+  registry_.Learn(job_table_);
+  EXPECT_TRUE(Plan().placements.empty());
+  registry_.failures().OnSuccess("run-1", "vm-1");
+  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
+}
+
+// Where it can go nowhere else, a job returns to machines that it failed on, but not at once.
+TEST_F(RetryBudgetTest, AJobThatFailedOnAllMachinesThatFitIsNotGivenUp) {
+  AddMachine("vm-1");
+  for (int i = 2; i < 6; ++i) {
+    model::Heartbeat other = ReportOf("vm-" + std::to_string(i), 1, 1, kTestToken);
+    other.zone = "b";
+    registry_.OnHeartbeat(other, 100, false);
+  }
+  model::JobSpec bound = Spec("run-1", 8);
+  bound.zone = "a";
+  PutJob(job_table_, bound, 1);
+  registry_.failures().OnFailure("run-1", "vm-1", 99);
+  registry_.Learn(job_table_);
+  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
+  RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
+  EXPECT_EQ(PlacedOf(later, "run-1"), 1U);
+  EXPECT_EQ(later.retried_jobs, std::vector<std::string>{"run-1"});
+}
+
+// However many such jobs there are, their retries share a small part of the processors.
+TEST_F(RetryBudgetTest, RetriesOfManyBrokenJobsAreBounded) {
+  for (int i = 0; i < 30; ++i) AddMachine("vm-" + std::to_string(i));
+  for (int j = 0; j < 10; ++j) {
+    const std::string id = "run-" + std::to_string(j);
+    PutJob(job_table_, Spec(id, 20), 1);
+    for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
+  }
+  registry_.Learn(job_table_);
+  EXPECT_EQ(Plan().placements.size(), 2U) << "2 of 120 processors";
+}
+
+}  // namespace
+}  // namespace hallpier::plan
