--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -1,4 +1,4 @@
-// Team limits on whole nodes against stand-ins, with blocks on: several controllers place at the
+// Team limits on whole nodes against fakes, with blocks on: several controllers place at the
 // same time, and some of them end, are cut off or are of an older version.
 #include <algorithm>
 
@@ -28,7 +28,7 @@
     Record();
     StartNodes(0, count, count);
   }
-  // Reads only what the stand-in workers run; each task takes one processor.
+  // Reads only what the fake workers run; each task takes one processor.
   void Record() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -1,4 +1,4 @@
-// Troubles that meet, on whole nodes against stand-ins. docs/concurrent-failures.md names the test
+// Troubles that meet, on whole nodes against fakes. docs/concurrent-failures.md names the test
 // of each.
 #include "end_to_end.h"
 #include "model/job.h"
@@ -8,7 +8,6 @@
 namespace {
 
 using namespace testing_support;
-using standins::State;
 
 class MeetingTest : public EndToEnd {
  public:
@@ -53,7 +52,7 @@
     bool over = co_await Within(5, [&] { return state_->Value(store::JobKey("run-1")).empty(); });
     EXPECT_TRUE(over);
     co_await Pause(2 * kReport);
-    state_->LoseAnswers("hallpier/a/t/run-2", State::Lost::kLate);
+    state_->LoseAnswers("hallpier/a/t/run-2", FakeStateService::Lost::kLate);
     co_await Accepted(0, Spec("run-2", 4));
     auto urgent = Spec("run-3", 4);
     urgent.priority = model::Priority::kUrgent;
@@ -86,7 +85,7 @@
   LateAndNextLeaderTest() { run_s_ = 2; }
   async::Task<> Script() {
     co_await StartOthersOnceItLeads();
-    state_->LoseAnswers("hallpier/a/t/run-1", State::Lost::kLate, 2);
+    state_->LoseAnswers("hallpier/a/t/run-1", FakeStateService::Lost::kLate, 2);
     co_await Accepted(1, Spec("run-1", 20));
     bool ok = co_await Within(10, [&] { return state_->lost() >= 1; });
     EXPECT_TRUE(ok);
@@ -151,7 +150,7 @@
   LostAnswerTest() { run_s_ = 30; }
   async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
-    state_->LoseAnswers("hallpier/a/j/run-2", State::Lost::kAtOnce);
+    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Lost::kAtOnce);
     wire::HttpResponse r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 503) << "it can't know, and says so at once";
     EXPECT_GT(r.retry_after_s, 0);
@@ -159,7 +158,7 @@
     r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 200);
     co_await Runs("run-2", 3);
-    state_->LoseAnswers("hallpier/a/j/run-2", State::Lost::kAtOnce);
+    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Lost::kAtOnce);
     r = co_await Ask(1, "POST", "/submissions/run-2/withdraw");
     EXPECT_EQ(r.status, 503);
     co_await AllSay("run-2", "cancelled");
@@ -167,7 +166,7 @@
     EXPECT_EQ(told, "cancelled");
     co_await Runs("run-2", 0);
     // A leader whose placement was carried out without an answer starts it all the same, once.
-    state_->LoseAnswers("hallpier/a/t/run-3", State::Lost::kAtOnce, 2);
+    state_->LoseAnswers("hallpier/a/t/run-3", FakeStateService::Lost::kAtOnce, 2);
     co_await Accepted(2, Spec("run-3", 5));
     co_await Runs("run-3", 5);
   }
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -1,4 +1,4 @@
-// Whole controllers on loopback against stand-ins, for tests that need them.
+// Whole controllers on loopback against fakes, for tests that need them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,11 +7,12 @@
 #include <set>
 
 #include "controller/controller.h"
+#include "fakes/fake_cloud.h"
+#include "fakes/fake_state_service.h"
 #include "fixtures.h"
 #include "model/job.h"
 #include "model/key_value.h"
 #include "port_block.h"
-#include "standins/standins.h"
 #include "wire/json.h"
 #include "wire/user_codec.h"
 
@@ -96,18 +97,18 @@
 
   void StartServices(int count) {
     std::string error;
-    standins::Cloud::Options options;
+    FakeCloud::Options options;
     for (int i = 0; i < count; ++i) {
-      options.controllers.push_back(At(2 * i));
-      options.nodes.push_back("node-" + std::to_string(i));
+      options.worker.controllers.push_back(At(2 * i));
+      options.worker.nodes.push_back("node-" + std::to_string(i));
     }
-    options.heartbeat_interval_s = kReport;
-    options.lease_s = lease_s_;
-    options.run_s = run_s_;
+    options.worker.heartbeat_interval_s = kReport;
+    options.worker.lease_s = lease_s_;
+    options.worker.run_s = run_s_;
     options.first_port = PortBlock::OfProcess().first() + kFirstWorkerPort;
     options.ports = kWorkerPorts;
-    state_ = std::make_unique<standins::State>(scope_);
-    cloud_ = std::make_unique<standins::Cloud>(scope_, options);
+    state_ = std::make_unique<FakeStateService>(scope_);
+    cloud_ = std::make_unique<FakeCloud>(scope_, options);
     RequireStarted(state_->Listen(At(20), &error), "the state service", error);
     RequireStarted(state_->ListenApart(At(22), &error), "its second way in", error);
     RequireStarted(cloud_->Listen(At(21), &error), "the cloud", error);
@@ -232,8 +233,8 @@
   std::map<int, size_t> newest_;  // process of a node: where in nodes_
   net::HttpClient client_;
   store::Client state_client_;
-  std::unique_ptr<standins::State> state_;
-  std::unique_ptr<standins::Cloud> cloud_;
+  std::unique_ptr<FakeStateService> state_;
+  std::unique_ptr<FakeCloud> cloud_;
   std::vector<std::unique_ptr<controller::Controller>> nodes_;
   bool finished_ = false;
   double state_rps_ = 2000;
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -1,4 +1,4 @@
-// Whole controllers on loopback against stand-ins: takeover, outage, cancellation.
+// Whole controllers on loopback against fakes: takeover, outage, cancellation.
 #include "end_to_end.h"
 
 #include <chrono>
--- /dev/null
+++ b/tests/fakes/fake_worker.cc
@@ -0,0 +1,168 @@
+#include "fakes/fake_worker.h"
+
+#include <utility>
+
+#include "fakes/http_support.h"
+
+namespace hallpier::testing_support {
+namespace {
+
+constexpr size_t kMaxAnswer = size_t{256} * 1024;
+// Within a heartbeat interval.
+constexpr double kTicks = 20;
+constexpr double kRetries = 3;
+constexpr double kMostTimeoutS = 4;
+
+}  // namespace
+
+FakeWorker::FakeWorker(async::Scope& scope, const Options& options, model::CloudMachine listed,
+                       OnStart on_start)
+    : options_(options),
+      listed_(std::move(listed)),
+      on_start_(std::move(on_start)),
+      life_(scope.loop(), &scope),
+      server_(life_, kFakeServerLimits,
+              [this](wire::HttpRequest request) { return Handle(std::move(request)); }),
+      client_(1, kMaxAnswer) {}
+
+bool FakeWorker::Start() {
+  std::string error;
+  if (!server_.Listen(listed_.endpoint, &error)) return false;
+  life_.Spawn(HeartbeatLoop());
+  return true;
+}
+
+void FakeWorker::End() {
+  life_.Cancel();
+  tasks_.clear();
+}
+
+bool FakeWorker::Runs(const model::TaskId& task) const {
+  auto it = tasks_.find(task);
+  return it != tasks_.end() && it->second.phase == model::TaskPhase::kRunning;
+}
+
+std::string FakeWorker::WriteHeartbeat() {
+  wire::JsonWriter writer;
+  writer.StartObject();
+  writer.Field("host").Text(listed_.machine);
+  writer.Field("endpoint").Text(listed_.endpoint);
+  writer.Field("flavor").Text(listed_.machine_type);
+  writer.Field("hall").Text(listed_.zone);
+  writer.Field("lendable").Bool(listed_.spot);
+  writer.Field("tenure").Uint64(agent_epoch_);
+  writer.Field("tick").Uint64(++sequence_);
+  writer.Field("epoch").Uint64(token_);
+  writer.Field("pieces").StartArray();
+  for (const auto& [task, running] : tasks_) {
+    const bool exited = running.phase == model::TaskPhase::kExited;
+    writer.StartObject();
+    writer.Field("piece").Text(model::TaskName(task));
+    writer.Field("try").Uint64(running.attempt);
+    writer.Field("phase").Text(exited ? "ended" : "running");
+    if (!running.cause.empty()) writer.Field("cause").Text(running.cause);
+    writer.EndObject();
+  }
+  writer.EndArray();
+  writer.EndObject();
+  return writer.Take();
+}
+
+void FakeWorker::StartTask(const model::TaskId& task, uint64_t attempt) {
+  on_start_(*this, task);
+  RunningTask running;
+  running.attempt = attempt;
+  running.ends = life_.loop().Now() + options_.run_s;
+  tasks_[task] = running;
+}
+
+void FakeWorker::Execute(const wire::JsonValue& commands) {
+  for (const auto& command : commands.GetArray()) {
+    const std::string kind = *wire::GetText(command, "verb");
+    auto task = model::ParseTaskName(*wire::GetText(command, "piece"));
+    const uint64_t attempt = *wire::GetCount(command, "try");
+    auto it = tasks_.find(*task);
+    const bool same = it != tasks_.end() && it->second.attempt == attempt;
+    if (kind == "run" && !same) {
+      StartTask(*task, attempt);
+    } else if (kind == "stop" && same && it->second.phase == model::TaskPhase::kRunning) {
+      it->second.phase = model::TaskPhase::kExited;
+      it->second.cause = "stopped";
+    } else if (kind == "forget" && same && it->second.phase == model::TaskPhase::kExited) {
+      tasks_.erase(it);
+    }
+  }
+}
+
+bool FakeWorker::EndDueTasks() {
+  bool changed = false;
+  for (auto& [task, running] : tasks_) {
+    const bool runs = running.phase == model::TaskPhase::kRunning;
+    if (!runs || life_.loop().Now() < running.ends) continue;
+    running.phase = model::TaskPhase::kExited;
+    running.cause = "done";
+    changed = true;
+  }
+  return changed;
+}
+
+void FakeWorker::ExpireLease(double now) {
+  if (now - renewed_ <= options_.lease_s) return;
+  tasks_.clear();
+  ++agent_epoch_;
+  renewed_ = now;
+}
+
+async::Task<> FakeWorker::HeartbeatLoop() {
+  renewed_ = life_.loop().Now();
+  while (!life_.cancelled()) {
+    async::Sleep pause(life_, options_.heartbeat_interval_s / kTicks);
+    co_await pause;
+    const double now = life_.loop().Now();
+    ExpireLease(now);
+    if (!EndDueTasks() && now < next_heartbeat_) continue;
+    next_heartbeat_ = now + options_.heartbeat_interval_s;
+    co_await SendHeartbeat(now);
+  }
+}
+
+async::Task<> FakeWorker::SendHeartbeat(double now) {
+  const uint64_t agent_epoch = agent_epoch_;
+  wire::HttpRequest request{.method = "POST", .target = "/checkin", .body = WriteHeartbeat()};
+  auto response =
+      co_await client_.Call(life_, options_.controllers[controller_], std::move(request),
+                            std::min(kMostTimeoutS, options_.heartbeat_interval_s), false);
+  if (life_.cancelled()) co_return;
+  auto answer = response ? wire::ParseObject(response->body) : std::nullopt;
+  if (response && response->status == 200 && answer) {
+    const uint64_t token = wire::GetCount(*answer, "epoch").value_or(0);
+    if (token < token_ || agent_epoch != agent_epoch_) co_return;
+    token_ = token;
+    renewed_ = now;
+    Execute((*answer)["orders"]);
+    co_return;
+  }
+  auto leader = answer ? wire::GetText(*answer, "foreman") : std::nullopt;
+  controller_ = NextController(leader.value_or(""));
+  next_heartbeat_ = now + options_.heartbeat_interval_s / kRetries;
+}
+
+size_t FakeWorker::NextController(const std::string& leader) const {
+  auto it = std::find(options_.nodes.begin(), options_.nodes.end(), leader);
+  if (it != options_.nodes.end()) return static_cast<size_t>(it - options_.nodes.begin());
+  return (controller_ + 1) % options_.controllers.size();
+}
+
+async::Task<wire::HttpResponse> FakeWorker::Handle(wire::HttpRequest request) {
+  if (request.path() == "/show") co_return Answer(200, WriteHeartbeat());
+  auto body = wire::ParseObject(request.body);
+  auto token = body ? wire::GetCount(*body, "epoch") : std::nullopt;
+  auto agent_epoch = body ? wire::GetCount(*body, "tenure") : std::nullopt;
+  if (!token || !agent_epoch) co_return Answer(400, "{}");
+  if (*token < token_ || *agent_epoch != agent_epoch_) co_return Answer(409, WriteHeartbeat());
+  token_ = *token;
+  Execute((*body)["orders"]);
+  co_return Answer(200, WriteHeartbeat());
+}
+
+}  // namespace hallpier::testing_support
--- /dev/null
+++ b/tests/fakes/http_support.h
@@ -0,0 +1,18 @@
+// What the fakes' HTTP servers share.
+#pragma once
+
+#include <string>
+#include <utility>
+
+#include "net/http_server.h"
+
+namespace hallpier::testing_support {
+
+// Wide enough that no test meets them.
+inline const net::HttpServer::Limits kFakeServerLimits = {1000, size_t{256} * 1024, 600, 10, 600};
+
+inline wire::HttpResponse Answer(int status, std::string body) {
+  return {.status = status, .body = std::move(body)};
+}
+
+}  // namespace hallpier::testing_support
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -1,4 +1,4 @@
-// Membership on whole nodes against stand-ins: joining, leaving, verdicts, old versions and what
+// Membership on whole nodes against fakes: joining, leaving, verdicts, old versions and what
 // the command line shows of it.
 #include <rapidjson/document.h>
 
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -10,13 +10,13 @@
 #include <thread>
 
 #include "election/leader_election.h"
+#include "fakes/fake_state_service.h"
 #include "fixtures.h"
 #include "model/key_value.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "port_block.h"
-#include "standins/standins.h"
 #include "store/linearizable_read.h"
 #include "wire/peer.h"
 #include "wire/varint.h"
@@ -382,7 +382,7 @@
  public:
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
     election::LeaderElection& lead = node.lead;
@@ -408,7 +408,7 @@
  public:
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
     bool outage_confirmed = false;
@@ -443,7 +443,7 @@
  public:
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     RequireStarted(state.ListenApart(At(4), &error), "a server", error);
     store::Client peer(scope_, StateAt(3));
@@ -494,7 +494,7 @@
   }
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     store::Client::Options options = StateAt(3);
     options.rps = 40;
@@ -606,7 +606,7 @@
   }
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(6), &error), "a server", error);
     store::Client client(scope_, StateAt(6));
     bool sent = false;
@@ -636,13 +636,13 @@
  public:
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(7), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(1, kLease), StateAt(7));
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     const model::FencingToken token = lead.token();
-    state.LoseAnswers(store::FencingTokenKey(), standins::State::Lost::kAtOnce);
+    state.LoseAnswers(store::FencingTokenKey(), FakeStateService::Lost::kAtOnce);
     bool fenced = co_await lead.Fence();
     EXPECT_FALSE(fenced);
     EXPECT_EQ(state.lost(), 1);
@@ -664,7 +664,7 @@
  public:
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(4), &error), "a server", error);
     store::Client client(scope_, StateAt(4));
     std::map<std::string, std::string> copy;
@@ -704,7 +704,7 @@
 // nothing of the kind.
 class LowerRates : public NetTest {
  public:
-  async::Task<int> Refusals(store::Client& client, standins::State& state, double s) {
+  async::Task<int> Refusals(store::Client& client, FakeStateService& state, double s) {
     const int before = state.refused();
     const double end = loop_.Now() + s;
     for (int i = 0; loop_.Now() < end; ++i) {
@@ -718,7 +718,7 @@
   }
   async::Task<> Script() {
     std::string error;
-    standins::State state(scope_);
+    FakeStateService state(scope_);
     RequireStarted(state.Listen(At(5), &error), "a server", error);
     state.SetLimits({0, 0, 20});
     store::Client::Options options = StateAt(5);
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -241,7 +241,7 @@
     cpus_max_ = kLimit;
     submit_pause_s_ = 0.05;
   }
-  // Reads only what the stand-in workers run; each task takes one processor.
+  // Reads only what the fake workers run; each task takes one processor.
   void WatchPeak() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
