--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -34,7 +34,8 @@
   std::vector<char> able(scope.holders, 0);
   for (const auto& [name, machine] : registry.all()) {
     const std::optional<size_t> holder = scope.holder_of(name);
-    if (!holder || able[*holder] != 0 || !machine.has_reported() || machine.returning) continue;
+    if (!holder || able[*holder] != 0 || !machine.has_reported() || machine.cloud.terminating)
+      continue;
     const model::MachineType* machine_type = context.FindMachineType(machine.machine_type);
     const bool could = machine_type != nullptr && plan::CouldRun(job.spec, machine, *machine_type);
     if (could && scope.may_place(*holder, job)) able[*holder] = 1;
--- a/src/blocks/machine_mirror.cc
+++ b/src/blocks/machine_mirror.cc
@@ -1,5 +1,6 @@
 #include "blocks/machine_mirror.h"
 
+#include "fleet/machine_views.h"
 #include "model/machine_view.h"
 
 namespace hallpier::blocks {
@@ -7,7 +8,7 @@
 void MachineMirror::Forget() {
   std::vector<std::string> names;
   for (const auto& [name, machine] : registry_.all()) names.push_back(name);
-  for (const std::string& name : names) registry_.DropView(name);
+  for (const std::string& name : names) registry_.Remove(name);
 }
 
 std::optional<uint64_t> MachineMirror::Take(const wire::BlockView& view, double now) {
@@ -21,10 +22,11 @@
     return 0;
   }
   sequence_ = view.sequence;
-  for (const std::string& machine : view.gone) registry_.DropView(machine);
-  for (const model::MachineView& machine : view.changed) registry_.TakeView(machine, now);
-  registry_.failures().TakeView(view.failures, now);
-  registry_.ConfirmViews(now);
+  for (const std::string& machine : view.gone) registry_.Remove(machine);
+  for (const model::MachineView& machine : view.changed)
+    fleet::ApplyMachineView(registry_, machine, now);
+  registry_.failures().ApplyView(view.failures, now);
+  fleet::ConfirmMachineViews(registry_, now);
   return view.sequence;
 }
 
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -5,6 +5,7 @@
 
 #include <set>
 
+#include "fleet/machine_views.h"
 #include "wire/block_codec.h"
 
 namespace hallpier::blocks {
@@ -43,7 +44,8 @@
   std::vector<model::MachineView> views;
   views.reserve(registry.all().size());
   for (const auto& [name, machine] : registry.all()) {
-    if (machine.has_reported()) views.push_back(registry.ViewOf(machine, images, now));
+    if (machine.has_reported())
+      views.push_back(fleet::DescribeMachine(registry, machine, images, now));
   }
   return views;
 }
--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -122,7 +122,7 @@
     after = all.back().machine;
   }
   if (term.cancelled()) co_return false;
-  registry_.OnListed(all, asked, term.loop().Now());
+  registry_.OnCloudList(all, asked, term.loop().Now());
   co_return true;
 }
 
@@ -165,7 +165,7 @@
 async::Task<> CloudLoop::Return(async::Scope& term) {
   std::vector<std::string> names;
   for (const auto& [name, m] : registry_.all()) {
-    if (!m.returning || names.size() >= kReturnsPerCall) continue;
+    if (!m.cloud.terminating || names.size() >= kReturnsPerCall) continue;
     names.push_back(name);
   }
   // A former leader's judgement must not take machines from its successor.
@@ -176,7 +176,7 @@
   if (!r || r->status != 200) co_return;
   for (const auto& name : names) {
     spdlog::info("machine {} returned", name);
-    registry_.OnReturned(name);
+    registry_.OnTerminated(name);
   }
   changed_();
 }
--- a/src/controller/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -6,6 +6,8 @@
 #include <iterator>
 
 #include "controller/round_interval.h"
+#include "fleet/reconciliation.h"
+#include "fleet/task_outcomes.h"
 #include "model/job.h"
 #include "model/task.h"
 #include "wire/worker_codec.h"
@@ -104,7 +106,7 @@
        it != job->task_groups().end() && it->first < end; ++it) {
     for (const auto& [index, task] : it->second.open) {
       if (!task.machine.empty() &&
-          registry_.StartIsDue(task.machine, {key.job, index}, task.attempt)) {
+          fleet::IsStartDue(registry_, task.machine, {key.job, index}, task.attempt)) {
         SendCommands(*term_, task.machine);
       }
     }
@@ -119,7 +121,7 @@
 size_t LeaderLoop::ReportingMachines() const {
   const auto& machines = registry_.all();
   return static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
-    return entry.second.has_reported() && !entry.second.returning;
+    return entry.second.has_reported() && !entry.second.cloud.terminating;
   }));
 }
 
@@ -135,10 +137,10 @@
   }
   fleet::Machine* m = registry_.Find(report.machine);
   std::vector<model::WorkerCommand> commands;
-  const bool newest = m->agent_epoch == report.agent_epoch && m->sequence == report.sequence;
+  const bool newest = m->IsNewestStatus(report);
   if (newest) commands = CommandsFor(*m, false);
   // Counted before the answer goes out: the lease may be renewed from here on.
-  registry_.OnAnswered(report, commands, now);
+  registry_.OnAnswerSent(report, commands, now);
   return {.status = 200, .body = wire::WriteHeartbeatResponse(registry_.token(), commands)};
 }
 
@@ -148,10 +150,10 @@
 }
 
 std::vector<model::WorkerCommand> LeaderLoop::CommandsFor(fleet::Machine& machine, bool direct) {
-  if (CaughtUp()) return registry_.Reconcile(machine, *deps_.job_table, direct);
+  if (CaughtUp()) return fleet::Reconcile(registry_, machine, *deps_.job_table, direct);
   // After a pause in an outage, leases are renewed on the word of the other nodes while the copy
   // can't be confirmed: a cancellation that they hand over would never be carried out.
-  return fleet::WorkerRegistry::CancellationCommands(machine, *deps_.job_table);
+  return fleet::CancellationCommands(machine, *deps_.job_table);
 }
 
 async::Task<> LeaderLoop::RoundLoop(async::Scope& term) {
@@ -175,7 +177,7 @@
 }
 
 async::Task<> LeaderLoop::Round(async::Scope& term) {
-  if (registry_.NeedsHigherToken(*deps_.job_table)) {
+  if (fleet::NeedsHigherToken(registry_, *deps_.job_table)) {
     bool fenced = co_await deps_.election->Fence();
     if (fenced) registry_.SetToken(deps_.election->token());
   }
@@ -186,8 +188,9 @@
   }
   const double begin = term.loop().Now();
   urgent_came_ = false;
-  registry_.Learn(*deps_.job_table);
-  std::vector<jobs::TaskTransition> transitions = registry_.Collect(*deps_.job_table, begin);
+  registry_.UpdateObservations(*deps_.job_table);
+  std::vector<jobs::TaskTransition> transitions =
+      fleet::CollectTaskTransitions(registry_, *deps_.job_table, begin);
   std::map<std::string, int> requeued;
   for (const auto& m : transitions) {
     if (m.kind == jobs::TaskTransition::Kind::kRequeue) ++requeued[m.machine + ": " + m.why];
@@ -220,7 +223,7 @@
 
 void LeaderLoop::CarryOutStops(async::Scope& term, const std::vector<plan::Preemption>& stops) {
   for (const plan::Preemption& p : stops) {
-    registry_.Stop(p.task, p.attempt, p.grace_s);
+    registry_.stop_requests().Add(p.task, p.attempt, p.grace_s);
     spdlog::debug("stop {} for {}", model::TaskName(p.task),
                   p.for_job.empty() ? "its machine's notice" : p.for_job);
     SendCommands(term, p.machine);
@@ -337,17 +340,17 @@
     fleet::Machine* m = registry_.Find(machine);
     // Who did not answer the last one hears the next in the answer to its report: hanging machines
     // would else hold the connections that others wait for.
-    if (m == nullptr || m->endpoint.empty() || !m->has_reported() || m->unreachable ||
+    if (m == nullptr || m->endpoint.empty() || !m->has_reported() || m->agent.unreachable ||
         !deps_.election->Entitled()) {
       break;
     }
     const model::FencingToken token = registry_.token();
     auto commands = CommandsFor(*m, true);
     // Its report has fetched them meanwhile, or they have to wait for the copy.
-    if (commands.empty() && (m->token == token || !CaughtUp())) break;
+    if (commands.empty() && (m->agent.token == token || !CaughtUp())) break;
     wire::HttpRequest q{.method = "POST",
                         .target = "/commands",
-                        .body = wire::WriteCommands(token, m->agent_epoch, commands)};
+                        .body = wire::WriteCommands(token, m->agent.epoch, commands)};
     auto r =
         co_await workers_.Call(term, m->endpoint, std::move(q),
                                kCommandTimeoutRatio * deps_.settings->heartbeat_interval_s, false);
@@ -360,7 +363,7 @@
         work_.Notify();
       }
     }
-    registry_.FinishDirect(machine, commands, token, answered);
+    fleet::OnDirectCommandFinished(registry_, machine, commands, token, answered);
   } while (!term.cancelled() && send_again_.contains(machine));
   sending_.erase(machine);
   while (!term.cancelled() && !send_queue_.empty() && sending_.size() < max_sends_) {
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -6,6 +6,8 @@
 #include <cmath>
 #include <tuple>
 
+#include "fleet/slowness_estimate.h"
+
 namespace hallpier::fleet {
 namespace {
 
@@ -105,11 +107,11 @@
                                   std::vector<model::ScaleOutRequest>* requests) {
   std::map<std::string, int> allowed;
   for (const model::MachineType& type : machine_types) {
-    const WorkerRegistry::Outstanding there = registry.CountOutstanding(type, now);
-    auto needed = static_cast<double>(there.in_time);
+    const WorkerRegistry::BootingMachines there = registry.CountBooting(type, now);
+    auto needed = static_cast<double>(there.on_time);
     for (const model::ScaleOutRequest& r : *requests)
       needed += r.machine_type == type.name ? r.count : 0;
-    const auto outstanding = static_cast<double>(there.in_time + there.late);
+    const auto outstanding = static_cast<double>(there.on_time + there.late);
     allowed[type.name] = static_cast<int>(std::max(0.0, kMostOutstanding * needed - outstanding));
   }
   for (model::ScaleOutRequest& r : *requests) {
@@ -128,18 +130,18 @@
                                      double now) {
   Census census;
   for (auto& [name, m] : registry.all()) {
-    if (m.returning || (!m.has_reported() && m.booting)) continue;
+    if (m.cloud.terminating || (!m.has_reported() && m.cloud.booting)) continue;
     Census::Zone& zone = census.zones[m.zone];
     ++zone.up;
-    const bool silent = registry.Silent(m, now);
+    const bool silent = registry.IsSilent(m, now);
     if (silent) ++zone.silent;
     if (!m.has_reported()) continue;
     ++census.reported;
     if (silent) ++census.silent;
-    if (registry.Unheard(m, now) > kQuiet) ++census.quiet;
+    if (registry.MissedHeartbeats(m, now) > kQuiet) ++census.quiet;
     if (registry.AnswersLost(m, now)) ++census.answers_lost;
     const bool busy = !job_table.On(name).empty() || !m.reported_tasks.empty();
-    if (busy) m.idle_since = now;
+    if (busy) m.cloud.idle_since = now;
     if (!busy) ++census.idle;
   }
   return census;
@@ -149,9 +151,10 @@
                       double now) const {
   // The first to be silent are not returned while most others have missed a report as well: it
   // takes a few reports more until it is plain that the fault is ours.
-  if (census.MostOf(census.quiet) || !registry.Silent(m, now)) return false;
+  if (census.MostOf(census.quiet) || !registry.IsSilent(m, now)) return false;
   return !census.zones.at(m.zone).cut() ||
-         registry.Unheard(m, now) * settings_.heartbeat_interval_s > kCutLeases * settings_.lease_s;
+         registry.MissedHeartbeats(m, now) * settings_.heartbeat_interval_s >
+             kCutLeases * settings_.lease_s;
 }
 
 std::optional<std::string_view> Autoscaler::WhyReturn(const WorkerRegistry& registry,
@@ -160,14 +163,15 @@
                                                       double boot_deadline_s, double now) const {
   if (!m.has_reported()) {
     // Its age alone says nothing: a machine that reported to the leader before us is old, too.
-    if (m.booting) {
-      if (now - m.requested_at > boot_deadline_s + settings_.list_lag_s) return "never came up";
+    if (m.cloud.booting) {
+      if (now - m.cloud.requested_at > boot_deadline_s + settings_.list_lag_s)
+        return "never came up";
       return std::nullopt;
     }
     if (Lost(registry, m, census, now)) return "up, but never reported";
     return std::nullopt;
   }
-  if (registry.Silent(m, now)) {
+  if (registry.IsSilent(m, now)) {
     if (Lost(registry, m, census, now)) return "silent";
     return std::nullopt;
   }
@@ -177,7 +181,7 @@
       static_cast<double>(census.answers_lost) < many_answers_lost) {
     return "our answers don't reach it";
   }
-  if (WorkerRegistry::Slow(m) && job_table.On(m.name).empty()) return "slow";
+  if (IsSlow(m) && job_table.On(m.name).empty()) return "slow";
   return std::nullopt;
 }
 
@@ -188,22 +192,22 @@
       static_cast<size_t>(std::ceil(kIdleKept * static_cast<double>(census.reported)));
   std::map<std::string, double> boot_deadlines;
   for (const model::MachineType& type : context.machine_types) {
-    const size_t late = registry.CountOutstanding(type, now).late;
+    const size_t late = registry.CountBooting(type, now).late;
     boot_deadlines[type.name] = registry.boot_times().Deadline(type.name, type.boot_s, late, now);
   }
   for (auto& [name, m] : registry.all()) {
-    if (m.returning) continue;
+    if (m.cloud.terminating) continue;
     const model::MachineType* type = context.FindMachineType(m.machine_type);
     if (type == nullptr) continue;
     if (auto why = WhyReturn(registry, job_table, m, census, boot_deadlines[m.machine_type], now)) {
-      registry.Return(m, std::string(*why));
+      registry.RequestTermination(m, std::string(*why));
       continue;
     }
-    const bool idle = m.has_reported() && !registry.Silent(m, now) &&
-                      now - m.idle_since > operators_.idle_ratio * type->boot_s;
+    const bool idle = m.has_reported() && !registry.IsSilent(m, now) &&
+                      now - m.cloud.idle_since > operators_.idle_ratio * type->boot_s;
     if (!has_demand && idle && census.idle > kept) {
       --census.idle;
-      registry.Return(m, "idle");
+      registry.RequestTermination(m, "idle");
     }
   }
   return !census.MostOf(census.silent);
--- a/src/fleet/boot_times.cc
+++ b/src/fleet/boot_times.cc
@@ -68,7 +68,7 @@
   return observed == nullptr ? nominal_s : observed->median_s;
 }
 
-double BootTimes::Usual(const std::string& machine_type, double nominal_s) const {
+double BootTimes::LateAfter(const std::string& machine_type, double nominal_s) const {
   // Boots that were quick for a while don't make the cloud's own word void.
   const double nominal = kUsualRatio * nominal_s;
   const Observed* observed = Find(machine_type);
@@ -78,7 +78,7 @@
 double BootTimes::Deadline(const std::string& machine_type, double nominal_s, size_t late,
                            double now) const {
   const double deadline =
-      std::max(kLeastDeadline * nominal_s, kDeadlineRatio * Usual(machine_type, nominal_s));
+      std::max(kLeastDeadline * nominal_s, kDeadlineRatio * LateAfter(machine_type, nominal_s));
   const double slow = kSlowBoots * nominal_s;
   const bool boots_are_slow = late >= kManyLate && late > Since(machine_type, slow, now);
   return boots_are_slow ? std::max(deadline, slow) : deadline;
--- a/src/fleet/boot_times.h
+++ b/src/fleet/boot_times.h
@@ -18,7 +18,7 @@
   // boots have been observed.
   double Expected(const std::string& machine_type, double nominal_s) const;
   // Time within which nearly all machines of the type are up. Who takes longer is late.
-  double Usual(const std::string& machine_type, double nominal_s) const;
+  double LateAfter(const std::string& machine_type, double nominal_s) const;
   // Age at which a machine that is not up is given up. `late`: how many machines of the type are
   // late now. Where these are more than have come up lately, boots are slow rather than the
   // machines dead: to return them would only start the same wait over.
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -100,7 +100,7 @@
   return view;
 }
 
-void FailureTracker::TakeView(const std::vector<model::JobFailures>& failures, double now) {
+void FailureTracker::ApplyView(const std::vector<model::JobFailures>& failures, double now) {
   jobs_.clear();
   for (const model::JobFailures& told : failures) {
     JobHistory& history = jobs_[told.job];
@@ -124,9 +124,9 @@
   return out;
 }
 
-bool FailureTracker::Suspended(const std::string& machine, double now) const {
+bool FailureTracker::IsQuarantined(const std::string& machine, double now) const {
   auto it = machines_.find(machine);
-  if (it == machines_.end() || now >= it->second.last_failure + options_.suspension_s) return false;
+  if (it == machines_.end() || now >= it->second.last_failure + options_.quarantine_s) return false;
   const auto& failures = it->second.failures;
   const auto against = std::count_if(failures.begin(), failures.end(),
                                      [&](const auto& f) { return !Suspected(f.first); });
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -27,7 +27,7 @@
     // ...up to this bound.
     double max_backoff_s = 0;
     // A machine is suspended for this long after the last failure that speaks against it.
-    double suspension_s = 0;
+    double quarantine_s = 0;
     // Retries of all suspected jobs together, a second.
     double retries_per_s = 0;
   };
@@ -47,12 +47,12 @@
   // in `retried`: its holder starts one task more.
   std::vector<model::JobFailures> View(const std::set<std::string>& retried) const;
   // On such a node: takes the place of all that was known.
-  void TakeView(const std::vector<model::JobFailures>& failures, double now);
+  void ApplyView(const std::vector<model::JobFailures>& failures, double now);
 
   // Machines that fail tasks of jobs which succeed elsewhere.
   std::vector<std::string> FaultyMachines() const;
   // True if a machine may be faulty: it gets nothing new until that is known.
-  bool Suspended(const std::string& machine, double now) const;
+  bool IsQuarantined(const std::string& machine, double now) const;
   // True if a job fails because of itself, as far as is known.
   bool Suspected(const std::string& job) const;
   // True if one more task of a job that failed everywhere may be started.
--- /dev/null
+++ b/src/fleet/reconciliation.cc
@@ -0,0 +1,179 @@
+#include "fleet/reconciliation.h"
+
+#include <algorithm>
+#include <optional>
+
+#include "fleet/placement_proof.h"
+
+namespace hallpier::fleet {
+namespace {
+
+using Placements = jobs::JobTable::Placements;
+
+bool MayStillArrive(const SentStart& start, const Machine& machine, model::FencingToken token) {
+  return start.in_flight() && start.IssuedUnder(token, machine.agent.epoch);
+}
+
+// Start commands for tasks that are neither recorded nor reported any more have had their effect,
+// unless they may still arrive.
+void DropSettledStarts(Machine& machine, const Placements& placements, model::FencingToken token) {
+  std::erase_if(machine.sent_starts, [&](const auto& entry) {
+    const auto& [task, start] = entry;
+    return !placements.contains(task) && !machine.reported_tasks.contains(task) &&
+           !MayStillArrive(start, machine, token);
+  });
+}
+
+// The command for an attempt that is reported without being recorded there; nothing if it has to
+// stay as it is.
+std::optional<model::WorkerCommand> CommandForUnrecorded(const Machine& machine,
+                                                         const model::TaskId& task,
+                                                         const ReportedTask& reported,
+                                                         model::FencingToken token) {
+  if (reported.state != model::TaskPhase::kExited) {
+    return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, 0};
+  }
+  // While a lost start command may still arrive, the agent's entry of the exited attempt is what
+  // makes it void: once the agent has forgotten it, the command would start the attempt anew.
+  auto sent = machine.sent_starts.find(task);
+  if (sent != machine.sent_starts.end() && MayStillArrive(sent->second, machine, token)) {
+    return std::nullopt;
+  }
+  return model::WorkerCommand{model::CommandKind::kForget, task, reported.attempt, 0};
+}
+
+// The stop command for a recorded attempt that its machine reports; nothing if it is to go on, or
+// is about to end anyway.
+std::optional<model::WorkerCommand> StopCommandFor(const model::TaskId& task,
+                                                   const ReportedTask& reported, bool cancelled,
+                                                   const StopRequests& stop_requests) {
+  if (reported.state == model::TaskPhase::kExited) return std::nullopt;
+  if (!cancelled && !stop_requests.Contains(task, reported.attempt)) return std::nullopt;
+  const double grace_s = cancelled ? 0 : stop_requests.GraceOf(task);
+  // A task that writes its checkpoint already needs no second command.
+  if (grace_s > 0 && reported.state == model::TaskPhase::kSaving) return std::nullopt;
+  return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, grace_s};
+}
+
+void NoteSentStart(Machine& machine, const model::TaskId& task, uint64_t attempt,
+                   model::FencingToken token, bool direct) {
+  SentStart& start = machine.sent_starts[task];
+  if (!start.IssuedUnder(token, machine.agent.epoch)) start = {};
+  start.attempt = attempt;
+  start.token = token;
+  start.agent_epoch = machine.agent.epoch;
+  start.sequence = machine.agent.sequence;
+  if (direct) ++start.open_direct_commands;
+}
+
+const ReportedTask* FindReported(const Machine& machine, const model::TaskId& task,
+                                 uint64_t attempt) {
+  auto reported = machine.reported_tasks.find(task);
+  if (reported == machine.reported_tasks.end() || reported->second.attempt != attempt) {
+    return nullptr;
+  }
+  return &reported->second;
+}
+
+bool IsCancelled(const jobs::JobTable& job_table, const model::TaskId& task) {
+  const jobs::Job* job = job_table.Find(task.job);
+  return job == nullptr || job->cancelled;
+}
+
+// True if the lost start command is all that stands against a proof of absence.
+bool OnlyHigherTokenVoids(const Machine& machine, const model::TaskId& task, const SentStart& start,
+                          model::FencingToken token) {
+  return start.lost && start.IssuedUnder(token, machine.agent.epoch) &&
+         machine.agent.heartbeat_sequence > start.sequence &&
+         !machine.reported_tasks.contains(task);
+}
+
+}  // namespace
+
+std::vector<model::WorkerCommand> Reconcile(WorkerRegistry& registry, Machine& machine,
+                                            const jobs::JobTable& job_table, bool direct) {
+  const model::FencingToken token = registry.token();
+  const StopRequests& stop_requests = registry.stop_requests();
+  const Placements& placements = job_table.On(machine.name);
+  std::vector<model::WorkerCommand> commands;
+  DropSettledStarts(machine, placements, token);
+  for (const auto& [task, reported] : machine.reported_tasks) {
+    auto recorded = placements.find(task);
+    if (recorded != placements.end() && recorded->second == reported.attempt) continue;
+    auto command = CommandForUnrecorded(machine, task, reported, token);
+    if (command) commands.push_back(*command);
+  }
+  for (const auto& [task, attempt] : placements) {
+    if (const ReportedTask* reported = FindReported(machine, task, attempt)) {
+      const bool cancelled = IsCancelled(job_table, task);
+      auto command = StopCommandFor(task, *reported, cancelled, stop_requests);
+      if (command) commands.push_back(*command);
+      continue;
+    }
+    if (IsStartBarred(machine, task, attempt, job_table, stop_requests)) continue;
+    // The worker knows a higher token: another leader commands it, and it would refuse us.
+    if (machine.agent.token > token) continue;
+    commands.push_back({model::CommandKind::kRun, task, attempt, 0});
+    NoteSentStart(machine, task, attempt, token, direct);
+  }
+  return commands;
+}
+
+std::vector<model::WorkerCommand> CancellationCommands(const Machine& machine,
+                                                       const jobs::JobTable& job_table) {
+  std::vector<model::WorkerCommand> commands;
+  for (const auto& [task, reported] : machine.reported_tasks) {
+    if (reported.state == model::TaskPhase::kExited) continue;
+    const jobs::Job* job = job_table.Find(task.job);
+    // A job that is unknown here may have been submitted since the table was read.
+    if (job == nullptr || !job->cancelled) continue;
+    commands.push_back({model::CommandKind::kStop, task, reported.attempt, 0});
+  }
+  return commands;
+}
+
+void OnDirectCommandFinished(WorkerRegistry& registry, const std::string& machine_name,
+                             const std::vector<model::WorkerCommand>& commands,
+                             model::FencingToken token, bool answered) {
+  Machine* machine = registry.Find(machine_name);
+  if (machine == nullptr) return;
+  machine->agent.unreachable = !answered;
+  for (const model::WorkerCommand& command : commands) {
+    if (command.kind != model::CommandKind::kRun) continue;
+    auto sent = machine->sent_starts.find(command.task);
+    if (sent == machine->sent_starts.end() || sent->second.token != token) continue;
+    SentStart& start = sent->second;
+    if (start.open_direct_commands > 0) --start.open_direct_commands;
+    if (!answered) start.lost = true;
+    start.sequence = std::max(start.sequence, machine->agent.sequence);
+  }
+}
+
+bool IsStartDue(const WorkerRegistry& registry, const std::string& machine_name,
+                const model::TaskId& task, uint64_t attempt) {
+  const Machine* machine = registry.Find(machine_name);
+  if (machine == nullptr || !machine->has_reported()) return false;
+  if (FindReported(*machine, task, attempt) != nullptr) return false;
+  auto sent = machine->sent_starts.find(task);
+  return sent == machine->sent_starts.end() || sent->second.attempt != attempt ||
+         !sent->second.IssuedUnder(registry.token(), machine->agent.epoch);
+}
+
+bool NeedsHigherToken(const WorkerRegistry& registry, const jobs::JobTable& job_table) {
+  const model::FencingToken token = registry.token();
+  for (const auto& [name, machine] : registry.all()) {
+    if (machine.agent.token != token || machine.cloud.terminating) continue;
+    const Placements& placements = job_table.On(name);
+    for (const auto& [task, start] : machine.sent_starts) {
+      if (!OnlyHigherTokenVoids(machine, task, start, token)) continue;
+      auto recorded = placements.find(task);
+      if (recorded != placements.end() &&
+          IsStartBarred(machine, task, recorded->second, job_table, registry.stop_requests())) {
+        return true;
+      }
+    }
+  }
+  return false;
+}
+
+}  // namespace hallpier::fleet
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -125,10 +125,10 @@
   void LeaveNoticed() {
     for (const auto& [name, m] : registry_.all()) {
       if (!m.HasSpotNotice()) continue;
-      const double left = m.reclaim_at - now_;
+      const double left = m.agent.reclaim_at - now_;
       for (const auto& [task, attempt] : job_table_.On(name)) {
         const jobs::Job* job = job_table_.Find(task.job);
-        if (job == nullptr || registry_.Stopping(task, attempt)) continue;
+        if (job == nullptr || registry_.stop_requests().Contains(task, attempt)) continue;
         if (Remaining(*job, m, task, attempt) < left - kStopReactions * Reaction()) continue;
         const bool saves = job->spec.checkpoint_every_s > 0 && job->spec.checkpoint_s < left;
         result_.preemptions.push_back(
@@ -146,7 +146,7 @@
                    uint64_t attempt) const {
     const double run = PredictRun(job, m.machine_type);
     auto reported = m.reported_tasks.find(task);
-    if (registry_.Stopping(task, attempt)) {
+    if (registry_.stop_requests().Contains(task, attempt)) {
       return job.spec.checkpoint_s + kStopReactions * Reaction();
     }
     if (reported == m.reported_tasks.end() || reported->second.attempt != attempt ||
@@ -162,16 +162,16 @@
       size_t holder = 0;
       if (f == nullptr || !InScope(name, &holder)) continue;
       const Room capacity{f->cpus, f->gpus, f->memory_gb};
-      const bool usable = registry_.Usable(m, now_);
-      const bool coming =
-          !m.has_reported() && m.booting && !m.returning && !registry_.Late(m, *f, now_);
+      const bool usable = registry_.AcceptsTasks(m, now_);
+      const bool coming = !m.has_reported() && m.cloud.booting && !m.cloud.terminating &&
+                          !registry_.IsLate(m, *f, now_);
       if (!usable && !coming) continue;
       total_cpus_ += f->cpus;
       Room free = usable ? capacity : Room{};
       std::vector<std::pair<double, Room>> releases;
       if (coming) {
         const double boot = registry_.boot_times().Expected(m.machine_type, f->boot_s);
-        const double ready = m.requested_at + boot - now_;
+        const double ready = m.cloud.requested_at + boot - now_;
         releases.emplace_back(std::max(ready, context_.settings->heartbeat_interval_s), capacity);
       }
       const auto& placements = job_table_.On(name);
@@ -380,7 +380,7 @@
     const model::JobSpec& spec = job.spec;
     std::map<const model::MachineType*, double> runs;
     for (const model::MachineType& f : context_.machine_types) runs[&f] = PredictRun(job, f.name);
-    const auto image = registry_.ImageId(spec.image);
+    const auto image = registry_.image_index().Find(spec.image);
     const std::vector<char> open = HoldersOpenTo(job);
     std::vector<double> times;
     times.reserve(machines_.size());
@@ -537,14 +537,14 @@
 
   void FindVictims(size_t i) {
     const fleet::Machine& m = *machines_[i];
-    if (!registry_.Usable(m, now_)) return;
+    if (!registry_.AcceptsTasks(m, now_)) return;
     for (const auto& [task, attempt] : job_table_.On(m.name)) {
       const jobs::Job* job = job_table_.Find(task.job);
       auto reported = m.reported_tasks.find(task);
       if (job == nullptr || reported == m.reported_tasks.end() ||
           reported->second.attempt != attempt ||
           reported->second.state != model::TaskPhase::kRunning ||
-          registry_.Stopping(task, attempt)) {
+          registry_.stop_requests().Contains(task, attempt)) {
         continue;
       }
       auto tier = tiers_.find(job);
@@ -552,7 +552,7 @@
       // A new leader has not seen it start: it may have run for most of its time by then. Were it
       // taken for new, a takeover under load would stop what has run longest.
       const double unseen =
-          reported->second.seen_start ? 0 : kUnseenRun * PredictRun(*job, m.machine_type);
+          reported->second.start_observed ? 0 : kUnseenRun * PredictRun(*job, m.machine_type);
       victims_[i].push_back(
           {task, attempt, job, rank, unseen + now_ - reported->second.since, NeedOf(job->spec)});
     }
--- /dev/null
+++ b/tests/answer_acknowledgement_test.cc
@@ -0,0 +1,47 @@
+// Machines whose heartbeats arrive while our answers to them get lost.
+#include "fleet/answer_acknowledgement.h"
+
+#include <gtest/gtest.h>
+
+#include "model/heartbeat.h"
+#include "model/task.h"
+#include "worker_registry_fixture.h"
+
+namespace hallpier::fleet {
+namespace {
+
+using namespace testing_support;
+
+class AnswerAcknowledgementTest : public WorkerRegistryFixture {};
+
+// Seen from reports alone: the token that every answer brings never shows.
+TEST_F(AnswerAcknowledgementTest, AMachineThatHearsNothingGetsNoWorkAndItsTasksStayCounted) {
+  for (int i = 1; i <= 5; ++i) Heartbeat(1, static_cast<uint64_t>(i), {}, 3 * i);
+  EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 15));
+  EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 15));
+  EXPECT_FALSE(IsRequeued(15)) << "nothing proves that the former leader's order was not executed";
+  registry_.OnTerminated("vm-1");
+  EXPECT_TRUE(IsRequeued(16));
+}
+
+TEST_F(AnswerAcknowledgementTest, AMachineThatNeverShowsItsCommandsLosesOurAnswers) {
+  Heartbeat(1, 1, kToken, 3);
+  EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 3));
+  for (int i = 2; i <= 6; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i);
+  EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 18));
+  // One that shows them late is not.
+  Heartbeat(1, 7, kToken, 21, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kFetching)});
+  EXPECT_FALSE(registry_.AnswersLost(*registry_.Find("vm-1"), 21));
+}
+
+TEST_F(AnswerAcknowledgementTest, AMachineWhoseLeaseEndsThoughItWasAnsweredLosesOurAnswers) {
+  const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
+  for (int i = 1; i <= 10; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {runs});
+  EXPECT_FALSE(registry_.AnswersLost(*registry_.Find("vm-1"), 30));
+  Heartbeat(2, 11, kToken, 33);
+  Heartbeat(2, 12, kToken, 36);
+  EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 36));
+}
+
+}  // namespace
+}  // namespace hallpier::fleet
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "fixtures.h"
+#include "fleet/reconciliation.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
 
@@ -26,7 +27,7 @@
   bool Review(double now) { return autoscaler_.Review(registry_, job_table_, context_, true, now); }
   int Returning() {
     int n = 0;
-    for (const auto& [name, m] : registry_.all()) n += m.returning ? 1 : 0;
+    for (const auto& [name, m] : registry_.all()) n += m.cloud.terminating ? 1 : 0;
     return n;
   }
 
@@ -66,7 +67,7 @@
   registry_.BeginTerm(kTestToken, 100, 115);
   model::CloudMachine l{"vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kRunning,
                         90};
-  registry_.OnListed({l}, 100, 100);
+  registry_.OnCloudList({l}, 100, 100);
   Review(120);
   EXPECT_EQ(Returning(), 0);
   Review(125);
@@ -132,7 +133,7 @@
   EXPECT_EQ(Returning(), 0);
   Review(4.1 * ready() + settings_.list_lag_s);
   EXPECT_EQ(Returning(), 1);
-  EXPECT_TRUE(registry_.Find("vm-2")->returning);
+  EXPECT_TRUE(registry_.Find("vm-2")->cloud.terminating);
 }
 
 // Most machines take four times as long: to return them just before they come up, and to wait for
@@ -149,7 +150,7 @@
   int rented = 0;
   auto rent = [&](double now) {
     // A round wants what is not on its way in time.
-    const size_t coming = registry_.CountOutstanding(context_.machine_types[0], now).in_time;
+    const size_t coming = registry_.CountBooting(context_.machine_types[0], now).on_time;
     const int n = coming >= 10 ? 0 : Allowed(10 - static_cast<int>(coming), now);
     if (n > 0) Rent(rented + 1, n, now);
     rented += n;
@@ -168,13 +169,13 @@
   ASSERT_EQ(Returning(), 1);
   Hear(1, 1, up + 1);
   Machine& m = *registry_.Find("vm-1");
-  EXPECT_FALSE(registry_.Usable(m, up + 1));
+  EXPECT_FALSE(registry_.AcceptsTasks(m, up + 1));
   Place(job_table_, "run-1", 0, 1, "vm-1");
-  EXPECT_TRUE(registry_.Reconcile(m, job_table_, false).empty());
-  EXPECT_TRUE(m.returning) << "a report does not call it off";
-  registry_.OnReturned("vm-1");
+  EXPECT_TRUE(Reconcile(registry_, m, job_table_, false).empty());
+  EXPECT_TRUE(m.cloud.terminating) << "a report does not call it off";
+  registry_.OnTerminated("vm-1");
   Hear(1, 2, up + 2);
-  EXPECT_TRUE(registry_.Find("vm-1")->returning) << "nor does one that comes late";
+  EXPECT_TRUE(registry_.Find("vm-1")->cloud.terminating) << "nor does one that comes late";
 }
 
 // Whoever leads next counts a boot from what the list says of its age.
@@ -182,7 +183,7 @@
   registry_.BeginTerm(model::FencingToken(9), 100, 100);
   model::CloudMachine l{
       "vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kBooting, 3.9 * ready()};
-  registry_.OnListed({l}, 100, 100);
+  registry_.OnCloudList({l}, 100, 100);
   Review(100);
   EXPECT_EQ(Returning(), 0);
   Review(100 + 0.2 * ready() + settings_.list_lag_s);
--- a/tests/blocks_cluster.h
+++ b/tests/blocks_cluster.h
@@ -20,6 +20,8 @@
 #include "blocks/machine_mirror.h"
 #include "blocks/view_sender.h"
 #include "fixtures.h"
+#include "fleet/reconciliation.h"
+#include "fleet/task_outcomes.h"
 #include "jobs/transaction_builder.h"
 #include "model/heartbeat.h"
 #include "model/ids.h"
@@ -464,12 +466,13 @@
     std::optional<plan::Scope> scope;
     if (node.divides && node.records.division().divided())
       scope = node.records.WholeScope(WidenS(), now_);
-    node.registry->Learn(node.job_table);
-    std::vector<jobs::TaskTransition> transitions = node.registry->Collect(node.job_table, now_);
+    node.registry->UpdateObservations(node.job_table);
+    std::vector<jobs::TaskTransition> transitions =
+        fleet::CollectTaskTransitions(*node.registry, node.job_table, now_);
     plan::RoundResult plan = plan::PlanRound(node.context, node.job_table, *node.registry, now_,
                                              now_, scope ? &*scope : nullptr);
     for (const plan::Preemption& p : plan.preemptions)
-      node.registry->Stop(p.task, p.attempt, p.grace_s);
+      node.registry->stop_requests().Add(p.task, p.attempt, p.grace_s);
     std::vector<model::Precondition> preconditions = {store::TokenPrecondition(node.token)};
     if (node.divides) {
       if (Lend(node, plan, scope)) return;
@@ -680,7 +683,7 @@
     fleet::Machine* m = leader.registry->Find(machine);
     const auto& placements = leader.job_table.On(machine);
     const bool due = std::any_of(placements.begin(), placements.end(), [&](const auto& p) {
-      return leader.registry->StartIsDue(m->name, p.first, p.second);
+      return fleet::IsStartDue(*leader.registry, m->name, p.first, p.second);
     });
     Worker& worker = workers_.at(machine);
     if (!due || worker.poked) return;
@@ -720,8 +723,8 @@
     fleet::Machine* machine = leader.registry->Find(report.machine);
     std::vector<model::WorkerCommand> commands;
     if (leader.revision >= leader.token.value())
-      commands = leader.registry->Reconcile(*machine, leader.job_table, false);
-    leader.registry->OnAnswered(report, commands, now_);
+      commands = fleet::Reconcile(*leader.registry, *machine, leader.job_table, false);
+    leader.registry->OnAnswerSent(report, commands, now_);
     const model::FencingToken token = leader.token;
     At(options_.delay_s, [=, this] { Obey(report, token, commands, sent); });
   }
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -289,7 +289,7 @@
   for (const auto& [name, machine] : mirror_.registry().all()) {
     EXPECT_EQ(machine.zone, "a");
     const bool mine = division_.HolderOf(name) == 1U;
-    EXPECT_EQ(mirror_.registry().Usable(machine, 51), mine);
+    EXPECT_EQ(mirror_.registry().AcceptsTasks(machine, 51), mine);
     EXPECT_EQ(machine.machine_type, mine ? "c4" : "");
     if (mine) ++own;
   }
@@ -321,7 +321,7 @@
 TEST_F(ViewTest, WithoutTheLeaderMachinesAreNotUsedForLong) {
   Take(Next());
   for (const auto& [name, machine] : mirror_.registry().all()) {
-    EXPECT_FALSE(mirror_.registry().Usable(machine, 50 + 2 * options_.heartbeat_interval_s));
+    EXPECT_FALSE(mirror_.registry().AcceptsTasks(machine, 50 + 2 * options_.heartbeat_interval_s));
   }
 }
 
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -7,6 +7,7 @@
 #include <functional>
 
 #include "fixtures.h"
+#include "fleet/reconciliation.h"
 #include "model/heartbeat.h"
 #include "model/task.h"
 
@@ -84,7 +85,7 @@
         }
         registry_.OnHeartbeat(r, now, false);
         for (const model::WorkerCommand& o :
-             registry_.Reconcile(*registry_.Find("vm-1"), job_table_, false)) {
+             fleet::Reconcile(registry_, *registry_.Find("vm-1"), job_table_, false)) {
           if (o.kind == model::CommandKind::kStop) on_machine_[o.task.job] = false;
           if (o.kind == model::CommandKind::kRun) on_machine_[o.task.job] = true;
         }
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -36,7 +36,7 @@
   FailOn("run-1", 3, 1);
   EXPECT_TRUE(tracker_.Suspected("run-1"));
   EXPECT_TRUE(tracker_.FaultyMachines().empty());
-  EXPECT_FALSE(tracker_.Suspended("vm-0", 1));
+  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 1));
 }
 
 TEST_F(FailureTrackerTest, OnASmallSiteAllMachinesAreEnough) {
@@ -60,7 +60,8 @@
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 1);
   tracker_.Reconcile(job_table_, kMachines);
-  EXPECT_TRUE(tracker_.Suspended("vm-0", 2)) << "it may be faulty: nothing new until that is known";
+  EXPECT_TRUE(tracker_.IsQuarantined("vm-0", 2))
+      << "it may be faulty: nothing new until that is known";
   EXPECT_TRUE(tracker_.FaultyMachines().empty());
   tracker_.OnSuccess("run-1", "vm-1");
   EXPECT_TRUE(tracker_.FaultyMachines().empty()) << "one failure happens";
@@ -72,14 +73,14 @@
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 1);
   tracker_.OnSuccess("run-1", "vm-0");
-  EXPECT_FALSE(tracker_.Suspended("vm-0", 2));
+  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 2));
 }
 
 TEST_F(FailureTrackerTest, ASuspensionEnds) {
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 2);
-  EXPECT_TRUE(tracker_.Suspended("vm-0", 2 + 0.9 * kSuspension));
-  EXPECT_FALSE(tracker_.Suspended("vm-0", 2 + kSuspension));
+  EXPECT_TRUE(tracker_.IsQuarantined("vm-0", 2 + 0.9 * kSuspension));
+  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 2 + kSuspension));
 }
 
 // Two broken jobs pass through the same machines while a third shows that one of these is faulty.
@@ -91,7 +92,8 @@
   tracker_.OnSuccess("run-3", "vm-1");
   tracker_.Reconcile(job_table_, kMachines);
   EXPECT_EQ(tracker_.FaultyMachines(), std::vector<std::string>{"vm-0"});
-  for (int i = 1; i < 5; ++i) EXPECT_FALSE(tracker_.Suspended("vm-" + std::to_string(i), 1)) << i;
+  for (int i = 1; i < 5; ++i)
+    EXPECT_FALSE(tracker_.IsQuarantined("vm-" + std::to_string(i), 1)) << i;
   EXPECT_TRUE(tracker_.Suspected("run-1"));
   EXPECT_TRUE(tracker_.Suspected("run-2"));
   EXPECT_FALSE(tracker_.Suspected("run-3"));
@@ -148,7 +150,7 @@
   tracker_.OnFailure("run-2", "vm-0", 1);
   job_table_.Apply(store::ParseKey(store::JobKey("run-1")), "");
   tracker_.Reconcile(job_table_, kMachines);
-  EXPECT_FALSE(tracker_.Suspended("vm-0", 2));
+  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 2));
   EXPECT_EQ(tracker_.FailedOn("run-1"), nullptr);
 }
 
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "fixtures.h"
+#include "fleet/reconciliation.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
 #include "model/task.h"
@@ -57,11 +58,11 @@
       }
       registry_.OnHeartbeat(report, now, false);
       fleet::Machine* machine = registry_.Find(report.machine);
-      registry_.OnAnswered(report, registry_.Reconcile(*machine, job_table_, false), now);
+      registry_.OnAnswerSent(report, fleet::Reconcile(registry_, *machine, job_table_, false), now);
     }
   }
 
-  // All pages of the cloud's list, as WorkerRegistry::OnListed takes them.
+  // All pages of the cloud's list, as WorkerRegistry::OnCloudList takes them.
   std::vector<model::CloudMachine> Listing() const {
     std::vector<model::CloudMachine> out;
     for (size_t i = 0; i < count_; ++i) {
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "fleet/task_outcomes.h"
 #include "model/cloud.h"
 #include "wire/peer.h"
 
@@ -17,9 +18,11 @@
   LargeFleet fleet(kMachines);
   fleet.PutRecords();
   fleet.TakeOver(LargeFleet::kStart);
-  fleet.registry().OnListed(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
+  fleet.registry().OnCloudList(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
   EXPECT_EQ(fleet.registry().all().size(), kMachines);
-  EXPECT_TRUE(fleet.registry().Collect(fleet.job_table(), LargeFleet::kStart + 1).empty())
+  EXPECT_TRUE(
+      fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), LargeFleet::kStart + 1)
+          .empty())
       << "what runs is neither ended nor given up";
   const plan::RoundResult plan = fleet.Plan(LargeFleet::kStart + 1);
   EXPECT_GE(plan.places.size(), 500U);
@@ -35,8 +38,8 @@
   LargeFleet fleet(kWave);
   fleet.TakeOver(LargeFleet::kStart);
   const std::vector<model::CloudMachine> late = fleet.Listing();
-  for (size_t i = 0; i < kWave; ++i) fleet.registry().OnReturned(LargeFleet::MachineName(i));
-  fleet.registry().OnListed(late, LargeFleet::kStart, LargeFleet::kStart + 1);
+  for (size_t i = 0; i < kWave; ++i) fleet.registry().OnTerminated(LargeFleet::MachineName(i));
+  fleet.registry().OnCloudList(late, LargeFleet::kStart, LargeFleet::kStart + 1);
   EXPECT_EQ(fleet.registry().all().size(), 0U);
 }
 
--- /dev/null
+++ b/tests/placement_proof_test.cc
@@ -0,0 +1,153 @@
+// A recorded placement counts as alive until it is proven gone: each test is one way to be wrong.
+#include "fleet/placement_proof.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet/reconciliation.h"
+#include "model/cloud.h"
+#include "model/heartbeat.h"
+#include "model/task.h"
+#include "worker_registry_fixture.h"
+
+namespace hallpier::fleet {
+namespace {
+
+using namespace testing_support;
+
+class PlacementProofTest : public WorkerRegistryFixture {};
+
+TEST_F(PlacementProofTest, AnOldTokensReportProvesNothing) {
+  Cancel();
+  Heartbeat(1, 1, kFormerToken, 1);
+  EXPECT_FALSE(IsRequeued(1)) << "an old leader's order may still be on its way";
+  Heartbeat(1, 2, kToken, 2);
+  EXPECT_TRUE(IsRequeued(2));
+}
+
+TEST_F(PlacementProofTest, AStartInFlightIsNotDisprovedByTheHeartbeatItAnswers) {
+  Heartbeat(1, 5, kToken, 1);  // answered with the start order
+  Cancel();
+  EXPECT_FALSE(IsRequeued(1));
+  model::Heartbeat direct = ReportOf("vm-1", 1, 6, kToken);
+  registry_.OnHeartbeat(direct, 1.5, true);
+  EXPECT_FALSE(IsRequeued(1.5)) << "an answer to /commands may overtake the answer to a report";
+  Heartbeat(1, 7, kToken, 2);
+  EXPECT_TRUE(IsRequeued(2));
+}
+
+TEST_F(PlacementProofTest, AStaleReportChangesNothing) {
+  Heartbeat(1, 9, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Cancel();
+  Heartbeat(1, 4, kToken, 60);  // held back for a minute
+  EXPECT_FALSE(IsRequeued(20));
+}
+
+TEST_F(PlacementProofTest, ALostDirectStartStaysAliveUntilTheEpochEnds) {
+  Heartbeat(1, 1, kToken, 1,
+            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
+  Place(job_table_, "run-1", 0, 2, "vm-1");
+  auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
+  OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
+  Cancel();
+  Heartbeat(1, 2, kToken, 4);
+  Heartbeat(1, 3, kToken, 7);
+  EXPECT_FALSE(IsRequeued(7));
+  EXPECT_TRUE(NeedsHigherToken(registry_, job_table_));
+  Heartbeat(2, 4, kToken, 10);
+  EXPECT_TRUE(IsRequeued(10));
+}
+
+TEST_F(PlacementProofTest, AHigherTokenMakesLostStartsVoid) {
+  Heartbeat(1, 1, kToken, 1);
+  auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
+  OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
+  Cancel();
+  Heartbeat(1, 2, kToken, 2);
+  registry_.SetToken(kNextToken);
+  EXPECT_FALSE(IsRequeued(3)) << "the worker has not seen the new token yet";
+  Heartbeat(1, 3, kNextToken, 4);
+  EXPECT_TRUE(IsRequeued(4));
+}
+
+TEST_F(PlacementProofTest, ASilentMachineIsFreedOnlyAfterTheLeaseOfTheLastPossibleAnswer) {
+  Heartbeat(1, 1, kToken, 50, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  EXPECT_FALSE(IsRequeued(80)) << "the lease runs from the answer, by the worker's clock";
+  EXPECT_TRUE(IsRequeued(82));
+}
+
+// Copies of a report that come again and again, for longer than a lease, renew nothing: the worker
+// behind them may be long gone.
+TEST_F(PlacementProofTest, LateCopiesRenewNothingAndBringNothingBack) {
+  const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
+  Heartbeat(1, 5, kToken, 50, {runs});
+  for (double t = 52; t < 81; t += 2) Heartbeat(1, 4, kToken, t, {runs});
+  EXPECT_FALSE(IsRequeued(80));
+  EXPECT_TRUE(IsRequeued(82));
+  EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 82))
+      << "no new work for a silent machine";
+  // Its task went elsewhere, and the session has moved on: a copy from before undoes neither.
+  Place(job_table_, "run-1", 0, 2, "vm-2");
+  Heartbeat(2, 9, kToken, 83);
+  auto commands = Heartbeat(1, 6, kToken, 140, {runs});
+  EXPECT_TRUE(commands.empty());
+  EXPECT_EQ(registry_.Find("vm-1")->agent.epoch, model::AgentEpoch(2));
+  EXPECT_TRUE(registry_.Find("vm-1")->reported_tasks.empty());
+}
+
+// After a restart the leader knows no machine: a copy from an earlier session comes first. Under
+// another token than ours it is no proof of anything, and the true report replaces it.
+TEST_F(PlacementProofTest, ALateCopyToARestartedLeaderProvesNothing) {
+  Cancel();
+  Heartbeat(1, 40, kFormerToken, 20);
+  EXPECT_FALSE(IsRequeued(21));
+  Heartbeat(3, 90, kFormerToken, 22, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  EXPECT_FALSE(IsRequeued(23)) << "it runs in the newer session";
+  Heartbeat(1, 41, kFormerToken, 24);
+  EXPECT_EQ(registry_.Find("vm-1")->reported_tasks.size(), 1U);
+}
+
+// A machine that reaches no controller, while direct commands reach it: its lease runs out, and in
+// the next session a direct command starts what is recorded once more. That session has a lease of
+// its own, so that nothing is free when the first one's is over.
+TEST_F(PlacementProofTest, WhatADirectCommandStartedInANewEpochLivesAsLongAsThatEpoch) {
+  Heartbeat(1, 1, kToken, 0, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  registry_.OnHeartbeat(ReportOf("vm-1", 2, 9, kToken), 30.5,
+                        true);  // the answer to a direct command
+  auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].kind, model::CommandKind::kRun);
+  model::Heartbeat started = ReportOf("vm-1", 2, 10, kToken);
+  started.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)};
+  registry_.OnHeartbeat(started, 31, true);
+  OnDirectCommandFinished(registry_, "vm-1", commands, kToken, true);
+  EXPECT_FALSE(IsRequeued(45)) << "it runs in the second session until its lease is over";
+  EXPECT_FALSE(IsRequeued(60));
+  EXPECT_TRUE(IsRequeued(63));
+}
+
+TEST_F(PlacementProofTest, AnUnknownMachineWaitsForWhatTheFormerLeaderMayHaveAnswered) {
+  EXPECT_FALSE(IsRequeued(39));
+  EXPECT_TRUE(IsRequeued(42));
+}
+
+TEST_F(PlacementProofTest, AConfirmedTerminationFreesAtOnce) {
+  Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  registry_.OnTerminated("vm-1");
+  EXPECT_TRUE(IsRequeued(1));
+}
+
+TEST_F(PlacementProofTest, AMachineGoneFromTheListIsGoneOnceTheListsHaveSettled) {
+  Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  model::CloudMachine l{"vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kRunning,
+                        5};
+  registry_.OnCloudList({l}, 1, 2);
+  registry_.OnCloudList({}, 6, 6);
+  EXPECT_FALSE(IsRequeued(6)) << "a list may be older than the one before it";
+  registry_.OnCloudList({}, 8, 13);
+  EXPECT_FALSE(IsRequeued(13)) << "its age counts from when it was asked for";
+  registry_.OnCloudList({}, 13, 13);
+  EXPECT_TRUE(IsRequeued(13));
+}
+
+}  // namespace
+}  // namespace hallpier::fleet
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -477,7 +477,7 @@
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failures().OnFailure("run-1", name, 90);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   RoundResult alone = Plan();
   EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
   EXPECT_EQ(alone.retried_jobs, std::vector<std::string>{"run-1"});
@@ -494,7 +494,7 @@
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failures().OnFailure("run-1", name, 99);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_TRUE(Plan().places.empty());
   registry_.failures().OnSuccess("run-1", "vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
@@ -512,7 +512,7 @@
   bound.zone = "a";
   PutJob(job_table_, bound, 1);
   registry_.failures().OnFailure("run-1", "vm-1", 99);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
   RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
   EXPECT_EQ(PlacedOf(later, "run-1"), 1U);
@@ -527,7 +527,7 @@
     PutJob(job_table_, Spec(id, 20), 1);
     for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
   }
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_EQ(Plan().places.size(), 2U) << "2 of 120 processors";
 }
 
--- /dev/null
+++ b/tests/reconciliation_test.cc
@@ -0,0 +1,72 @@
+// Commands that bring a machine in line with what is recorded for it.
+#include "fleet/reconciliation.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet/task_outcomes.h"
+#include "model/heartbeat.h"
+#include "model/task.h"
+#include "worker_registry_fixture.h"
+
+namespace hallpier::fleet {
+namespace {
+
+using namespace testing_support;
+using Kind = jobs::TaskTransition::Kind;
+
+class ReconciliationTest : public WorkerRegistryFixture {};
+
+TEST_F(ReconciliationTest, ResendsARecordedStartThatTheWorkerLacks) {
+  auto commands = Heartbeat(1, 1, {}, 1);
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].kind, model::CommandKind::kRun);
+  EXPECT_EQ(commands[0].attempt, 1U);
+  EXPECT_FALSE(IsRequeued(2));
+}
+
+TEST_F(ReconciliationTest, DoesNotForgetWhileALostStartMayStillArrive) {
+  Heartbeat(1, 1, kToken, 1);
+  auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
+  OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
+  Place(job_table_, "run-1", 0, 1, "");  // its end has been recorded
+  auto answer = Heartbeat(
+      1, 2, kToken, 2,
+      {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
+  EXPECT_TRUE(answer.empty()) << "forgotten, a late start order would run the attempt anew";
+}
+
+TEST_F(ReconciliationTest, ForgetsOnlyWhatIsRecorded) {
+  auto done = TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone);
+  auto commands = Heartbeat(1, 1, kToken, 1, {done});
+  EXPECT_TRUE(commands.empty());
+  auto outcomes = CollectTaskTransitions(registry_, job_table_, 1);
+  ASSERT_EQ(outcomes.size(), 1U);
+  EXPECT_EQ(outcomes[0].kind, Kind::kDone);
+  store::TaskGroup task_group;
+  task_group.done.Insert(0);
+  PutTaskGroup(job_table_, "run-1", 0, task_group);
+  commands = Heartbeat(1, 2, kToken, 2, {done});
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].kind, model::CommandKind::kForget);
+}
+
+TEST_F(ReconciliationTest, TasksThatNobodyRecordedAreStopped) {
+  auto commands = Heartbeat(1, 1, kToken, 1,
+                            {TaskReportOf("run-9", 3, 2, model::TaskPhase::kRunning),
+                             TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].kind, model::CommandKind::kStop);
+  EXPECT_EQ(commands[0].task.job, "run-9");
+}
+
+TEST_F(ReconciliationTest, CancelledTasksAreStoppedWithoutGrace) {
+  Cancel();
+  auto commands =
+      Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].kind, model::CommandKind::kStop);
+  EXPECT_EQ(commands[0].grace_s, 0);
+}
+
+}  // namespace
+}  // namespace hallpier::fleet
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -8,6 +8,7 @@
 #include <cstdio>
 #include <functional>
 
+#include "fleet/task_outcomes.h"
 #include "large_fleet.h"
 
 namespace {
@@ -35,8 +36,10 @@
     load.push_back(Milliseconds([&] { fleet.PutRecords(); }));
     takeover.push_back(Milliseconds([&] { fleet.TakeOver(now); }));
     const auto listing = fleet.Listing();
-    list.push_back(Milliseconds([&] { fleet.registry().OnListed(listing, now, now + 1); }));
-    collect.push_back(Milliseconds([&] { fleet.registry().Collect(fleet.job_table(), now + 1); }));
+    list.push_back(Milliseconds([&] { fleet.registry().OnCloudList(listing, now, now + 1); }));
+    collect.push_back(Milliseconds([&] {
+      hallpier::fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), now + 1);
+    }));
     round.push_back(Milliseconds([&] { placed = fleet.Plan(now + 1).places.size(); }));
   }
   std::printf(
