--- a/src/plan/preemption.cc
+++ b/src/plan/preemption.cc
@@ -99,12 +99,12 @@
 std::vector<PreemptionPlanner::Victim> PreemptionPlanner::FindVictims(
     const fleet::Machine& machine) const {
   std::vector<Victim> victims;
-  if (!input_.registry.Usable(machine, input_.now)) return victims;
+  if (!input_.registry.AcceptsTasks(machine, input_.now)) return victims;
   for (const auto& [task, attempt] : input_.job_table.On(machine.name)) {
     const jobs::Job* job = input_.job_table.Find(task.job);
     const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
     if (job == nullptr || reported == nullptr || reported->state != model::TaskPhase::kRunning ||
-        input_.registry.Stopping(task, attempt)) {
+        input_.registry.stop_requests().Contains(task, attempt)) {
       continue;
     }
     const auto found = queue_.tiers.find(job);
@@ -112,7 +112,7 @@
     // A new leader has not seen it start: it may have run for most of its time by then. Were it
     // taken for new, a failover under load would stop the tasks that have run longest.
     const double unobserved_s =
-        reported->seen_start ? 0 : kUnobservedRun * PredictRunTime(*job, machine.machine_type);
+        reported->start_observed ? 0 : kUnobservedRun * PredictRunTime(*job, machine.machine_type);
     victims.push_back({task, attempt, job, tier, unobserved_s + input_.now - reported->since,
                        RequirementOf(job->spec)});
   }
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -25,7 +25,7 @@
   void ReleaseOnceBooted(const Resources& capacity, const model::MachineType& machine_type) {
     const double boot_s =
         input_.registry.boot_times().Expected(machine_.machine_type, machine_type.boot_s);
-    const double ready = machine_.requested_at + boot_s - input_.now;
+    const double ready = machine_.cloud.requested_at + boot_s - input_.now;
     const double next_heartbeat = input_.context.settings->heartbeat_interval_s;
     releases_.push_back({std::max(ready, next_heartbeat), capacity});
   }
@@ -93,9 +93,10 @@
 
 void AddMachine(const RoundInput& input, const fleet::Machine& machine,
                 const model::MachineType& machine_type, size_t holder, RoundMachines& round) {
-  const bool usable = input.registry.Usable(machine, input.now);
-  const bool coming = !machine.has_reported() && machine.booting && !machine.returning &&
-                      !input.registry.Late(machine, machine_type, input.now);
+  const bool usable = input.registry.AcceptsTasks(machine, input.now);
+  const bool coming = !machine.has_reported() && machine.cloud.booting &&
+                      !machine.cloud.terminating &&
+                      !input.registry.IsLate(machine, machine_type, input.now);
   if (!usable && !coming) return;
   round.total_cpus += machine_type.cpus;
   const Resources capacity = CapacityOf(machine_type);
--- a/src/plan/run_time.cc
+++ b/src/plan/run_time.cc
@@ -28,7 +28,7 @@
 
 double RemainingTime(const RoundInput& input, const jobs::Job& job, const fleet::Machine& machine,
                      const model::TaskId& task, uint64_t attempt) {
-  if (input.registry.Stopping(task, attempt)) {
+  if (input.registry.stop_requests().Contains(task, attempt)) {
     return job.spec.checkpoint_s + kStopReactions * ReactionTime(input.context);
   }
   const double run_s = PredictRunTime(job, machine.machine_type);
--- a/src/plan/spot_eviction.cc
+++ b/src/plan/spot_eviction.cc
@@ -9,10 +9,10 @@
   std::vector<Preemption> preemptions;
   for (const auto& [name, machine] : input.registry.all()) {
     if (!machine.HasSpotNotice()) continue;
-    const double time_left = machine.reclaim_at - input.now;
+    const double time_left = machine.agent.reclaim_at - input.now;
     for (const auto& [task, attempt] : input.job_table.On(name)) {
       const jobs::Job* job = input.job_table.Find(task.job);
-      if (job == nullptr || input.registry.Stopping(task, attempt)) continue;
+      if (job == nullptr || input.registry.stop_requests().Contains(task, attempt)) continue;
       if (RemainingTime(input, *job, machine, task, attempt) < time_left - stop_s) continue;
       const model::JobSpec& spec = job->spec;
       const bool saves = spec.checkpoint_every_s > 0 && spec.checkpoint_s < time_left;
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -91,7 +91,7 @@
   for (const model::MachineType& machine_type : input_.context.machine_types) {
     predicted[&machine_type] = PredictRunTime(job, machine_type.name);
   }
-  const std::optional<size_t> image = input_.registry.ImageId(spec.image);
+  const std::optional<size_t> image = input_.registry.image_index().Find(spec.image);
   const std::vector<char> allowed_holders = HoldersAllowed(job);
   std::vector<double> run_times;
   run_times.reserve(machines_.size());
--- a/tests/fakes/fake_state_service.cc
+++ b/tests/fakes/fake_state_service.cc
@@ -4,8 +4,8 @@
 #include <charconv>
 
 #include "fakes/http_support.h"
-#include "wire/user_codec.h"
 #include "wire/url_query.h"
+#include "wire/user_codec.h"
 
 namespace hallpier::testing_support {
 namespace {
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -25,7 +25,7 @@
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failures().OnFailure("run-1", name, 90);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   RoundResult alone = Plan();
   EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
   EXPECT_EQ(alone.retried_jobs, std::vector<std::string>{"run-1"});
@@ -42,7 +42,7 @@
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failures().OnFailure("run-1", name, 99);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_TRUE(Plan().placements.empty());
   registry_.failures().OnSuccess("run-1", "vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
@@ -60,7 +60,7 @@
   bound.zone = "a";
   PutJob(job_table_, bound, 1);
   registry_.failures().OnFailure("run-1", "vm-1", 99);
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
   RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
   EXPECT_EQ(PlacedOf(later, "run-1"), 1U);
@@ -75,7 +75,7 @@
     PutJob(job_table_, Spec(id, 20), 1);
     for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
   }
-  registry_.Learn(job_table_);
+  registry_.UpdateObservations(job_table_);
   EXPECT_EQ(Plan().placements.size(), 2U) << "2 of 120 processors";
 }
 
