--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -94,7 +94,7 @@
                                             const jobs::JobTable& job_table, bool direct) {
   const model::FencingToken token = registry.token();
   const StopRequests& stop_requests = registry.stop_requests();
-  const Placements& placements = job_table.On(machine.name);
+  const Placements& placements = job_table.PlacementsOn(machine.name);
   std::vector<model::WorkerCommand> commands;
   DropSettledStarts(machine, placements, token);
   for (const auto& [task, reported] : machine.reported_tasks) {
@@ -163,7 +163,7 @@
   const model::FencingToken token = registry.token();
   for (const auto& [name, machine] : registry.all()) {
     if (machine.agent.token != token || machine.cloud.terminating) continue;
-    const Placements& placements = job_table.On(name);
+    const Placements& placements = job_table.PlacementsOn(name);
     for (const auto& [task, start] : machine.sent_starts) {
       if (!OnlyHigherTokenVoids(machine, task, start, token)) continue;
       auto recorded = placements.find(task);
--- a/src/fleet/task_outcomes.cc
+++ b/src/fleet/task_outcomes.cc
@@ -110,7 +110,7 @@
                                                          double now) {
   const OutcomeFinder finder(registry, job_table, now);
   std::vector<jobs::TaskTransition> transitions;
-  for (const auto& [name, placements] : job_table.by_machine()) {
+  for (const auto& [name, placements] : job_table.placements_by_machine()) {
     const Machine* machine = registry.Find(name);
     const bool all_ended = registry.IsConfirmedGone(name) || now > registry.LeaseExpiry(machine);
     for (const auto& [task, attempt] : placements) {
--- a/src/plan/preemption.cc
+++ b/src/plan/preemption.cc
@@ -100,7 +100,7 @@
     const fleet::Machine& machine) const {
   std::vector<Victim> victims;
   if (!input_.registry.AcceptsTasks(machine, input_.now)) return victims;
-  for (const auto& [task, attempt] : input_.job_table.On(machine.name)) {
+  for (const auto& [task, attempt] : input_.job_table.PlacementsOn(machine.name)) {
     const jobs::Job* job = input_.job_table.Find(task.job);
     const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
     if (job == nullptr || reported == nullptr || reported->state != model::TaskPhase::kRunning ||
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -123,7 +123,7 @@
              MappedJob& mapped) {
     const jobs::Job& job = *queued.job;
     // Never more than are mapped: a job may have 100,000 tasks waiting.
-    if (mapped.waiting.empty()) mapped.waiting = input_.job_table.Waiting(job, assignments);
+    if (mapped.waiting.empty()) mapped.waiting = input_.job_table.WaitingTasks(job, assignments);
     jobs::TaskTransition placement;
     placement.kind = jobs::TaskTransition::Kind::kPlace;
     placement.task = {job.spec.id, mapped.waiting.at(mapped.started++)};
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -33,7 +33,7 @@
   // Takes off what is recorded as placed here. Adds to `ended_by_team` what is done, recorded or
   // not.
   void TakePlaced(std::map<std::string, Resources>& ended_by_team) {
-    for (const auto& [task, attempt] : input_.job_table.On(machine_.name)) {
+    for (const auto& [task, attempt] : input_.job_table.PlacementsOn(machine_.name)) {
       const jobs::Job* job = input_.job_table.Find(task.job);
       if (job == nullptr) continue;
       const Resources need = RequirementOf(job->spec);
@@ -53,7 +53,7 @@
 
   // Takes off what runs here without being recorded here: it is being stopped.
   void TakeUnrecorded() {
-    const jobs::JobTable::Placements& placements = input_.job_table.On(machine_.name);
+    const jobs::JobTable::Placements& placements = input_.job_table.PlacementsOn(machine_.name);
     for (const auto& [task, reported] : machine_.reported_tasks) {
       if (placements.contains(task) || reported.state == model::TaskPhase::kExited) continue;
       const jobs::Job* job = input_.job_table.Find(task.job);
--- a/src/plan/spot_eviction.cc
+++ b/src/plan/spot_eviction.cc
@@ -10,7 +10,7 @@
   for (const auto& [name, machine] : input.registry.all()) {
     if (!machine.HasSpotNotice()) continue;
     const double time_left = machine.agent.reclaim_at - input.now;
-    for (const auto& [task, attempt] : input.job_table.On(name)) {
+    for (const auto& [task, attempt] : input.job_table.PlacementsOn(name)) {
       const jobs::Job* job = input.job_table.Find(task.job);
       if (job == nullptr || input.registry.stop_requests().Contains(task, attempt)) continue;
       if (RemainingTime(input, *job, machine, task, attempt) < time_left - stop_s) continue;
