--- a/src/controller/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -1,5 +1,6 @@
 #include "controller/leader_loop.h"
 
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -31,22 +32,22 @@
 
 }  // namespace
 
-LeaderLoop::LeaderLoop(LeaderDependencies deps)
-    : deps_(std::move(deps)),
-      registry_(
-          {deps_.settings->heartbeat_interval_s, deps_.settings->lease_s,
-           deps_.settings->list_lag_s, deps_.operators->silent_ratio,
-           kRetryWriteShare * deps_.settings->SmallestStateLimits().write_rps / kWritesPerRetry,
-           CloudLoop::kReturnsPerCall * deps_.settings->cloud_rps}),
-      max_sends_(
-          std::max<size_t>(1, static_cast<size_t>(kCommandSockets * deps_.settings->max_sockets))),
+LeaderLoop::LeaderLoop(const NodeServices& services)
+    : services_(services),
+      registry_({services_.settings->heartbeat_interval_s, services_.settings->lease_s,
+                 services_.settings->list_lag_s, services_.operators->silent_ratio,
+                 kRetryWriteShare * services_.settings->SmallestStateLimits().write_rps / kWritesPerRetry,
+                 CloudLoop::kReturnsPerCall * services_.settings->cloud_rps}),
+      max_sends_(std::max<size_t>(
+          1, static_cast<size_t>(kCommandSockets * services_.settings->max_sockets))),
       workers_(1, kMaxWorkerBody, max_sends_),
-      cloud_(deps_, registry_, context_, [this] { OnChange(); }),
-      committer_(*deps_.settings, *deps_.client, *deps_.cache, *deps_.formats, CommitHooks()) {
-  context_.settings = deps_.settings;
-  context_.operators = deps_.operators;
-  if (deps_.operators->blocks.enabled) {
-    blocks_ = std::make_unique<BlockLeader>(deps_, registry_, context_);
+      cloud_(services_, registry_, context_, [this] { RequestRound(); }),
+      committer_(*services_.settings, *services_.client, *services_.cache, *services_.formats,
+                 CommitHooks()) {
+  context_.settings = services_.settings;
+  context_.operators = services_.operators;
+  if (services_.operators->blocks.enabled) {
+    blocks_ = std::make_unique<BlockLeader>(services_, registry_, context_);
   }
 }
 
@@ -66,9 +67,10 @@
 
 void LeaderLoop::Begin(async::Scope& term) {
   term_ = &term;
-  registry_.BeginTerm(deps_.election->token(), term.loop().Now(), deps_.election->others_until());
-  term_began_ = deps_.election->token().value();
-  context_.machine_types = *deps_.machine_types;
+  registry_.BeginTerm(services_.election->token(), term.loop().Now(),
+                      services_.election->predecessors_until());
+  term_began_ = services_.election->token().value();
+  context_.machine_types = *services_.machine_types;
   sending_.clear();
   send_again_.clear();
   send_queue_.clear();
@@ -81,8 +83,8 @@
 }
 
 void LeaderLoop::OnJobChanged(const std::string& id) {
-  if (!deps_.election->leading() || term_ == nullptr) return;
-  const jobs::Job* job = deps_.job_table->Find(id);
+  if (!services_.election->leading() || term_ == nullptr) return;
+  const jobs::Job* job = services_.job_table->Find(id);
   if (job != nullptr && job->cancelled) {
     for (const auto& [number, task_group] : job->task_groups()) {
       for (const auto& [index, task] : task_group.open) {
@@ -97,8 +99,8 @@
 }
 
 void LeaderLoop::OnTasksChanged(const store::ParsedKey& key) {
-  if (!blocks_ || !deps_.election->leading() || term_ == nullptr) return;
-  const jobs::Job* job = deps_.job_table->Find(key.job);
+  if (!blocks_ || !services_.election->leading() || term_ == nullptr) return;
+  const jobs::Job* job = services_.job_table->Find(key.job);
   if (job == nullptr) return;
   const uint32_t parts = job->groups.layout().parts;
   const uint32_t first = key.task_group * parts + key.part.value_or(0);
@@ -114,7 +116,7 @@
   }
 }
 
-void LeaderLoop::OnChange() {
+void LeaderLoop::RequestRound() {
   work_waits_ = true;
   work_.Notify();
 }
@@ -128,7 +130,7 @@
 
 wire::HttpResponse LeaderLoop::OnHeartbeat(const model::Heartbeat& report) {
   if (report.token > registry_.token()) {
-    deps_.election->Superseded(report.token);
+    services_.election->OnTokenSeen(report.token);
     return {.status = 421, .body = wire::WriteRedirect("")};
   }
   const double now = term_->loop().Now();
@@ -146,29 +148,29 @@
 }
 
 bool LeaderLoop::CaughtUp() const {
-  return deps_.cache->revision() >= term_began_ &&
-         deps_.cache->complete_at() >= term_->loop().resumed_at();
+  return services_.cache->revision() >= term_began_ &&
+         services_.cache->complete_at() >= term_->loop().resumed_at();
 }
 
 std::vector<model::WorkerCommand> LeaderLoop::CommandsFor(fleet::Machine& machine, bool direct) {
-  if (CaughtUp()) return fleet::Reconcile(registry_, machine, *deps_.job_table, direct);
+  if (CaughtUp()) return fleet::Reconcile(registry_, machine, *services_.job_table, direct);
   // After a pause in an outage, leases are renewed on the word of the other nodes while the copy
   // can't be confirmed: a cancellation that they hand over would never be carried out.
-  return fleet::CancellationCommands(machine, *deps_.job_table);
+  return fleet::CancellationCommands(machine, *services_.job_table);
 }
 
 async::Task<> LeaderLoop::RoundLoop(async::Scope& term) {
   while (!term.cancelled()) {
-    const double gap = RoundGapS(*deps_.settings, *deps_.operators, round_took_);
+    const double gap = RoundGapS(*services_.settings, *services_.operators, round_took_);
     async::Sleep rest(term, gap);
     co_await rest;
     if (!work_waits_) {
-      auto wait = work_.Await(term, std::max(0.0, deps_.operators->round_s - gap));
+      auto wait = work_.Await(term, std::max(0.0, services_.operators->round_s - gap));
       co_await wait;
     }
     // Looked at last: the process may have been paused in any of the waits.
     while (!term.cancelled() && !CaughtUp()) {
-      auto wait = deps_.cache->changed().Await(term, deps_.settings->heartbeat_interval_s);
+      auto wait = services_.cache->changed().Await(term, services_.settings->heartbeat_interval_s);
       co_await wait;
     }
     if (term.cancelled()) break;
@@ -178,20 +180,19 @@
 }
 
 async::Task<> LeaderLoop::Round(async::Scope& term) {
-  if (fleet::NeedsHigherToken(registry_, *deps_.job_table)) {
-    bool fenced = co_await deps_.election->Fence();
-    if (fenced) registry_.SetToken(deps_.election->token());
+  if (fleet::NeedsHigherToken(registry_, *services_.job_table)) {
+    bool raised = co_await services_.election->RaiseToken();
+    if (raised) registry_.SetToken(services_.election->token());
   }
-  bool settled = co_await committer_.ResolveUnanswered(term, deps_.operators->round_s);
+  bool settled = co_await committer_.ResolveUnanswered(term, services_.operators->round_s);
   if (!settled) {
     work_waits_ = true;
     co_return;
   }
   const double begin = term.loop().Now();
   urgent_came_ = false;
-  registry_.UpdateObservations(*deps_.job_table);
-  std::vector<jobs::TaskTransition> transitions =
-      fleet::CollectTaskTransitions(registry_, *deps_.job_table, begin);
+  registry_.UpdateObservations(*services_.job_table);
+  std::vector<jobs::TaskTransition> transitions = fleet::CollectTaskTransitions(registry_, *services_.job_table, begin);
   std::map<std::string, int> requeued;
   for (const auto& m : transitions) {
     if (m.kind == jobs::TaskTransition::Kind::kRequeue) ++requeued[m.machine + ": " + m.why];
@@ -199,8 +200,8 @@
   for (const auto& [why, n] : requeued) spdlog::info("{} tasks back from {}", n, why);
   std::optional<plan::PlacementScope> scope;
   if (blocks_ && blocks_->divided()) scope = blocks_->WholeScope();
-  plan::RoundResult plan = plan::PlanRound(context_, *deps_.job_table, registry_, begin,
-                                           deps_.time_of_day(), scope ? &*scope : nullptr);
+  plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, registry_, begin,
+                                           services_.time_of_day(), scope ? &*scope : nullptr);
   round_took_ = term.loop().Now() - begin;
   cloud_.SetDemands(std::move(plan.demands));
   CarryOutStops(term, plan.preemptions);
@@ -211,9 +212,8 @@
     registry_.failures().OnRetry(job, begin);
   }
   if (!decided.placements.empty() || !plan.preemptions.empty()) {
-    spdlog::info("round: {} waiting, {} placed, {} stopped for others, {:.1f} ms",
-                 plan.waiting_tasks, decided.placements.size(), plan.preemptions.size(),
-                 round_took_ * 1000);
+    spdlog::info("round: {} waiting, {} placed, {} stopped for others, {:.1f} ms", plan.waiting_tasks,
+                 decided.placements.size(), plan.preemptions.size(), round_took_ * 1000);
   }
   for (const auto& m : decided.placements) {
     spdlog::debug("place {} try {} on {}", model::TaskName(m.task), m.attempt, m.machine);
@@ -236,7 +236,7 @@
                                                               plan::RoundResult* plan,
                                                               const plan::PlacementScope* scope) {
   Decided decided;
-  decided.preconditions = {store::TokenPrecondition(deps_.election->token())};
+  decided.preconditions = {store::TokenPrecondition(services_.election->token())};
   if (!blocks_) {
     decided.placements = std::move(plan->placements);
     co_return decided;
@@ -247,7 +247,7 @@
     decided.placements = std::move(plan->placements);
     co_return decided;
   }
-  const std::optional<size_t> holder = blocks_->Holding(deps_.session());
+  const std::optional<size_t> holder = blocks_->Holding(services_.session());
   if (!holder) {
     // Until the copy has passed what was just written, or while this node holds no block.
     work_waits_ = true;
@@ -255,16 +255,16 @@
   }
   const plan::PlacementScope own = blocks_->OwnScope(*holder);
   const double now = term.loop().Now();
-  plan::RoundResult placed =
-      plan::PlanRound(context_, *deps_.job_table, registry_, now, deps_.time_of_day(), &own);
+  plan::RoundResult placed = plan::PlanRound(context_, *services_.job_table, registry_, now,
+                                             services_.time_of_day(), &own);
   round_took_ += term.loop().Now() - now;
   decided.placements = std::move(placed.placements);
-  decided.preconditions = deps_.records->PlacementPreconditions(*holder);
+  decided.preconditions = services_.block_records->PlacementPreconditions(*holder);
   co_return decided;
 }
 
 double LeaderLoop::BackgroundIntervalS() const {
-  return kBackgroundReports * deps_.settings->heartbeat_interval_s;
+  return kBackgroundReports * services_.settings->heartbeat_interval_s;
 }
 
 bool LeaderLoop::GivesWay(const jobs::Transaction& transaction) {
@@ -281,21 +281,22 @@
 
 async::Task<> LeaderLoop::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                                  std::vector<model::Precondition> preconditions) {
-  if (deps_.formats->changing()) {
+  if (services_.formats->changing()) {
     work_waits_ = true;
     co_return;
   }
-  jobs::TransactionLimits limits = committer_.Limits(std::move(preconditions), deps_.time_of_day());
+  jobs::TransactionLimits limits =
+      committer_.Limits(std::move(preconditions), services_.time_of_day());
   limits.others_place = blocks_ && blocks_->divided();
-  auto version = [this](const std::string& key) { return deps_.cache->Version(key); };
-  auto transactions = jobs::BuildTransactions(*deps_.job_table, transitions, limits, version);
+  auto version = [this](const std::string& key) { return services_.cache->Version(key); };
+  auto transactions = jobs::BuildTransactions(*services_.job_table, transitions, limits, version);
   std::map<jobs::WritePriority, size_t> asked;
   for (const jobs::Transaction& t : transactions) asked[t.priority] += t.writes.size();
   spdlog::debug("commit: {} urgent starts, {} ends of jobs, {} starts, {} to tidy up, {} outcomes",
                 asked[jobs::WritePriority::kUrgentStart], asked[jobs::WritePriority::kJobEnd],
                 asked[jobs::WritePriority::kStart], asked[jobs::WritePriority::kCleanup],
                 asked[jobs::WritePriority::kTaskEnd]);
-  co_await committer_.Commit(term, std::move(transactions), deps_.operators->round_s);
+  co_await committer_.Commit(term, std::move(transactions), services_.operators->round_s);
 }
 
 void LeaderLoop::RecordFinals(const std::vector<model::KeyWrite>& writes) const {
@@ -303,7 +304,7 @@
   for (const model::KeyWrite& w : writes) {
     const store::ParsedKey key = store::ParseKey(w.key);
     if (key.kind != store::KeyKind::kFinal) continue;
-    if (auto record = store::ReadFinal(w.value)) deps_.job_table->RecordFinal(key.job, *record);
+    if (auto record = store::ReadFinal(w.value)) services_.job_table->RecordFinal(key.job, *record);
   }
 }
 
@@ -312,12 +313,12 @@
   for (const model::KeyWrite& w : transaction.writes) {
     const store::ParsedKey key = store::ParseKey(w.key);
     if (key.kind != store::KeyKind::kJob || !w.value.empty()) continue;
-    const jobs::Job* job = deps_.job_table->Find(key.job);
+    const jobs::Job* job = services_.job_table->Find(key.job);
     if (job == nullptr) continue;
     lines.push_back(
         fmt::format("job {} ({}) {} {:.1f} s after its submission: {} x {} cpus, mean run {:.1f} s",
                     key.job, job->spec.job_class, job->cancelled ? "cancelled" : "done",
-                    deps_.time_of_day() - job->submitted, job->spec.tasks, job->spec.cpus,
+                    services_.time_of_day() - job->submitted, job->spec.tasks, job->spec.cpus,
                     job->MeanRun().value_or(0)));
   }
   return lines;
@@ -343,7 +344,7 @@
     // Who did not answer the last one hears the next in the answer to its report: hanging machines
     // would else hold the connections that others wait for.
     if (m == nullptr || m->endpoint.empty() || !m->has_reported() || m->agent.unreachable ||
-        !deps_.election->Entitled()) {
+        !services_.election->MayAct()) {
       break;
     }
     const model::FencingToken token = registry_.token();
@@ -353,13 +354,13 @@
     wire::HttpRequest q{.method = "POST",
                         .target = "/commands",
                         .body = wire::WriteCommands(token, m->agent.epoch, commands)};
-    auto r =
-        co_await workers_.Call(term, m->endpoint, std::move(q),
-                               kCommandTimeoutRatio * deps_.settings->heartbeat_interval_s, false);
+    auto r = co_await workers_.Call(term, m->endpoint, std::move(q),
+                                    kCommandTimeoutRatio * services_.settings->heartbeat_interval_s,
+                                    false);
     const bool answered = r && (r->status == 200 || r->status == 409);
     if (answered) {
       auto report = wire::ReadHeartbeat(r->body);
-      if (report && report->token > token) deps_.election->Superseded(report->token);
+      if (report && report->token > token) services_.election->OnTokenSeen(report->token);
       if (report && registry_.OnHeartbeat(*report, term.loop().Now(), true)) {
         work_waits_ = true;
         work_.Notify();
--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -1,6 +1,6 @@
 // Team limits of several controllers in fake time, failure by failure. docs/team-limits.md names
 // the guard behind each.
-#include "blocks_cluster.h"
+#include "simulation/blocks_cluster.h"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 
 using namespace testing_support;
 using Options = BlocksCluster::Options;
-using Fate = BlocksCluster::Fate;
+using Fate = BlocksCluster::DeliveryFault;
 
 class BlocksClusterTest : public testing::Test {
  protected:
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -2,7 +2,7 @@
 // behind each.
 #include <gtest/gtest.h>
 
-#include "membership_cluster.h"
+#include "simulation/membership_cluster.h"
 #include "model/member.h"
 
 namespace hallpier {
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -2,7 +2,7 @@
 
 #include <functional>
 
-#include "blocks_cluster.h"
+#include "simulation/blocks_cluster.h"
 
 namespace hallpier::report {
 namespace {
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -2,7 +2,7 @@
 
 #include <functional>
 
-#include "membership_cluster.h"
+#include "simulation/membership_cluster.h"
 #include "model/member.h"
 
 namespace hallpier::report {
