--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -130,8 +130,8 @@
   const auto most = static_cast<size_t>(std::ceil(deps_.settings->cloud_rps));
   auto requests = autoscaler_.ScaleOutRequests(demands_, context_.machine_types,
                                                deps_.election->token(), most, term.loop().Now());
-  fleet::Autoscaler::LimitOutstanding(registry_, context_.machine_types, term.loop().Now(),
-                                      &requests);
+  requests = fleet::Autoscaler::LimitBooting(registry_, context_.machine_types, term.loop().Now(),
+                                             std::move(requests));
   // An offer that has run dry in between is not asked again.
   std::set<std::tuple<std::string, std::string, bool>> dry;
   for (const model::ScaleOutRequest& r : requests) {
@@ -155,7 +155,7 @@
     } else if (answer->body.find("no capacity") == std::string::npos) {
       co_return;
     }
-    autoscaler_.OnShort(r, now);
+    autoscaler_.OnCapacityShortage(r, now);
     dry.insert({r.machine_type, r.zone, r.spot});
   }
   // What rounds wanted meanwhile did not know of these machines yet.
@@ -205,7 +205,7 @@
     if (term.cancelled()) break;
     const double now = term.loop().Now();
     const bool heard =
-        autoscaler_.Review(registry_, *deps_.job_table, context_, !demands_.empty(), now);
+        autoscaler_.ReviewMachines(registry_, *deps_.job_table, context_, !demands_.empty(), now);
     if (!heard && !JustResumed(now, term.loop().resumed_at())) {
       deps_.election->Resign(kResignRatio * deps_.settings->lease_s, "most workers are silent");
       break;
--- a/src/fleet/answer_acknowledgement.h
+++ b/src/fleet/answer_acknowledgement.h
@@ -2,7 +2,7 @@
 // partition).
 //
 // An answer should have an effect that the next heartbeat shows: the agent has seen our token, and
-// lists the tasks that it was told to start. Works on AnswerState of a Machine; does no I/O.
+// lists the tasks that it had to start. Works on AnswerState of a Machine; does no I/O.
 #pragma once
 
 #include <vector>
@@ -13,8 +13,8 @@
 
 namespace hallpier::fleet {
 
-// Below this many answers without effect a machine still gets new tasks.
-inline constexpr int kMaxUnacknowledgedForPlacement = 2;
+// A machine with this many answers without effect gets no new tasks.
+inline constexpr int kMinUnacknowledgedToBarTasks = 2;
 
 // Compares a heartbeat with the answer to the one before it. Must be called before the heartbeat is
 // taken into the machine's state. `token`: ours. `lease_s`: length of an agent's lease in seconds.
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -1,44 +1,45 @@
 #include "fleet/autoscaler.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <cmath>
-#include <tuple>
+#include <iterator>
+#include <utility>
 
 #include "fleet/slowness_estimate.h"
 
 namespace hallpier::fleet {
 namespace {
 
-constexpr int kMostPerRequest = 50;
-// An offer that ran dry is asked again after this many report periods.
-constexpr double kShortReports = 5;
+constexpr int kMaxMachinesPerRequest = 50;
+// An offer that ran dry is asked again after this many heartbeat intervals.
+constexpr double kDryOfferIntervals = 5;
 // Machines that are not up, late ones included, are at most so many times those that are needed.
-constexpr double kMostOutstanding = 2;
-// AnswersLost machines are returned while they are fewer than this part of all.
-constexpr double kManyAnswersLost = 0.25;
-// A machine is quiet that has not been heard for this many report periods: a report may be late by
-// a quarter of a period, and an answer slow.
-constexpr double kQuiet = 1.5;
-// Where most machines of a zone fall silent the zone is cut off rather than they are dead: they are
-// returned only after so many leases, since they may be back at any moment.
-constexpr double kCutLeases = 3;
-// Idle machines kept, as a part of all that report.
-constexpr double kIdleKept = 0.25;
+constexpr double kMaxBootingRatio = 2;
+// Machines that don't get our answers are terminated while they are fewer than this part of all.
+constexpr double kMaxAnswersLostShare = 0.25;
+// A machine is overdue that has not been heard for this many heartbeat intervals: a heartbeat may
+// be late by a quarter of an interval, and an answer slow.
+constexpr double kOverdueIntervals = 1.5;
+// Where most machines of a zone fall silent the zone is partitioned rather than they are dead: they
+// are terminated only after so many leases, since they may be back at any moment.
+constexpr double kPartitionLeases = 3;
+// Idle machines that are kept, as a part of all that report.
+constexpr double kIdleShare = 0.25;
 
 }  // namespace
 
-std::vector<Autoscaler::Pool> Autoscaler::PoolDemands(
+std::vector<Autoscaler::DemandPool> Autoscaler::PoolDemands(
     const std::vector<plan::CapacityDemand>& demands) const {
-  std::map<std::tuple<std::string, std::string, bool>, Pool> pools;
-  for (const plan::CapacityDemand& w : demands) {
-    std::string choices;
-    for (const auto& c : w.choices) choices += c.machine_type + "*" + std::to_string(c.fit) + " ";
-    auto [it, fresh] = pools.try_emplace({choices, w.zone, w.spot}, Pool{&w, 0});
-    it->second.tasks += static_cast<double>(w.tasks) * (1 + operators_.headroom);
+  std::map<DemandClass, DemandPool> pools;
+  for (const plan::CapacityDemand& demand : demands) {
+    DemandClass key{{}, demand.zone, demand.spot};
+    for (const auto& choice : demand.choices) {
+      key.choices += choice.machine_type + "*" + std::to_string(choice.fit) + " ";
+    }
+    auto [entry, is_new] = pools.try_emplace(std::move(key), DemandPool{&demand, 0});
+    entry->second.tasks += static_cast<double>(demand.tasks) * (1 + operators_.headroom);
   }
-  std::vector<Pool> out;
+  std::vector<DemandPool> out;
   out.reserve(pools.size());
   for (const auto& [key, pool] : pools) out.push_back(pool);
   return out;
@@ -46,171 +47,197 @@
 
 std::vector<Autoscaler::Offer> Autoscaler::OpenOffers(const model::MachineType& type,
                                                       const plan::CapacityDemand& demand, bool spot,
-                                                      const std::set<Offer>& asked,
+                                                      const std::set<Offer>& requested,
                                                       double now) const {
   std::vector<Offer> offers;
-  for (const auto& zone : type.zones) {
+  for (const std::string& zone : type.zones) {
     if (!demand.zone.empty() && zone != demand.zone) continue;
     Offer offer{type.name, zone, spot};
-    auto wait = not_before_.find(offer);
-    const bool dry = wait != not_before_.end() && wait->second > now;
-    if (!dry && !asked.contains(offer)) offers.push_back(std::move(offer));
+    auto retry_at = retry_at_.find(offer);
+    const bool is_dry = retry_at != retry_at_.end() && retry_at->second > now;
+    if (!is_dry && !requested.contains(offer)) offers.push_back(std::move(offer));
   }
   return offers;
 }
 
-void Autoscaler::RequestFrom(const std::vector<Offer>& offers, double tasks_per_machine,
-                             model::FencingToken token, size_t most, Pool* pool,
-                             std::vector<model::ScaleOutRequest>* requests) {
-  while (!offers.empty() && pool->tasks > 0 && requests->size() < most) {
-    auto left = static_cast<int>(std::ceil(pool->tasks / tasks_per_machine));
-    for (size_t i = 0; i < offers.size() && left > 0 && requests->size() < most; ++i) {
+std::vector<model::ScaleOutRequest> Autoscaler::RequestFrom(const std::vector<Offer>& offers,
+                                                            double tasks_per_machine,
+                                                            model::FencingToken token,
+                                                            size_t max_requests, DemandPool& pool) {
+  std::vector<model::ScaleOutRequest> requests;
+  while (!offers.empty() && pool.tasks > 0 && requests.size() < max_requests) {
+    auto machines_left = static_cast<int>(std::ceil(pool.tasks / tasks_per_machine));
+    for (size_t i = 0; i < offers.size(); ++i) {
+      if (machines_left <= 0 || requests.size() >= max_requests) break;
       // Spread over the zones, so that no single one takes everything with it.
-      const auto zones = static_cast<int>(offers.size() - i);
+      const auto zones_left = static_cast<int>(offers.size() - i);
+      const int share = (machines_left + zones_left - 1) / zones_left;
       model::ScaleOutRequest request;
-      request.request =
-          "hallpier-" + std::to_string(token.value()) + "-" + std::to_string(++number_);
+      request.request = "hallpier-" + std::to_string(token.value()) + "-" +
+                        std::to_string(++last_request_number_);
       request.machine_type = offers[i].machine_type;
       request.zone = offers[i].zone;
       request.spot = offers[i].spot;
-      request.count = std::min(kMostPerRequest, (left + zones - 1) / zones);
-      left -= request.count;
-      pool->tasks -= request.count * tasks_per_machine;
-      requests->push_back(std::move(request));
+      request.count = std::min(kMaxMachinesPerRequest, share);
+      machines_left -= request.count;
+      pool.tasks -= request.count * tasks_per_machine;
+      requests.push_back(std::move(request));
     }
   }
+  return requests;
 }
 
 std::vector<model::ScaleOutRequest> Autoscaler::ScaleOutRequests(
     const std::vector<plan::CapacityDemand>& demands,
-    const std::vector<model::MachineType>& machine_types, model::FencingToken token, size_t most,
-    double now) {
+    const std::vector<model::MachineType>& machine_types, model::FencingToken token,
+    size_t max_requests, double now) {
   std::vector<model::ScaleOutRequest> out;
-  std::set<Offer> asked;
-  for (Pool& pool : PoolDemands(demands)) {
+  std::set<Offer> requested;
+  for (DemandPool& pool : PoolDemands(demands)) {
     for (bool spot : {true, false}) {
-      if (spot && !pool.demand->spot) continue;
-      for (const auto& choice : pool.demand->choices) {
+      if (spot && !pool.example->spot) continue;
+      for (const auto& choice : pool.example->choices) {
         const model::MachineType* type = model::FindMachineType(machine_types, choice.machine_type);
         if (type == nullptr) continue;
-        const std::vector<Offer> offers = OpenOffers(*type, *pool.demand, spot, asked, now);
-        RequestFrom(offers, static_cast<double>(choice.fit), token, most, &pool, &out);
-        asked.insert(offers.begin(), offers.end());
+        const std::vector<Offer> offers = OpenOffers(*type, *pool.example, spot, requested, now);
+        auto requests = RequestFrom(offers, static_cast<double>(choice.fit), token,
+                                    max_requests - out.size(), pool);
+        std::move(requests.begin(), requests.end(), std::back_inserter(out));
+        requested.insert(offers.begin(), offers.end());
       }
     }
   }
   return out;
 }
 
-void Autoscaler::LimitOutstanding(const WorkerRegistry& registry,
-                                  const std::vector<model::MachineType>& machine_types, double now,
-                                  std::vector<model::ScaleOutRequest>* requests) {
+std::vector<model::ScaleOutRequest> Autoscaler::LimitBooting(
+    const WorkerRegistry& registry, const std::vector<model::MachineType>& machine_types,
+    double now, std::vector<model::ScaleOutRequest> requests) {
   std::map<std::string, int> allowed;
   for (const model::MachineType& type : machine_types) {
-    const WorkerRegistry::BootingMachines there = registry.CountBooting(type, now);
-    auto needed = static_cast<double>(there.on_time);
-    for (const model::ScaleOutRequest& r : *requests)
-      needed += r.machine_type == type.name ? r.count : 0;
-    const auto outstanding = static_cast<double>(there.on_time + there.late);
-    allowed[type.name] = static_cast<int>(std::max(0.0, kMostOutstanding * needed - outstanding));
+    const WorkerRegistry::BootingMachines booting = registry.CountBooting(type, now);
+    auto needed = static_cast<double>(booting.on_time);
+    for (const model::ScaleOutRequest& request : requests) {
+      needed += request.machine_type == type.name ? request.count : 0;
+    }
+    const auto not_up = static_cast<double>(booting.on_time + booting.late);
+    allowed[type.name] = static_cast<int>(std::max(0.0, kMaxBootingRatio * needed - not_up));
   }
-  for (model::ScaleOutRequest& r : *requests) {
-    r.count = std::min(r.count, allowed[r.machine_type]);
-    allowed[r.machine_type] -= r.count;
+  for (model::ScaleOutRequest& request : requests) {
+    request.count = std::min(request.count, allowed[request.machine_type]);
+    allowed[request.machine_type] -= request.count;
   }
-  std::erase_if(*requests, [](const model::ScaleOutRequest& r) { return r.count == 0; });
+  std::erase_if(requests, [](const model::ScaleOutRequest& request) { return request.count == 0; });
+  return requests;
 }
 
-void Autoscaler::OnShort(const model::ScaleOutRequest& r, double now) {
-  not_before_[{r.machine_type, r.zone, r.spot}] =
-      now + kShortReports * settings_.heartbeat_interval_s;
+void Autoscaler::OnCapacityShortage(const model::ScaleOutRequest& request, double now) {
+  const Offer offer{request.machine_type, request.zone, request.spot};
+  retry_at_[offer] = now + kDryOfferIntervals * settings_.heartbeat_interval_s;
 }
 
-Autoscaler::Census Autoscaler::Count(WorkerRegistry& registry, const jobs::JobTable& job_table,
-                                     double now) {
-  Census census;
-  for (auto& [name, m] : registry.all()) {
-    if (m.cloud.terminating || (!m.has_reported() && m.cloud.booting)) continue;
-    Census::Zone& zone = census.zones[m.zone];
+Autoscaler::FleetSummary Autoscaler::Summarize(WorkerRegistry& registry,
+                                               const jobs::JobTable& job_table, double now) {
+  FleetSummary summary;
+  for (auto& [name, machine] : registry.all()) {
+    if (machine.cloud.terminating) continue;
+    if (!machine.has_reported() && machine.cloud.booting) continue;
+    FleetSummary::Zone& zone = summary.zones[machine.zone];
     ++zone.up;
-    const bool silent = registry.IsSilent(m, now);
-    if (silent) ++zone.silent;
-    if (!m.has_reported()) continue;
-    ++census.reported;
-    if (silent) ++census.silent;
-    if (registry.MissedHeartbeats(m, now) > kQuiet) ++census.quiet;
-    if (registry.AnswersLost(m, now)) ++census.answers_lost;
-    const bool busy = !job_table.On(name).empty() || !m.reported_tasks.empty();
-    if (busy) m.cloud.idle_since = now;
-    if (!busy) ++census.idle;
+    const bool is_silent = registry.IsSilent(machine, now);
+    if (is_silent) ++zone.silent;
+    if (!machine.has_reported()) continue;
+    ++summary.reported;
+    if (is_silent) ++summary.silent;
+    if (registry.MissedHeartbeats(machine, now) > kOverdueIntervals) ++summary.overdue;
+    if (registry.AnswersLost(machine, now)) ++summary.answers_lost;
+    const bool has_work = !job_table.On(name).empty() || !machine.reported_tasks.empty();
+    if (has_work) {
+      machine.cloud.idle_since = now;
+    } else {
+      ++summary.idle;
+    }
   }
-  return census;
+  return summary;
 }
 
-bool Autoscaler::Lost(const WorkerRegistry& registry, const Machine& m, const Census& census,
-                      double now) const {
-  // The first to be silent are not returned while most others have missed a report as well: it
-  // takes a few reports more until it is plain that the fault is ours.
-  if (census.MostOf(census.quiet) || !registry.IsSilent(m, now)) return false;
-  return !census.zones.at(m.zone).cut() ||
-         registry.MissedHeartbeats(m, now) * settings_.heartbeat_interval_s >
-             kCutLeases * settings_.lease_s;
+std::map<std::string, double> Autoscaler::BootDeadlines(const WorkerRegistry& registry,
+                                                        const plan::Context& context, double now) {
+  std::map<std::string, double> deadlines;
+  for (const model::MachineType& type : context.machine_types) {
+    const size_t late = registry.CountBooting(type, now).late;
+    deadlines[type.name] = registry.boot_times().Deadline(type.name, type.boot_s, late, now);
+  }
+  return deadlines;
 }
 
-std::optional<std::string_view> Autoscaler::WhyReturn(const WorkerRegistry& registry,
-                                                      const jobs::JobTable& job_table,
-                                                      const Machine& m, const Census& census,
-                                                      double boot_deadline_s, double now) const {
-  if (!m.has_reported()) {
-    // Its age alone says nothing: a machine that reported to the leader before us is old, too.
-    if (m.cloud.booting) {
-      if (now - m.cloud.requested_at > boot_deadline_s + settings_.list_lag_s)
-        return "never came up";
-      return std::nullopt;
-    }
-    if (Lost(registry, m, census, now)) return "up, but never reported";
+bool Autoscaler::IsGivenUp(const WorkerRegistry& registry, const Machine& machine,
+                           const FleetSummary& summary, double now) const {
+  // The first to be silent are not terminated while most others have missed a heartbeat as well: it
+  // takes a few heartbeats more until it is plain that the fault is ours.
+  if (summary.IsMajority(summary.overdue) || !registry.IsSilent(machine, now)) return false;
+  if (!summary.zones.at(machine.zone).IsPartitioned()) return true;
+  const double unheard_s = registry.MissedHeartbeats(machine, now) * settings_.heartbeat_interval_s;
+  return unheard_s > kPartitionLeases * settings_.lease_s;
+}
+
+std::optional<std::string_view> Autoscaler::TerminationReasonUnreported(
+    const WorkerRegistry& registry, const Machine& machine, const FleetSummary& summary,
+    double boot_deadline_s, double now) const {
+  if (machine.cloud.booting) {
+    const double age_s = now - machine.cloud.requested_at;
+    if (age_s > boot_deadline_s + settings_.list_lag_s) return "never came up";
     return std::nullopt;
   }
-  if (registry.IsSilent(m, now)) {
-    if (Lost(registry, m, census, now)) return "silent";
+  // Once it is up its age says nothing: a machine that reported to an earlier leader is old, too.
+  if (IsGivenUp(registry, machine, summary, now)) return "up, but never reported";
+  return std::nullopt;
+}
+
+std::optional<std::string_view> Autoscaler::TerminationReason(
+    const WorkerRegistry& registry, const jobs::JobTable& job_table, const Machine& machine,
+    const FleetSummary& summary, double boot_deadline_s, double now) const {
+  if (!machine.has_reported()) {
+    return TerminationReasonUnreported(registry, machine, summary, boot_deadline_s, now);
+  }
+  if (registry.IsSilent(machine, now)) {
+    if (IsGivenUp(registry, machine, summary, now)) return "silent";
     return std::nullopt;
   }
   // Where the answers to many are lost at once, they are more likely to be late than lost.
-  const double many_answers_lost = kManyAnswersLost * static_cast<double>(census.reported) + 1;
-  if (registry.AnswersLost(m, now) &&
-      static_cast<double>(census.answers_lost) < many_answers_lost) {
+  const double many_answers_lost = kMaxAnswersLostShare * static_cast<double>(summary.reported) + 1;
+  if (registry.AnswersLost(machine, now) &&
+      static_cast<double>(summary.answers_lost) < many_answers_lost) {
     return "our answers don't reach it";
   }
-  if (IsSlow(m) && job_table.On(m.name).empty()) return "slow";
+  if (IsSlow(machine) && job_table.On(machine.name).empty()) return "slow";
   return std::nullopt;
 }
 
-bool Autoscaler::Review(WorkerRegistry& registry, const jobs::JobTable& job_table,
-                        const plan::Context& context, bool has_demand, double now) const {
-  Census census = Count(registry, job_table, now);
-  const auto kept =
-      static_cast<size_t>(std::ceil(kIdleKept * static_cast<double>(census.reported)));
-  std::map<std::string, double> boot_deadlines;
-  for (const model::MachineType& type : context.machine_types) {
-    const size_t late = registry.CountBooting(type, now).late;
-    boot_deadlines[type.name] = registry.boot_times().Deadline(type.name, type.boot_s, late, now);
-  }
-  for (auto& [name, m] : registry.all()) {
-    if (m.cloud.terminating) continue;
-    const model::MachineType* type = context.FindMachineType(m.machine_type);
+bool Autoscaler::ReviewMachines(WorkerRegistry& registry, const jobs::JobTable& job_table,
+                                const plan::Context& context, bool has_demand, double now) const {
+  FleetSummary summary = Summarize(registry, job_table, now);
+  std::map<std::string, double> boot_deadlines = BootDeadlines(registry, context, now);
+  const auto idle_kept =
+      static_cast<size_t>(std::ceil(kIdleShare * static_cast<double>(summary.reported)));
+  for (auto& [name, machine] : registry.all()) {
+    if (machine.cloud.terminating) continue;
+    const model::MachineType* type = context.FindMachineType(machine.machine_type);
     if (type == nullptr) continue;
-    if (auto why = WhyReturn(registry, job_table, m, census, boot_deadlines[m.machine_type], now)) {
-      registry.RequestTermination(m, std::string(*why));
+    if (auto reason = TerminationReason(registry, job_table, machine, summary,
+                                        boot_deadlines[machine.machine_type], now)) {
+      registry.RequestTermination(machine, std::string(*reason));
       continue;
     }
-    const bool idle = m.has_reported() && !registry.IsSilent(m, now) &&
-                      now - m.cloud.idle_since > operators_.idle_ratio * type->boot_s;
-    if (!has_demand && idle && census.idle > kept) {
-      --census.idle;
-      registry.RequestTermination(m, "idle");
+    const double idle_s = now - machine.cloud.idle_since;
+    const bool is_idle = machine.has_reported() && !registry.IsSilent(machine, now) &&
+                         idle_s > operators_.idle_ratio * type->boot_s;
+    if (!has_demand && is_idle && summary.idle > idle_kept) {
+      --summary.idle;
+      registry.RequestTermination(machine, "idle");
     }
   }
-  return !census.MostOf(census.silent);
+  return !summary.IsMajority(summary.silent);
 }
 
 }  // namespace hallpier::fleet
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -7,11 +7,11 @@
 namespace {
 
 // A job is suspected once it has failed on this many machines, or on all if there are fewer.
-constexpr size_t kSuspectMachines = 3;
-// Failures of this many jobs that may all be sound suspend a machine.
-constexpr size_t kSuspendJobs = 2;
-// Failures of sound jobs that condemn a machine.
-constexpr int kFaultyFailures = 2;
+constexpr size_t kMinMachinesForSuspicion = 3;
+// A machine is quarantined once this many jobs that are not suspected have failed on it.
+constexpr size_t kMinJobsForQuarantine = 2;
+// A machine is faulty after this many failures of jobs that have succeeded elsewhere.
+constexpr int kMinFailuresForFaulty = 2;
 constexpr double kBackoffFactor = 2;
 // Retries that may be started at once if none was for a while.
 constexpr double kRetryBurst = 4;
@@ -26,14 +26,14 @@
   history.succeeded = true;
   history.suspected = false;
   history.backoff_s = 0;
-  history.not_before = 0;
+  history.retry_not_before = 0;
 }
 
 void FailureTracker::OnFailure(const std::string& job, const std::string& machine, double now) {
   JobHistory& history = jobs_[job];
   history.failed_on.insert(machine);
   history.backoff_s = std::max(history.backoff_s, options_.initial_backoff_s);
-  history.not_before = std::max(history.not_before, now + history.backoff_s);
+  history.retry_not_before = std::max(history.retry_not_before, now + history.backoff_s);
   MachineHistory& there = machines_[machine];
   ++there.failures[job];
   there.last_failure = now;
@@ -43,37 +43,38 @@
   JobHistory& history = jobs_[job];
   history.backoff_s = std::clamp(kBackoffFactor * history.backoff_s, options_.initial_backoff_s,
                                  options_.max_backoff_s);
-  history.not_before = now + history.backoff_s;
+  history.retry_not_before = now + history.backoff_s;
   const double interval = 1 / options_.retries_per_s;
   next_retry_at_ = std::max(next_retry_at_, now - (kRetryBurst - 1) * interval) + interval;
 }
 
 void FailureTracker::ForgetMachine(const std::string& machine) { machines_.erase(machine); }
 
-void FailureTracker::UpdateSuspicion(const jobs::Job& job, size_t machines,
-                                     JobHistory* history) const {
-  if (job.done() > 0) history->succeeded = true;
+void FailureTracker::UpdateSuspicion(const jobs::Job& job, size_t machine_count,
+                                     JobHistory& history) {
+  if (job.done() > 0) history.succeeded = true;
   std::set<std::string> untried;
   for (const auto& [number, task_group] : job.task_groups()) {
     for (const auto& [index, task] : task_group.open) {
-      if (!task.machine.empty() && !history->failed_on.contains(task.machine)) {
+      if (!task.machine.empty() && !history.failed_on.contains(task.machine)) {
         untried.insert(task.machine);
       }
     }
   }
   // A sound job whose first tasks were spread over many machines, some of them faulty, is not
   // suspected: most of them have not failed it.
-  const size_t failed = history->failed_on.size();
-  history->suspected = !history->succeeded && failed >= std::min(kSuspectMachines, machines) &&
-                       failed >= untried.size();
+  const size_t failed = history.failed_on.size();
+  history.suspected = !history.succeeded &&
+                      failed >= std::min(kMinMachinesForSuspicion, machine_count) &&
+                      failed >= untried.size();
 }
 
-void FailureTracker::Reconcile(const jobs::JobTable& job_table, size_t machines) {
+void FailureTracker::Reconcile(const jobs::JobTable& job_table, size_t machine_count) {
   std::erase_if(jobs_, [&](const auto& entry) { return job_table.Find(entry.first) == nullptr; });
   for (auto& [id, history] : jobs_) {
-    if (!history.failed_on.empty()) UpdateSuspicion(*job_table.Find(id), machines, &history);
+    if (!history.failed_on.empty()) UpdateSuspicion(*job_table.Find(id), machine_count, history);
   }
-  // What became of a job that has ended will not be known any more.
+  // Whether a job that has ended was sound will not become known any more.
   for (auto& [name, machine] : machines_) {
     std::erase_if(machine.failures,
                   [&](const auto& failure) { return !jobs_.contains(failure.first); });
@@ -81,11 +82,14 @@
   std::erase_if(machines_, [](const auto& entry) { return entry.second.failures.empty(); });
 }
 
-bool FailureTracker::Sound(const std::string& job, const std::string& except_on) const {
-  auto it = jobs_.find(job);
-  if (it == jobs_.end() || !it->second.succeeded) return false;
-  const std::set<std::string>& on = it->second.succeeded_on;
-  return on.empty() || on.size() > 1 || !on.contains(except_on);
+bool FailureTracker::HasSucceededElsewhere(const std::string& job,
+                                           const std::string& except_machine) const {
+  auto entry = jobs_.find(job);
+  if (entry == jobs_.end() || !entry->second.succeeded) return false;
+  const std::set<std::string>& succeeded_on = entry->second.succeeded_on;
+  // By the records only: on a machine that is not known.
+  if (succeeded_on.empty()) return true;
+  return succeeded_on.size() > 1 || !succeeded_on.contains(except_machine);
 }
 
 std::vector<model::JobFailures> FailureTracker::View(const std::set<std::string>& retried) const {
@@ -102,13 +106,13 @@
 
 void FailureTracker::ApplyView(const std::vector<model::JobFailures>& failures, double now) {
   jobs_.clear();
-  for (const model::JobFailures& told : failures) {
-    JobHistory& history = jobs_[told.job];
-    history.failed_on.insert(told.failed_on.begin(), told.failed_on.end());
-    history.suspected = told.suspected;
-    history.not_before = told.retry_due ? now : std::numeric_limits<double>::infinity();
+  for (const model::JobFailures& job : failures) {
+    JobHistory& history = jobs_[job.job];
+    history.failed_on.insert(job.failed_on.begin(), job.failed_on.end());
+    history.suspected = job.suspected;
+    history.retry_not_before = job.retry_due ? now : std::numeric_limits<double>::infinity();
   }
-  // The leader spaces retries: each that it asks for may start at once.
+  // The leader paces retries: each that it asks for may start at once.
   next_retry_at_ = now - kRetryBurst / options_.retries_per_s;
 }
 
@@ -117,41 +121,44 @@
   for (const auto& [name, machine] : machines_) {
     int failures = 0;
     for (const auto& [job, count] : machine.failures) {
-      if (Sound(job, name)) failures += count;
+      if (HasSucceededElsewhere(job, name)) failures += count;
     }
-    if (failures >= kFaultyFailures) out.push_back(name);
+    if (failures >= kMinFailuresForFaulty) out.push_back(name);
   }
   return out;
 }
 
 bool FailureTracker::IsQuarantined(const std::string& machine, double now) const {
-  auto it = machines_.find(machine);
-  if (it == machines_.end() || now >= it->second.last_failure + options_.quarantine_s) return false;
-  const auto& failures = it->second.failures;
-  const auto against = std::count_if(failures.begin(), failures.end(),
-                                     [&](const auto& f) { return !Suspected(f.first); });
-  return static_cast<size_t>(against) >= kSuspendJobs;
+  auto entry = machines_.find(machine);
+  if (entry == machines_.end() || now >= entry->second.last_failure + options_.quarantine_s)
+    return false;
+  const auto& failures = entry->second.failures;
+  const auto sound_jobs = std::count_if(failures.begin(), failures.end(), [&](const auto& failure) {
+    return !Suspected(failure.first);
+  });
+  return static_cast<size_t>(sound_jobs) >= kMinJobsForQuarantine;
 }
 
 bool FailureTracker::Suspected(const std::string& job) const {
-  auto it = jobs_.find(job);
-  return it != jobs_.end() && it->second.suspected;
+  auto entry = jobs_.find(job);
+  return entry != jobs_.end() && entry->second.suspected;
 }
 
 bool FailureTracker::RetryDue(const std::string& job, double now) const {
-  auto it = jobs_.find(job);
-  return it == jobs_.end() || now >= it->second.not_before;
+  auto entry = jobs_.find(job);
+  return entry == jobs_.end() || now >= entry->second.retry_not_before;
 }
 
 size_t FailureTracker::RetryBudget(double now) const {
   const double interval = 1 / options_.retries_per_s;
-  const double waited = (now - next_retry_at_) / interval + 1;
-  return static_cast<size_t>(std::clamp(waited, 0.0, kRetryBurst));
+  const double available = (now - next_retry_at_) / interval + 1;
+  return static_cast<size_t>(std::clamp(available, 0.0, kRetryBurst));
 }
 
 const std::set<std::string>* FailureTracker::FailedOn(const std::string& job) const {
-  auto it = jobs_.find(job);
-  return it == jobs_.end() || it->second.failed_on.empty() ? nullptr : &it->second.failed_on;
+  auto entry = jobs_.find(job);
+  return entry == jobs_.end() || entry->second.failed_on.empty() ? nullptr
+                                                                 : &entry->second.failed_on;
 }
 
 }  // namespace hallpier::fleet
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -1,10 +1,13 @@
 // Attributes failed tasks to their job or to their machine, and paces the retries of jobs that fail
-// wherever they run. Does no I/O and takes the time as an argument.
+// wherever they run.
 //
-// Evidence: a job that has succeeded somewhere is sound, so that its failures are its machine's. A
-// job that has never succeeded and fails on most machines that it was started on is suspected
-// itself. Until one of the two is known, a machine on which several such jobs failed is suspended
-// rather than replaced.
+// Evidence: a job that has succeeded on some machine is sound, so that its failures are blamed on
+// the machines where they happened. A job that has never succeeded, and has failed on most machines
+// that it was started on, is suspected itself. Until one of the two is known, a machine on which
+// several such jobs have failed is quarantined rather than replaced.
+//
+// Owned by WorkerRegistry; lives on the event loop's thread. Does no I/O and takes the time as an
+// argument, in seconds of the steady clock.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +18,6 @@
 
 #include "jobs/job_table.h"
 #include "model/machine_view.h"
-#include "wire/peer.h"
 
 namespace hallpier::fleet {
 
@@ -26,58 +28,61 @@
     double initial_backoff_s = 0;
     // ...up to this bound.
     double max_backoff_s = 0;
-    // A machine is suspended for this long after the last failure that speaks against it.
+    // A machine is quarantined for this long after its last failure.
     double quarantine_s = 0;
     // Retries of all suspected jobs together, a second.
     double retries_per_s = 0;
   };
   explicit FailureTracker(const Options& options) : options_(options) {}
 
-  // A task of the job has completed, or failed, on the machine.
+  // A task of the job has completed on the machine: neither is to blame any more.
   void OnSuccess(const std::string& job, const std::string& machine);
+  // A task of the job has failed on the machine.
   void OnFailure(const std::string& job, const std::string& machine, double now);
-  // A retry of a suspected job was decided on.
+  // The round starts one more task of a suspected job.
   void OnRetry(const std::string& job, double now);
+  // The machine is gone: its failures count no more.
   void ForgetMachine(const std::string& machine);
-  // Takes in what the records say: jobs that have ended, that have succeeded, and where the others
-  // were started. `machines`: how many machines there are.
-  void Reconcile(const jobs::JobTable& job_table, size_t machines);
+  // Compares with the records: forgets jobs that have ended, and decides from the machines that the
+  // others are placed on whether they are suspected. `machine_count`: of the whole cluster.
+  void Reconcile(const jobs::JobTable& job_table, size_t machine_count);
 
-  // All jobs with failures, for a node that plans without hearing workers. A retry is due for those
-  // in `retried`: its holder starts one task more.
+  // Describes all jobs with failures for a controller that plans without receiving heartbeats.
+  // `retried`: jobs of which the holder of their shard is to start one more task now.
   std::vector<model::JobFailures> View(const std::set<std::string>& retried) const;
-  // On such a node: takes the place of all that was known.
+  // On such a controller: replaces all that was known by the leader's description.
   void ApplyView(const std::vector<model::JobFailures>& failures, double now);
 
-  // Machines that fail tasks of jobs which succeed elsewhere.
+  // Machines that fail tasks of jobs which succeed elsewhere, by name.
   std::vector<std::string> FaultyMachines() const;
-  // True if a machine may be faulty: it gets nothing new until that is known.
+  // True if a machine may be faulty: it gets no new tasks until that is known.
   bool IsQuarantined(const std::string& machine, double now) const;
-  // True if a job fails because of itself, as far as is known.
+  // True if a job seems to fail because of itself, wherever it runs.
   bool Suspected(const std::string& job) const;
-  // True if one more task of a job that failed everywhere may be started.
+  // True if the backoff of a suspected job allows one more task to be started.
   bool RetryDue(const std::string& job, double now) const;
-  // How many such retries all jobs together may start now.
+  // How many retries all suspected jobs together may start now.
   size_t RetryBudget(double now) const;
-  // Machines on which a task of the job failed; null: none.
+  // Machines on which a task of the job has failed, and none succeeded since; null: none.
   const std::set<std::string>* FailedOn(const std::string& job) const;
 
  private:
   struct JobHistory {
     std::set<std::string> failed_on;
     std::set<std::string> succeeded_on;
-    bool succeeded = false;  // on a machine of this term, or by its records
+    bool succeeded = false;  // on some machine, as it was reported or recorded
     bool suspected = false;
     double backoff_s = 0;
-    double not_before = 0;
+    double retry_not_before = 0;
   };
   struct MachineHistory {
-    std::map<std::string, int> failures;  // by job, since the last success here
+    std::map<std::string, int> failures;  // by job, since the last success on the machine
     double last_failure = 0;
   };
 
-  bool Sound(const std::string& job, const std::string& except_on) const;
-  void UpdateSuspicion(const jobs::Job& job, size_t machines, JobHistory* history) const;
+  // True if the job has succeeded on another machine than `except_machine`.
+  bool HasSucceededElsewhere(const std::string& job, const std::string& except_machine) const;
+  static void UpdateSuspicion(const jobs::Job& job, size_t machine_count, JobHistory& history);
 
   const Options options_;
   std::map<std::string, JobHistory> jobs_;
--- a/src/fleet/reconciliation.h
+++ b/src/fleet/reconciliation.h
@@ -17,7 +17,7 @@
 namespace hallpier::fleet {
 
 // The commands for a machine. Start commands among them are noted as sent. `direct`: they go out as
-// a direct command, whose end must be told to OnDirectCommandFinished(); otherwise they go out in
+// a direct command, whose end must be passed to OnDirectCommandFinished(); otherwise they go out in
 // the answer to the machine's newest heartbeat.
 std::vector<model::WorkerCommand> Reconcile(WorkerRegistry& registry, Machine& machine,
                                             const jobs::JobTable& job_table, bool direct);
--- a/src/fleet/stop_requests.h
+++ b/src/fleet/stop_requests.h
@@ -2,7 +2,7 @@
 // the cloud takes back, or whose requeueing is being written.
 //
 // An attempt that is to be stopped stays recorded as placed until it is proven gone; meanwhile its
-// machine is told to stop it and never to start it. Owned by WorkerRegistry; lives on the event
+// machine is commanded to stop it, never to start it. Owned by WorkerRegistry; lives on the event
 // loop's thread. Does no I/O.
 #pragma once
 
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -35,7 +35,8 @@
 
 size_t MaxConfirmedGone(const WorkerRegistry::Options& options) {
   const double remembered_s = kMaxListLags * options.list_lag_s + options.lease_s;
-  return std::max(kMinConfirmedGone, static_cast<size_t>(options.returns_per_s * remembered_s));
+  return std::max(kMinConfirmedGone,
+                  static_cast<size_t>(options.terminations_per_s * remembered_s));
 }
 
 // Heartbeats may be delayed for minutes: one that is not newer proves nothing.
@@ -319,13 +320,12 @@
 }
 
 void WorkerRegistry::OnTerminated(const std::string& machine_name) {
-  // By value: the name may be that of the machine which is removed.
-  const std::string name = machine_name;
-  Remove(name);
-  failures_.ForgetMachine(name);
-  confirmed_gone_.insert(name);
+  failures_.ForgetMachine(machine_name);
+  confirmed_gone_.insert(machine_name);
   // Names grow with time: the first in order are the least likely to be heard of again.
   if (confirmed_gone_.size() > max_confirmed_gone_) confirmed_gone_.erase(confirmed_gone_.begin());
+  // Last, as the name may be a part of the machine.
+  Remove(machine_name);
 }
 
 void WorkerRegistry::RequestTermination(Machine& machine, const std::string& reason) {
@@ -413,7 +413,7 @@
   if (IsSlow(machine) || failures_.IsQuarantined(machine.name, now)) return false;
   // Another leader commands it.
   if (machine.agent.token > token_) return false;
-  if (machine.answers.unacknowledged >= kMaxUnacknowledgedForPlacement) return false;
+  if (machine.answers.unacknowledged >= kMinUnacknowledgedToBarTasks) return false;
   // Only heartbeats renew its lease: a machine that answers direct commands, but reaches no
   // controller, is about to lose all that it runs.
   const double heartbeat_age_s = now - machine.agent.last_heartbeat;
--- a/src/fleet/worker_registry.h
+++ b/src/fleet/worker_registry.h
@@ -41,7 +41,7 @@
     // Retries of jobs that fail on every machine, a second.
     double retries_per_s = 1;
     // Machines that the cloud terminates a second, at the most.
-    double returns_per_s = 0;
+    double terminations_per_s = 0;
   };
   // A machine that was looked up, and added if it was unknown.
   struct FoundMachine {
--- a/tests/answer_acknowledgement_test.cc
+++ b/tests/answer_acknowledgement_test.cc
@@ -14,12 +14,13 @@
 
 class AnswerAcknowledgementTest : public WorkerRegistryFixture {};
 
-// Seen from reports alone: the token that every answer brings never shows.
+// Seen from heartbeats alone: they never show the token that every answer carries.
 TEST_F(AnswerAcknowledgementTest, AMachineThatHearsNothingGetsNoWorkAndItsTasksStayCounted) {
   for (int i = 1; i <= 5; ++i) Heartbeat(1, static_cast<uint64_t>(i), {}, 3 * i);
   EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 15));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 15));
-  EXPECT_FALSE(IsRequeued(15)) << "nothing proves that the former leader's order was not executed";
+  EXPECT_FALSE(IsRequeued(15))
+      << "nothing proves that the former leader's start command was not executed";
   registry_.OnTerminated("vm-1");
   EXPECT_TRUE(IsRequeued(16));
 }
@@ -29,7 +30,7 @@
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 3));
   for (int i = 2; i <= 6; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i);
   EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 18));
-  // One that shows them late is not.
+  // They arrive at one that shows the commands late.
   Heartbeat(1, 7, kToken, 21, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kFetching)});
   EXPECT_FALSE(registry_.AnswersLost(*registry_.Find("vm-1"), 21));
 }
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -12,12 +12,12 @@
 
 constexpr double kBackoff = 3;
 constexpr double kMaxBackoff = 30;
-constexpr double kSuspension = 30;
+constexpr double kQuarantine = 30;
 constexpr size_t kMachines = 10;
 
 class FailureTrackerTest : public testing::Test {
  protected:
-  FailureTrackerTest() : job_table_(64), tracker_({kBackoff, kMaxBackoff, kSuspension, 0.5}) {
+  FailureTrackerTest() : job_table_(64), tracker_({kBackoff, kMaxBackoff, kQuarantine, 0.5}) {
     for (const char* id : {"run-1", "run-2", "run-3"}) PutJob(job_table_, Spec(id, 8));
   }
 
@@ -79,8 +79,8 @@
 TEST_F(FailureTrackerTest, ASuspensionEnds) {
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.OnFailure("run-2", "vm-0", 2);
-  EXPECT_TRUE(tracker_.IsQuarantined("vm-0", 2 + 0.9 * kSuspension));
-  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 2 + kSuspension));
+  EXPECT_TRUE(tracker_.IsQuarantined("vm-0", 2 + 0.9 * kQuarantine));
+  EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 2 + kQuarantine));
 }
 
 // Two broken jobs pass through the same machines while a third shows that one of these is faulty.
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -92,7 +92,7 @@
     options.lease_s = settings.lease_s;
     options.list_lag_s = settings.list_lag_s;
     options.silent_ratio = 3;
-    options.returns_per_s = 100 * settings.cloud_rps;
+    options.terminations_per_s = 100 * settings.cloud_rps;
     return options;
   }
 
--- a/tests/placement_proof_test.cc
+++ b/tests/placement_proof_test.cc
@@ -19,18 +19,18 @@
 TEST_F(PlacementProofTest, AnOldTokensReportProvesNothing) {
   Cancel();
   Heartbeat(1, 1, kFormerToken, 1);
-  EXPECT_FALSE(IsRequeued(1)) << "an old leader's order may still be on its way";
+  EXPECT_FALSE(IsRequeued(1)) << "a start command of an earlier leader may still be on its way";
   Heartbeat(1, 2, kToken, 2);
   EXPECT_TRUE(IsRequeued(2));
 }
 
 TEST_F(PlacementProofTest, AStartInFlightIsNotDisprovedByTheHeartbeatItAnswers) {
-  Heartbeat(1, 5, kToken, 1);  // answered with the start order
+  Heartbeat(1, 5, kToken, 1);  // answered with the start command
   Cancel();
   EXPECT_FALSE(IsRequeued(1));
   model::Heartbeat direct = ReportOf("vm-1", 1, 6, kToken);
   registry_.OnHeartbeat(direct, 1.5, true);
-  EXPECT_FALSE(IsRequeued(1.5)) << "an answer to /commands may overtake the answer to a report";
+  EXPECT_FALSE(IsRequeued(1.5)) << "an answer to /commands may overtake the answer to a heartbeat";
   Heartbeat(1, 7, kToken, 2);
   EXPECT_TRUE(IsRequeued(2));
 }
@@ -38,7 +38,7 @@
 TEST_F(PlacementProofTest, AStaleReportChangesNothing) {
   Heartbeat(1, 9, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
   Cancel();
-  Heartbeat(1, 4, kToken, 60);  // held back for a minute
+  Heartbeat(1, 4, kToken, 60);  // delayed by a minute
   EXPECT_FALSE(IsRequeued(20));
 }
 
@@ -75,8 +75,8 @@
   EXPECT_TRUE(IsRequeued(82));
 }
 
-// Copies of a report that come again and again, for longer than a lease, renew nothing: the worker
-// behind them may be long gone.
+// Copies of a heartbeat that arrive again and again, for longer than a lease, renew nothing: the
+// worker that sent it may be long gone.
 TEST_F(PlacementProofTest, LateCopiesRenewNothingAndBringNothingBack) {
   const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
   Heartbeat(1, 5, kToken, 50, {runs});
@@ -85,7 +85,7 @@
   EXPECT_TRUE(IsRequeued(82));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 82))
       << "no new work for a silent machine";
-  // Its task went elsewhere, and the session has moved on: a copy from before undoes neither.
+  // Its task runs elsewhere, and a new epoch has begun: a copy from before undoes neither.
   Place(job_table_, "run-1", 0, 2, "vm-2");
   Heartbeat(2, 9, kToken, 83);
   auto commands = Heartbeat(1, 6, kToken, 140, {runs});
@@ -94,21 +94,22 @@
   EXPECT_TRUE(registry_.Find("vm-1")->reported_tasks.empty());
 }
 
-// After a restart the leader knows no machine: a copy from an earlier session comes first. Under
-// another token than ours it is no proof of anything, and the true report replaces it.
+// After a restart the leader knows no machine, and a copy of a heartbeat from an earlier epoch
+// comes first. Under another token than ours it proves nothing, and the newest heartbeat replaces
+// it.
 TEST_F(PlacementProofTest, ALateCopyToARestartedLeaderProvesNothing) {
   Cancel();
   Heartbeat(1, 40, kFormerToken, 20);
   EXPECT_FALSE(IsRequeued(21));
   Heartbeat(3, 90, kFormerToken, 22, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
-  EXPECT_FALSE(IsRequeued(23)) << "it runs in the newer session";
+  EXPECT_FALSE(IsRequeued(23)) << "it runs in the newer epoch";
   Heartbeat(1, 41, kFormerToken, 24);
   EXPECT_EQ(registry_.Find("vm-1")->reported_tasks.size(), 1U);
 }
 
-// A machine that reaches no controller, while direct commands reach it: its lease runs out, and in
-// the next session a direct command starts what is recorded once more. That session has a lease of
-// its own, so that nothing is free when the first one's is over.
+// A machine that reaches no controller, while direct commands reach it: its lease expires, and in
+// the agent's next epoch a direct command starts the recorded attempt once more. That epoch has a
+// lease of its own, so that the attempt is not proven gone when the first lease has expired.
 TEST_F(PlacementProofTest, WhatADirectCommandStartedInANewEpochLivesAsLongAsThatEpoch) {
   Heartbeat(1, 1, kToken, 0, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
   registry_.OnHeartbeat(ReportOf("vm-1", 2, 9, kToken), 30.5,
@@ -120,7 +121,7 @@
   started.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)};
   registry_.OnHeartbeat(started, 31, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, true);
-  EXPECT_FALSE(IsRequeued(45)) << "it runs in the second session until its lease is over";
+  EXPECT_FALSE(IsRequeued(45)) << "it runs in the second epoch until the lease of that one expires";
   EXPECT_FALSE(IsRequeued(60));
   EXPECT_TRUE(IsRequeued(63));
 }
@@ -138,9 +139,9 @@
 
 TEST_F(PlacementProofTest, AMachineGoneFromTheListIsGoneOnceTheListsHaveSettled) {
   Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
-  model::CloudMachine l{"vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kRunning,
-                        5};
-  registry_.OnCloudList({l}, 1, 2);
+  model::CloudMachine listed{
+      "vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kRunning, 5};
+  registry_.OnCloudList({listed}, 1, 2);
   registry_.OnCloudList({}, 6, 6);
   EXPECT_FALSE(IsRequeued(6)) << "a list may be older than the one before it";
   registry_.OnCloudList({}, 8, 13);
--- a/tests/slowness_estimate_test.cc
+++ b/tests/slowness_estimate_test.cc
@@ -14,8 +14,8 @@
 
 class SlownessEstimateTest : public WorkerRegistryFixture {};
 
-// A leader that hears nothing for a while, or leads again after another did, knows of no slow
-// machine: tasks that it saw start may have ended long ago (docs/incidents/inc-01ae.md).
+// A leader that gets no heartbeats for a while, or leads again after another did, takes no machine
+// for slow: tasks that it saw start may have ended long ago (docs/incidents/inc-01ae.md).
 TEST_F(SlownessEstimateTest, WhatWasNotObservedMakesNoMachineSlow) {
   const std::vector<model::TaskStatus> tasks = JobWithKnownTimes();
   Heartbeat(1, 1, kToken, 0);
@@ -25,7 +25,7 @@
   registry_.BeginTerm(model::FencingToken(12), 90, 100);
   Heartbeat(1, 60, model::FencingToken(12), 91, tasks);
   registry_.UpdateObservations(job_table_);
-  EXPECT_FALSE(IsSlow(*registry_.Find("vm-1"))) << "another leader watched them meanwhile";
+  EXPECT_FALSE(IsSlow(*registry_.Find("vm-1"))) << "another leader observed them meanwhile";
 }
 
 TEST_F(SlownessEstimateTest, AMachineThatTakesFarLongerThanOthersGetsNothingNew) {
--- a/tests/task_outcomes_test.cc
+++ b/tests/task_outcomes_test.cc
@@ -16,28 +16,27 @@
 
 class TaskOutcomesTest : public WorkerRegistryFixture {};
 
-// The lease of a machine in a cut zone is over; while that is being written the zone comes back.
-// Its worker, which has lost everything, must not be told to start the task again: the write may be
-// on its way, and the task would run here and elsewhere.
+// The lease of a machine in a partitioned zone has expired; while the requeueing is being written
+// the zone comes back. The worker, which has lost everything, must not be told to start the task
+// again: the write may be on its way, and the task would run here and elsewhere.
 TEST_F(TaskOutcomesTest, WhatIsGivenUpIsNotStartedAgainWhileThatIsWritten) {
   Place(job_table_, "run-1", 0, 1, "vm-1");
   auto given_up = CollectTaskTransitions(registry_, job_table_, 1000);
   ASSERT_EQ(given_up.size(), 1U);
   EXPECT_EQ(given_up[0].kind, jobs::TaskTransition::Kind::kRequeue);
   EXPECT_TRUE(Heartbeat(2, 1, kToken, 1000).empty());
-  // Not written after all: then it is given up once more, now for want of a start.
+  // The write has failed: the task is requeued once more, now as one that was never started.
   auto again = CollectTaskTransitions(registry_, job_table_, 1001);
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again[0].why, "never started");
-  // Written: the next attempt on the same machine is another matter.
+  // The write has succeeded: the next attempt may start on the same machine.
   Place(job_table_, "run-1", 0, 2, "vm-1");
   CollectTaskTransitions(registry_, job_table_, 1002);
   EXPECT_EQ(Reconcile(registry_, *registry_.Find("vm-1"), job_table_, false).size(), 1U);
 }
 
-// A copy of a report from an earlier session is the first that a new leader gets of the machine: an
-// end that it tells of is not the last word, since the attempt was started again in the next
-// session.
+// The first heartbeat that a new leader gets of a machine is a copy from an earlier epoch: an exit
+// that it reports proves nothing, since the attempt was started again in the next epoch.
 TEST_F(TaskOutcomesTest, AnOldReportOfAnEndFreesNothingInANewTerm) {
   Heartbeat(1, 40, kFormerToken, 1,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
@@ -48,11 +47,11 @@
                   .empty());
   Heartbeat(2, 57, kToken, 4,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
-  EXPECT_TRUE(IsRequeued(4)) << "told to us";
+  EXPECT_TRUE(IsRequeued(4)) << "reported to this leader";
 }
 
-// An attempt that has ended is over, though that may not be written for a while: in the machine's
-// next session it is not started again, since its room may have gone to others.
+// An attempt that has exited is over, even if that is not written for a while: in the agent's next
+// epoch it is not started again, since its room may have been given to others.
 TEST_F(TaskOutcomesTest, AnAttemptThatEndedIsNotStartedAgainInTheNextEpoch) {
   Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
   Heartbeat(1, 2, kToken, 4,
@@ -61,7 +60,7 @@
   EXPECT_TRUE(Heartbeat(2, 3, kToken, 50).empty());
 }
 
-// That it is done counts whoever was told: the result is kept.
+// A completion counts whichever leader it was reported to: the result is kept.
 TEST_F(TaskOutcomesTest, AnOldReportOfACompletionCounts) {
   Heartbeat(1, 40, kFormerToken, 1,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)});
--- a/tests/worker_registry_test.cc
+++ b/tests/worker_registry_test.cc
@@ -33,18 +33,20 @@
 
 TEST_F(WorkerRegistryTest, AJobThatFailsEverywhereCondemnsNoMachine) {
   for (int i = 0; i < 5; ++i) {
-    model::Heartbeat r = ReportOf("vm-" + std::to_string(i), 1, 1, kToken);
-    r.tasks = {TaskReportOf("run-2", 0, 1, model::TaskPhase::kRunning)};
-    registry_.OnHeartbeat(r, 1, false);
-    r.sequence = 2;
-    r.tasks = {TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)};
-    registry_.OnHeartbeat(r, 2, false);
+    model::Heartbeat report = ReportOf("vm-" + std::to_string(i), 1, 1, kToken);
+    report.tasks = {TaskReportOf("run-2", 0, 1, model::TaskPhase::kRunning)};
+    registry_.OnHeartbeat(report, 1, false);
+    report.sequence = 2;
+    report.tasks = {
+        TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)};
+    registry_.OnHeartbeat(report, 2, false);
   }
-  for (const auto& [name, m] : registry_.all()) EXPECT_FALSE(m.cloud.terminating) << name;
+  for (const auto& [name, machine] : registry_.all())
+    EXPECT_FALSE(machine.cloud.terminating) << name;
 }
 
-// Seen on a recorded day: a machine failed four tasks a second, each before a report showed it
-// alive.
+// Seen on a recorded day: a machine failed four tasks a second, each before a heartbeat showed it
+// running.
 TEST_F(WorkerRegistryTest, FailuresCountEvenIfTheTaskWasNeverSeenAlive) {
   Heartbeat(1, 1, kToken, 1,
             {TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
@@ -56,8 +58,8 @@
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 2));
 }
 
-// Both jobs may be broken: the machine gets nothing more at once, and is returned once both have
-// succeeded elsewhere.
+// Both jobs may be faulty themselves: the machine gets no new tasks at once, and is terminated once
+// both have succeeded elsewhere.
 TEST_F(WorkerRegistryTest, AMachineOnWhichSeveralJobsFailIsTerminatedOnceTheySucceedElsewhere) {
   uint64_t sequence = 0;
   for (const char* job : {"run-2", "run-3"}) {
