--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -130,10 +130,10 @@
 
 async::Task<> CloudLoop::Rent(async::Scope& term) {
   const auto most = static_cast<size_t>(std::ceil(services_.settings->cloud_rps));
-  auto requests = autoscaler_.ScaleOutRequests(
-      demands_, context_.machine_types, services_.election->token(), most, term.loop().Now());
-  fleet::Autoscaler::LimitOutstanding(registry_, context_.machine_types, term.loop().Now(),
-                                      &requests);
+  auto requests = autoscaler_.ScaleOutRequests(demands_, context_.machine_types,
+                                               services_.election->token(), most, term.loop().Now());
+  requests = fleet::Autoscaler::LimitBooting(registry_, context_.machine_types, term.loop().Now(),
+                                             std::move(requests));
   // An offer that has run dry in between is not asked again.
   std::set<std::tuple<std::string, std::string, bool>> dry;
   for (const model::ScaleOutRequest& r : requests) {
@@ -157,7 +157,7 @@
     } else if (answer->body.find("no capacity") == std::string::npos) {
       co_return;
     }
-    autoscaler_.OnShort(r, now);
+    autoscaler_.OnCapacityShortage(r, now);
     dry.insert({r.machine_type, r.zone, r.spot});
   }
   // What rounds wanted meanwhile did not know of these machines yet.
@@ -208,7 +208,7 @@
     if (term.cancelled()) break;
     const double now = term.loop().Now();
     const bool heard =
-        autoscaler_.Review(registry_, *services_.job_table, context_, !demands_.empty(), now);
+        autoscaler_.ReviewMachines(registry_, *services_.job_table, context_, !demands_.empty(), now);
     if (!heard && !JustResumed(now, term.loop().resumed_at())) {
       services_.election->Resign(kResignRatio * services_.settings->lease_s,
                                  "most workers are silent");
