--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -19,7 +19,8 @@
 
   // True for a round of one holder alone.
   bool IsSingleHolder() const { return scope != nullptr && scope->single_holder.has_value(); }
-  // Seconds for which a job has been waiting to be done; from when it might start.
+  // Seconds since a job might start: since it was submitted or, if it awaited others, since the
+  // last of these was done.
   double AgeOf(const jobs::Job& job) const { return time_of_day - job.since; }
 };
 
