--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -1,9 +1,12 @@
 // Team limits of several controllers in fake time, failure by failure. docs/team-limits.md names
 // the guard behind each.
-#include "blocks_cluster.h"
+#include "simulation/blocks_cluster.h"
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+
+#include "fixtures.h"
 #include "model/job.h"
 
 namespace hallpier {
@@ -11,7 +14,7 @@
 
 using namespace testing_support;
 using Options = BlocksCluster::Options;
-using Fate = BlocksCluster::Fate;
+using DeliveryFault = BlocksCluster::DeliveryFault;
 
 class BlocksClusterTest : public testing::Test {
  protected:
@@ -26,7 +29,7 @@
     const auto holders = cluster_->Division().holders;
     return holders.size() == static_cast<size_t>(options.nodes) &&
            std::all_of(holders.begin(), holders.end(),
-                       [&](const auto& h) { return cluster_->Lent(h.node) > 0; });
+                       [&](const auto& h) { return cluster_->ShareCpus(h.node) > 0; });
   }
   void Submit(int jobs, uint32_t tasks, double cpus = 1) {
     for (int i = 0; i < jobs; ++i) {
@@ -76,7 +79,8 @@
   EXPECT_EQ(cluster_->peak().used, 4);
 }
 
-class DyingHolderTest : public BlocksClusterTest, public testing::WithParamInterface<Fate> {};
+class DyingHolderTest : public BlocksClusterTest,
+                        public testing::WithParamInterface<DeliveryFault> {};
 
 // Before, within and after the transaction; the answer lost; carried out late, after the recall.
 TEST_P(DyingHolderTest, ItsBlockAndSharePassOnOnceAndNothingRunsTwice) {
@@ -93,14 +97,14 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Fates, DyingHolderTest,
-                         testing::Values(Fate::kNeverSent, Fate::kUsual, Fate::kAnswerLost,
-                                         Fate::kLate));
+                         testing::Values(DeliveryFault::kNeverSent, DeliveryFault::kNone,
+                                         DeliveryFault::kAnswerLost, DeliveryFault::kLate));
 
 // What it sent before it froze is carried out after its block has passed on.
 TEST_F(BlocksClusterTest, AFrozenHolderThatWakesAfterTheRecallPlacesNothing) {
   Start();
   cluster_->RunFor(2);
-  cluster_->NextPlacement(other_, Fate::kLate, [&] { cluster_->Freeze(other_); });
+  cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
   Submit(12, 4);
   ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->Holds(other_); }, 20));
   cluster_->TakePlacements(other_);
@@ -130,7 +134,7 @@
       spec.id = "run-" + std::to_string(i);
     }
     bool sent = false;
-    cluster_->NextPlacement(other_, Fate::kLate, [&] {
+    cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] {
       sent = true;
       cluster_->At(0, [this] { cluster_->Freeze(other_); });
     });
@@ -270,7 +274,7 @@
 TEST_F(BlocksClusterTest, ACancellationBeatsAPlacementThatIsUnderWay) {
   Start();
   cluster_->Submit(Spec("run-900", 6));
-  cluster_->NextPlacement(other_, Fate::kLate, [&] { cluster_->Cancel("run-900"); });
+  cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] { cluster_->Cancel("run-900"); });
   Submit(6, 4);
   ExpectAllEnds();
 }
--- a/tests/fakes/fake_worker.cc
+++ b/tests/fakes/fake_worker.cc
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-FakeWorker::FakeWorker(async::Scope& scope, const Options& options, model::CloudMachine listed,
+FakeWorker::FakeWorker(async::Scope& scope, Options options, model::CloudMachine listed,
                        OnStart on_start)
-    : options_(options),
+    : options_(std::move(options)),
       listed_(std::move(listed)),
       on_start_(std::move(on_start)),
       life_(scope.loop(), &scope),
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -32,8 +32,7 @@
   // Called before a task starts here.
   using OnStart = std::function<void(const FakeWorker& worker, const model::TaskId& task)>;
 
-  FakeWorker(async::Scope& scope, const Options& options, model::CloudMachine listed,
-             OnStart on_start);
+  FakeWorker(async::Scope& scope, Options options, model::CloudMachine listed, OnStart on_start);
 
   // False if the machine's endpoint can't be listened on.
   bool Start();
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -2,8 +2,10 @@
 // behind each.
 #include <gtest/gtest.h>
 
-#include "membership_cluster.h"
+#include <algorithm>
+
 #include "model/member.h"
+#include "simulation/membership_cluster.h"
 
 namespace hallpier {
 namespace {
--- /dev/null
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -0,0 +1,180 @@
+// A node's copy of the records in BlocksCluster, and its transactions with their faults.
+#include <memory>
+
+#include "simulation/blocks_cluster.h"
+
+namespace hallpier::testing_support {
+namespace {
+
+// A transaction without an answer is given up after this time.
+constexpr double kTimeoutS = 1;
+constexpr int kWritesPerTransaction = 8;
+constexpr size_t kValueBytes = 8192;
+
+}  // namespace
+
+std::vector<std::string> BlocksCluster::Execute(
+    const std::vector<model::Precondition>& preconditions,
+    const std::vector<model::KeyWrite>& writes) {
+  std::vector<std::string> failed = store_.Execute(now(), preconditions, writes);
+  if (!failed.empty() || !on_record_) return failed;
+  for (const model::KeyWrite& write : writes) {
+    const store::KeyKind kind = store::ParseKey(write.key).kind;
+    const bool record = kind == store::KeyKind::kDivision || kind == store::KeyKind::kShare;
+    if (record) At(0, [this, key = write.key] { on_record_(key); });
+  }
+  return failed;
+}
+
+void BlocksCluster::Put(Node& node, const std::string& key, const std::string& value,
+                        uint64_t version) {
+  if (!key.starts_with(store::kActive) || version <= node.seen[key]) return;
+  node.seen[key] = version;
+  node.versions[key] = value.empty() ? 0 : version;
+  const store::ParsedKey parsed = store::ParseKey(key);
+  if (parsed.kind == store::KeyKind::kJob || parsed.kind == store::KeyKind::kTaskGroup) {
+    node.job_table.Apply(parsed, value);
+  }
+  if (parsed.kind == store::KeyKind::kDivision) node.records.PutDivision(value, version);
+  if (parsed.kind == store::KeyKind::kShare) node.records.PutShare(parsed.job, value, version);
+  const bool superseded = key == store::FencingTokenKey() && version != node.token.value();
+  if (node.leads && superseded) node.leads = false;
+}
+
+void BlocksCluster::Follow(Node& node) {
+  if (!Reaches(node)) return;
+  const std::vector<VersionedStore::Change>& changes = store_.changes();
+  const double until = now() - options_.watch_lag_s;
+  while (node.followed < changes.size() && changes[node.followed].at <= until) {
+    const VersionedStore::Change& change = changes[node.followed++];
+    Put(node, change.key, change.value, change.revision);
+    node.revision = change.revision;
+  }
+}
+
+uint64_t BlocksCluster::VersionIn(const Node& node, const std::string& key) {
+  auto it = node.versions.find(key);
+  return it == node.versions.end() ? 0 : it->second;
+}
+
+blocks::CopyState BlocksCluster::Copy(const Node& node) const {
+  const uint64_t revision = Without("copy") ? UINT64_MAX : node.revision;
+  const model::FencingToken known(VersionIn(node, store::FencingTokenKey()));
+  return {revision, node.leads ? node.token : known};
+}
+
+void BlocksCluster::Send(Node& node, const std::vector<jobs::TaskTransition>& transitions,
+                         std::vector<model::Precondition> preconditions, bool placements_only) {
+  jobs::TransactionLimits limits;
+  limits.ops = kWritesPerTransaction;
+  limits.value_bytes = kValueBytes;
+  limits.preconditions = std::move(preconditions);
+  limits.packed = true;
+  limits.time_of_day = now();
+  limits.placements_only = placements_only;
+  limits.others_place = true;
+  auto version = [&](const std::string& key) { return VersionIn(node, key); };
+  for (jobs::Transaction& transaction :
+       jobs::BuildTransactions(node.job_table, transitions, limits, version)) {
+    node.queue.push_back(std::move(transaction));
+  }
+  SendNext(node);
+}
+
+std::vector<model::Precondition> BlocksCluster::Kept(
+    const std::vector<model::Precondition>& preconditions) const {
+  std::vector<model::Precondition> kept;
+  for (const model::Precondition& precondition : preconditions) {
+    const store::KeyKind kind = store::ParseKey(precondition.key).kind;
+    const bool out = (kind == store::KeyKind::kFencingToken && Without("token")) ||
+                     (kind == store::KeyKind::kDivision && Without("division")) ||
+                     (kind == store::KeyKind::kShare && Without("share")) ||
+                     (kind == store::KeyKind::kJob && Without("job"));
+    if (!out) kept.push_back(precondition);
+  }
+  return kept;
+}
+
+BlocksCluster::DeliveryFault BlocksCluster::FaultOf(Node& node, bool places) {
+  DeliveryFault fault = DeliveryFault::kNone;
+  if (places) fault = std::exchange(node.next_fault, DeliveryFault::kNone);
+  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.lost) {
+    fault = DeliveryFault::kAnswerLost;
+  }
+  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.late) fault = DeliveryFault::kLate;
+  return Reaches(node) ? fault : DeliveryFault::kNeverSent;
+}
+
+void BlocksCluster::SendNext(Node& node) {
+  node.busy = !node.queue.empty();
+  if (node.queue.empty()) return;
+  const jobs::Transaction transaction = std::move(node.queue.front());
+  node.queue.pop_front();
+  const bool places = !transaction.machines.empty();
+  const DeliveryFault fault = FaultOf(node, places);
+  if (places && node.on_sent) std::exchange(node.on_sent, nullptr)();
+  const std::string name = node.name;
+  const uint64_t process = node.process->number();
+  auto failed = std::make_shared<std::vector<std::string>>();
+  auto execute = [this, transaction, failed, name] {
+    *failed = Execute(Kept(transaction.preconditions), transaction.writes);
+    if (failed->empty()) {
+      NodeOf(name).placements += static_cast<int>(transaction.machines.size());
+    } else {
+      ++conflicts_;
+    }
+    return store_.revision();
+  };
+  const double there_s = options_.delay_s * Uniform(1, 2);
+  const double back_s = options_.delay_s * Uniform(1, 2);
+  auto give_up = [this, name, transaction] { NoAnswer(name, transaction); };
+  if (fault == DeliveryFault::kNeverSent || fault == DeliveryFault::kLate) {
+    if (fault == DeliveryFault::kLate) {
+      At(Uniform(options_.late_least_s, options_.late_s), execute);
+    }
+    InProcessAfter(kTimeoutS, name, process, give_up);
+    return;
+  }
+  At(there_s, [this, fault, name, process, transaction, failed, execute, give_up, back_s] {
+    const uint64_t revision = execute();
+    if (fault == DeliveryFault::kAnswerLost) {
+      InProcessAfter(kTimeoutS, name, process, give_up);
+      return;
+    }
+    InProcessAfter(back_s, name, process, [this, name, transaction, revision, failed] {
+      Answered(name, transaction, revision, *failed);
+    });
+  });
+}
+
+void BlocksCluster::NoAnswer(const std::string& name, const jobs::Transaction& transaction) {
+  Node& node = NodeOf(name);
+  if (!transaction.machines.empty()) node.unanswered.push_back(transaction);
+  node.queue.clear();
+  node.busy = false;
+}
+
+void BlocksCluster::Answered(const std::string& name, const jobs::Transaction& transaction,
+                             uint64_t revision, const std::vector<std::string>& failed) {
+  Node& node = NodeOf(name);
+  if (failed.empty()) {
+    for (const model::KeyWrite& write : transaction.writes) {
+      if (revision > node.revision) Put(node, write.key, write.value, revision);
+    }
+    SendNext(node);
+    return;
+  }
+  for (const std::string& key : failed) {
+    if (key == store::FencingTokenKey()) continue;
+    const uint64_t known = VersionIn(node, key);
+    if (store_.Contains(key)) {
+      Put(node, key, store_.Value(key), store_.Version(key));
+    } else if (known != 0) {
+      Put(node, key, "", known + 1);
+    }
+  }
+  node.queue.clear();
+  node.busy = false;
+}
+
+}  // namespace hallpier::testing_support
--- /dev/null
+++ b/tests/simulation/membership_cluster.cc
@@ -0,0 +1,315 @@
+#include "simulation/membership_cluster.h"
+
+#include <algorithm>
+
+#include "model/key_value.h"
+#include "store/schema.h"
+
+namespace hallpier::testing_support {
+namespace {
+
+// A tick after a refused proposal, the watch and a transaction fit in.
+constexpr double kTimeToRefuteS = 1;
+// A leader renews its lease so often within its length, as election/leader_election.cc does.
+constexpr double kRenewals = 3;
+constexpr double kStepS = 0.01;
+constexpr double kMostClockOffsetS = 1000;
+// A transaction without an answer is given up after this time.
+constexpr double kTimeoutS = 1;
+
+}  // namespace
+
+MembershipCluster::MembershipCluster(Options options) : options_(options), random_(options.seed) {
+  for (int i = 0; i < options_.nodes; ++i) names_.push_back("node-" + std::to_string(i));
+  for (const std::string& name : names_) {
+    nodes_[name].offset = random_.Uniform(0, kMostClockOffsetS);
+    StartProcess(name);
+  }
+}
+
+bool MembershipCluster::RunUntil(const std::function<bool()>& condition, double limit_s) {
+  return events_.RunUntil(condition, limit_s, kStepS);
+}
+
+void MembershipCluster::Resume(const std::string& name) {
+  Node& node = nodes_.at(name);
+  if (!node.process.frozen()) return;
+  node.well_since = now();
+  node.process.Resume();
+}
+
+void MembershipCluster::Restart(const std::string& name) {
+  Kill(name);
+  StartProcess(name);
+}
+
+void MembershipCluster::CutOneWay(const std::string& from, const std::string& to, bool cut) {
+  if (cut) {
+    cuts_.insert({from, to});
+  } else {
+    cuts_.erase({from, to});
+  }
+}
+
+void MembershipCluster::Cut(const std::string& a, const std::string& b, bool cut) {
+  CutOneWay(a, b, cut);
+  CutOneWay(b, a, cut);
+}
+
+void MembershipCluster::CutFromState(const std::string& name, bool cut) {
+  nodes_.at(name).state_cut = cut;
+  if (cut) return;
+  nodes_.at(name).well_since = now();
+  Resync(name);
+}
+
+void MembershipCluster::SetStateOutage(bool outage) {
+  outage_ = outage;
+  if (outage) return;
+  // Every lease has its full time again.
+  leader_until_ = now() + options_.leader_ttl_s;
+  for (const std::string& name : names_) {
+    nodes_.at(name).well_since = now();
+    Resync(name);
+  }
+}
+
+void MembershipCluster::SetDelay(const std::string& a, const std::string& b, double delay_s) {
+  delays_[{a, b}] = delays_[{b, a}] = delay_s;
+}
+
+void MembershipCluster::SetClockRate(const std::string& name, double rate) {
+  Node& node = nodes_.at(name);
+  node.offset = LocalNow(name) - rate * now();
+  node.rate = rate;
+}
+
+void MembershipCluster::HoldBackAnswer(const std::string& from, const std::string& to,
+                                       double delay_s) {
+  const wire::MemberStatus status = Table(from).Status(LocalNow(from));
+  const double asked = LocalNow(to);
+  At(delay_s, [this, status, to, asked] { Table(to).OnAnswer(status, asked, LocalNow(to)); });
+}
+
+size_t MembershipCluster::WrongVerdicts() const {
+  return static_cast<size_t>(std::count_if(
+      verdicts_.begin(), verdicts_.end(), [](const Verdict& verdict) { return verdict.was_well; }));
+}
+
+std::optional<membership::MemberRecord> MembershipCluster::Record(const std::string& name) const {
+  auto it = records_.find(name);
+  return it == records_.end() ? std::nullopt : std::optional(it->second.record);
+}
+
+bool MembershipCluster::Settled() {
+  for (const auto& [name, node] : nodes_) {
+    if (!node.process.running() || node.process.frozen()) continue;
+    if (!node.table->InGoodStanding()) return false;
+    for (const wire::MemberRow& row : node.table->Rows(LocalNow(name))) {
+      const SimulatedProcess& other = nodes_.at(row.node).process;
+      const bool alive = other.running() && !other.frozen();
+      if (alive && row.state != model::MemberState::kAlive) return false;
+    }
+  }
+  if (Leader().empty()) return false;
+  const Node& leader = nodes_.at(leader_);
+  return leader.process.running() && leader.leads && leader.process.number() == leader_process_;
+}
+
+model::MemberState MembershipCluster::Seen(const std::string& by, const std::string& of) {
+  for (const wire::MemberRow& row : Table(by).Rows(LocalNow(by))) {
+    if (row.node == of) return row.state;
+  }
+  return model::MemberState::kAlive;
+}
+
+double MembershipCluster::LocalNow(const std::string& name) const {
+  const Node& node = nodes_.at(name);
+  return node.offset + node.rate * now();
+}
+
+void MembershipCluster::StartProcess(const std::string& name) {
+  Node& node = nodes_.at(name);
+  node.process.Start();
+  node.leads = false;
+  node.well_since = now();
+  membership::MemberTable::Options options;
+  options.node = name;
+  options.others = names_;
+  options.silence = {options_.probe_s, options_.missed_probes};
+  options.confirm_probes = options_.confirm_probes;
+  options.instance = random_.Identifier();
+  node.table = std::make_unique<membership::MemberTable>(std::move(options), LocalNow(name));
+  Resync(name);
+  const double first = random_.Uniform(0, options_.probe_s);
+  ScheduleTick(name, first);
+  ScheduleLease(name, first);
+}
+
+void MembershipCluster::InProcessAfter(double delay_s, const std::string& name,
+                                       std::function<void()> run) {
+  Node& node = nodes_.at(name);
+  At(delay_s, [&node, number = node.process.number(), run = std::move(run)] {
+    node.process.InTurn(number, run);
+  });
+}
+
+void MembershipCluster::ScheduleTick(const std::string& name, double delay_s) {
+  InProcessAfter(delay_s, name, [this, name] { Tick(name); });
+}
+
+bool MembershipCluster::Well(const Node& node) const {
+  return node.process.running() && !node.process.frozen() && StateReachable(node);
+}
+
+void MembershipCluster::Tick(const std::string& name) {
+  Node& node = nodes_.at(name);
+  if (options_.membership) {
+    for (const membership::Proposal& proposal :
+         node.table->Tick(LocalNow(name), StateReachable(node))) {
+      Submit(name, proposal);
+    }
+    EndJudgedLeader(name);
+    for (const std::string& other : names_) {
+      if (other != name) Probe(name, other);
+    }
+  }
+  ScheduleTick(name, options_.probe_s / node.rate);
+  Stall(name);
+}
+
+void MembershipCluster::Stall(const std::string& name) {
+  if (options_.busy <= 0 || random_.Uniform(0, 1) >= options_.busy) return;
+  const uint64_t process = nodes_.at(name).process.number();
+  Freeze(name);
+  At(random_.Uniform(0, 1) * options_.busy_s, [this, name, process] {
+    if (nodes_.at(name).process.number() == process) Resume(name);
+  });
+}
+
+std::optional<double> MembershipCluster::Travel(const std::string& from, const std::string& to) {
+  if (cuts_.contains({from, to})) return std::nullopt;
+  auto slow = delays_.find({from, to});
+  const double least = slow == delays_.end() ? options_.delay_s : slow->second;
+  double delay_s = least * (1 + random_.Uniform(0, 1));
+  while (random_.Uniform(0, 1) < options_.loss) delay_s += options_.retransmit_s;
+  return delay_s;
+}
+
+void MembershipCluster::Deliver(const std::string& from, const std::string& to,
+                                std::function<void()> receive) {
+  const std::optional<double> delay_s = Travel(from, to);
+  if (!delay_s || !nodes_.at(to).process.running()) return;
+  InProcessAfter(*delay_s, to, std::move(receive));
+}
+
+void MembershipCluster::Probe(const std::string& from, const std::string& to) {
+  const double asked = LocalNow(from);
+  const uint64_t prober = nodes_.at(from).process.number();
+  const wire::MemberStatus status = Table(from).Status(asked);
+  Deliver(from, to, [this, from, to, asked, status, prober] {
+    Table(to).OnProbe(status);
+    const wire::MemberStatus answer = Table(to).Status(LocalNow(to));
+    Deliver(to, from, [this, from, asked, answer, prober] {
+      if (nodes_.at(from).process.number() != prober) return;
+      Table(from).OnAnswer(answer, asked, LocalNow(from));
+    });
+  });
+}
+
+void MembershipCluster::Submit(const std::string& name, const membership::Proposal& proposal) {
+  const uint64_t process = nodes_.at(name).process.number();
+  const bool verdict = proposal.kind == membership::Proposal::Kind::kVerdict;
+  if (verdict && on_verdict_sent_) {
+    auto hook = std::exchange(on_verdict_sent_, nullptr);
+    hook(name);
+  }
+  At(options_.state_delay_s, [this, name, process, proposal, verdict] {
+    const bool carried = StateReachable(nodes_.at(name)) && Commit(name, proposal);
+    const bool lost = carried && verdict && lose_verdict_answers_ > 0;
+    if (lost) --lose_verdict_answers_;
+    At(lost ? kTimeoutS : options_.state_delay_s, [this, name, process, proposal] {
+      nodes_.at(name).process.InTurn(process, [this, name, proposal] {
+        Table(name).OnProposalDone(proposal.node, LocalNow(name));
+      });
+    });
+  });
+}
+
+uint64_t MembershipCluster::VersionOf(const std::string& key) const {
+  for (const auto& [name, stored] : records_) {
+    if (store::MemberKey(name) == key) return stored.version;
+  }
+  return 0;
+}
+
+bool MembershipCluster::Commit(const std::string& by, const membership::Proposal& proposal) {
+  for (const model::Precondition& precondition : proposal.preconditions) {
+    if (VersionOf(precondition.key) != precondition.version) return false;
+  }
+  if (proposal.kind == membership::Proposal::Kind::kSuspect) ++suspicions_;
+  if (proposal.kind == membership::Proposal::Kind::kVerdict) NoteVerdict(by, proposal);
+  records_[proposal.node] = {proposal.record, ++revision_};
+  for (const std::string& name : names_) NotifyWatch(name, proposal.node);
+  return true;
+}
+
+void MembershipCluster::NoteVerdict(const std::string& by, const membership::Proposal& proposal) {
+  const Node& judged = nodes_.at(proposal.node);
+  const bool was_well = Well(judged) && now() - judged.well_since > kTimeToRefuteS;
+  verdicts_.push_back({.at = now(),
+                       .node = proposal.node,
+                       .by = by,
+                       .session = proposal.record.incarnation.session,
+                       .was_well = was_well});
+}
+
+void MembershipCluster::NotifyWatch(const std::string& name, const std::string& subject) {
+  InProcessAfter(options_.state_delay_s, name, [this, name, subject] {
+    if (StateReachable(nodes_.at(name))) TakeRecord(name, subject);
+  });
+}
+
+void MembershipCluster::TakeRecord(const std::string& name, const std::string& subject) {
+  auto it = records_.find(subject);
+  if (it == records_.end()) return;
+  Table(name).OnRecord(subject, it->second.record, it->second.version, LocalNow(name));
+}
+
+void MembershipCluster::Resync(const std::string& name) {
+  for (const std::string& subject : names_) NotifyWatch(name, subject);
+}
+
+void MembershipCluster::ScheduleLease(const std::string& name, double delay_s) {
+  InProcessAfter(delay_s, name, [this, name] { ReviewLease(name); });
+}
+
+void MembershipCluster::ReviewLease(const std::string& name) {
+  Node& node = nodes_.at(name);
+  if (StateReachable(node)) {
+    const bool own = leader_ == name && node.process.number() == leader_process_;
+    if (node.leads && (!LeaseStands() || !own)) node.leads = false;
+    const bool allowed = !options_.membership || node.table->InGoodStanding();
+    const bool due = now() - node.renewed_at >= options_.leader_ttl_s / kRenewals;
+    if (node.leads && due) {
+      node.renewed_at = now();
+      leader_until_ = now() + options_.leader_ttl_s;
+    } else if (!node.leads && !LeaseStands() && allowed) {
+      leader_ = name;
+      leader_process_ = node.process.number();
+      leader_until_ = now() + options_.leader_ttl_s;
+      node.leads = true;
+      node.renewed_at = now();
+      handovers_.push_back({.at = now(), .to = name, .token = ++token_});
+    }
+  }
+  ScheduleLease(name, std::min(options_.leader_ttl_s / kRenewals, options_.probe_s) / node.rate);
+}
+
+void MembershipCluster::EndJudgedLeader(const std::string& by) {
+  if (leader_.empty() || leader_ == by || !StateReachable(nodes_.at(by))) return;
+  if (!Table(by).Failed(leader_)) return;
+  leader_until_ = std::min(leader_until_, now());
+}
+
+}  // namespace hallpier::testing_support
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -2,7 +2,8 @@
 
 #include <functional>
 
-#include "blocks_cluster.h"
+#include "fixtures.h"
+#include "simulation/blocks_cluster.h"
 
 namespace hallpier::report {
 namespace {
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -2,8 +2,8 @@
 
 #include <functional>
 
-#include "membership_cluster.h"
 #include "model/member.h"
+#include "simulation/membership_cluster.h"
 
 namespace hallpier::report {
 namespace {
