--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -18,6 +18,7 @@
 #include "model/ids.h"
 #include "model/machine_type.h"
 #include "plan/round.h"
+#include "config/operator_options.h"
 
 namespace hallpier::fleet {
 
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -7,6 +7,7 @@
 #include "fleet/reconciliation.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
+#include "config/operator_options.h"
 
 namespace hallpier::fleet {
 namespace {
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -2,6 +2,7 @@
 
 #include <functional>
 
+#include "fixtures.h"
 #include "simulation/blocks_cluster.h"
 
 namespace hallpier::report {
