--- /dev/null
+++ b/src/controller/block_coordinator.cc
@@ -0,0 +1,211 @@
+#include "controller/block_coordinator.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <iterator>
+#include <vector>
+
+#include "model/key_value.h"
+#include "model/machine_view.h"
+#include "model/member.h"
+#include "store/schema.h"
+
+namespace hallpier::controller {
+namespace {
+
+// Views are sent this often within the lease of a block, at the least.
+constexpr double kViewsPerLease = 4;
+// Views to one node whose acknowledgement is awaited.
+constexpr size_t kMaxUnacknowledged = 64;
+
+}  // namespace
+
+BlockCoordinator::BlockCoordinator(const NodeServices& services,
+                                   const fleet::WorkerRegistry& registry,
+                                   const plan::Context& context)
+    : services_(services),
+      registry_(registry),
+      context_(context),
+      lending_(*services.settings, services.operators->blocks) {
+  for (const std::string& node : services.settings->OtherNodes()) links_[node];
+}
+
+void BlockCoordinator::BeginTerm(async::Scope& term) {
+  term_ = &term;
+  retry_grants_.clear();
+  for (auto& [node, link] : links_) link = Link();
+  last_pause_ = Now();
+  lending_.BeginTerm(services_.election->token(), *services_.block_records, Now());
+  term.Spawn(SendRegularly());
+}
+
+void BlockCoordinator::OnMember(const std::string& node,
+                                const std::optional<membership::MemberRecord>& record) {
+  // A suspect may still refute; if it does not answer, its lease runs out first.
+  const bool present = record && (record->state == model::MemberState::kAlive ||
+                                  record->state == model::MemberState::kSuspect);
+  lending_.holders().OnMember(node,
+                              present ? std::optional(record->incarnation.session) : std::nullopt);
+}
+
+void BlockCoordinator::OnLink(const std::string& node) {
+  auto it = links_.find(node);
+  if (it != links_.end()) it->second = Link();
+}
+
+void BlockCoordinator::OnAcknowledged(const std::string& node,
+                                      const wire::BlockAcknowledgement& answer) {
+  auto it = links_.find(node);
+  if (it == links_.end()) return;
+  Link& link = it->second;
+  link.sender.OnAcknowledged(answer.sequence);
+  auto sent = link.unacknowledged.find(answer.sequence);
+  if (sent == link.unacknowledged.end()) return;
+  lending_.holders().OnAcknowledged(node, answer.session, answer.able, sent->second);
+  link.unacknowledged.erase(link.unacknowledged.begin(), std::next(sent));
+}
+
+blocks::CopyState BlockCoordinator::Copy() const {
+  return {services_.cache->revision(), services_.election->token()};
+}
+
+double BlockCoordinator::WidenS() const {
+  return services_.operators->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
+}
+
+double BlockCoordinator::ViewIntervalS() const {
+  return services_.operators->blocks.lease_ratio * services_.settings->heartbeat_interval_s /
+         kViewsPerLease;
+}
+
+bool BlockCoordinator::MayPlaceOnAll() const {
+  return !divided() && services_.cache->revision() >= services_.block_records->newest();
+}
+
+std::optional<size_t> BlockCoordinator::HolderIndex(uint64_t session) const {
+  return services_.block_records->Holding(services_.settings->node, session, Copy());
+}
+
+plan::Scope BlockCoordinator::WholeScope() const {
+  return services_.block_records->WholeScope(WidenS(), services_.time_of_day());
+}
+
+plan::Scope BlockCoordinator::HolderScope(size_t holder) const {
+  return services_.block_records->HolderScope(holder, WidenS(), services_.time_of_day(),
+                                              *services_.settings, *services_.job_table);
+}
+
+void BlockCoordinator::CheckPause() {
+  const double resumed_at = term_->loop().resumed_at();
+  if (resumed_at <= last_pause_) return;
+  last_pause_ = resumed_at;
+  lending_.holders().OnPause(Now());
+}
+
+async::Task<> BlockCoordinator::ReviewAfterRound(const plan::RoundResult& round,
+                                                 const plan::Scope* scope) {
+  CheckPause();
+  co_await ReviewDivision();
+  if (term_->cancelled()) co_return;
+  // A plan that was made for another number of holders says nothing of the present ones' shares.
+  const size_t holders = services_.block_records->division().record().holders.size();
+  if (scope != nullptr && scope->holders == holders) {
+    GrantRetries(round, *scope);
+    co_await ReviewShares(round, *scope);
+    if (term_->cancelled()) co_return;
+  }
+  if (divided() || Now() - views_sent_at_ >= ViewIntervalS()) SendViews();
+}
+
+async::Task<> BlockCoordinator::ReviewDivision() {
+  const bool all_understand = services_.formats->AllUnderstandBlocks();
+  auto change = lending_.ReviewDivision(*services_.block_records, Copy(), all_understand, Now());
+  if (!change) co_return;
+  spdlog::info("blocks: division record={}", change->writes[0].value);
+  co_await Write(std::move(*change));
+}
+
+async::Task<> BlockCoordinator::ReviewShares(const plan::RoundResult& round,
+                                             const plan::Scope& scope) {
+  const blocks::WriteLimits limits = {static_cast<size_t>(services_.formats->txn_ops()),
+                                      services_.formats->value_bytes()};
+  auto change = lending_.ReviewShares(*services_.block_records, Copy(), *services_.job_table,
+                                      registry_, context_, round, scope, limits);
+  if (!change) co_return;
+  for (const model::KeyWrite& write : change->writes) {
+    spdlog::debug("blocks: share key={} record={}", write.key, write.value);
+  }
+  co_await Write(std::move(*change));
+}
+
+async::Task<> BlockCoordinator::Write(blocks::RecordChange change) {
+  // Without an answer it may be carried out late. Its preconditions name every record of blocks and
+  // shares, so that nothing that was decided since stands beside it.
+  auto result =
+      co_await services_.client->Commit(change.preconditions, change.writes, store::Urgent::kYes);
+  if (term_->cancelled()) co_return;
+  if (result.ok()) {
+    for (const model::KeyWrite& write : change.writes) {
+      services_.cache->Apply(write.key, write.value, result.value.revision);
+    }
+    co_return;
+  }
+  for (const std::string& key : result.value.failed) {
+    if (key == store::FencingTokenKey()) continue;
+    co_await services_.cache->Refresh(key);
+    if (term_->cancelled()) co_return;
+  }
+}
+
+void BlockCoordinator::GrantRetries(const plan::RoundResult& round, const plan::Scope& scope) {
+  const double now = Now();
+  std::erase_if(retry_grants_, [now](const auto& entry) { return entry.second.expires_at < now; });
+  const std::set<std::string> retried(round.retried_jobs.begin(), round.retried_jobs.end());
+  for (const jobs::TaskTransition& placement : round.places) {
+    if (!retried.contains(placement.task.job)) continue;
+    const std::optional<size_t> holder = scope.holder_of(placement.machine);
+    if (!holder) continue;
+    retry_grants_[placement.task.job] = {*holder, Now() + services_.settings->heartbeat_interval_s};
+  }
+}
+
+std::set<std::string> BlockCoordinator::RetriesGrantedTo(size_t holder) const {
+  std::set<std::string> granted;
+  for (const auto& [job, grant] : retry_grants_) {
+    if (grant.holder == holder) granted.insert(job);
+  }
+  return granted;
+}
+
+void BlockCoordinator::SendViews() {
+  views_sent_at_ = Now();
+  const blocks::Division& division = services_.block_records->division();
+  std::vector<model::MachineView> machines;
+  if (divided()) machines = blocks::DescribeMachines(registry_, *services_.job_table, Now());
+  for (auto& [node, link] : links_) {
+    if (!services_.formats->UnderstandsBlocks(node)) continue;
+    const std::optional<size_t> holder = division.IndexOf(node);
+    std::vector<model::JobFailures> failures;
+    if (holder) failures = registry_.failures().View(RetriesGrantedTo(*holder));
+    for (const wire::BlockView& view : link.sender.Next(services_.election->token(), division,
+                                                        holder, machines, std::move(failures))) {
+      link.unacknowledged[view.sequence] = Now();
+      services_.send(node, view);
+    }
+    while (link.unacknowledged.size() > kMaxUnacknowledged) {
+      link.unacknowledged.erase(link.unacknowledged.begin());
+    }
+  }
+}
+
+async::Task<> BlockCoordinator::SendRegularly() {
+  async::Scope& term = *term_;
+  while (!term.cancelled()) {
+    async::Sleep pause(term, ViewIntervalS());
+    co_await pause;
+    if (!term.cancelled() && Now() - views_sent_at_ >= ViewIntervalS()) SendViews();
+  }
+}
+
+}  // namespace hallpier::controller
--- /dev/null
+++ b/src/controller/block_placement_loop.cc
@@ -0,0 +1,127 @@
+#include "controller/block_placement_loop.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "controller/round_interval.h"
+#include "jobs/transaction_builder.h"
+
+namespace hallpier::controller {
+namespace {
+
+// A copy that has not been confirmed for so many heartbeat intervals, and a call's time limit, is
+// no longer current: a watch is asked anew at least once in each.
+constexpr double kCurrentHeartbeats = 2;
+// A round looks at the records at least this often in a heartbeat interval, whatever happens.
+constexpr double kRoundsPerHeartbeat = 2;
+constexpr double kMsPerS = 1000;
+
+fleet::WorkerRegistry::Options RegistryOptions(const config::Settings& settings) {
+  fleet::WorkerRegistry::Options options;
+  options.heartbeat_interval_s = settings.heartbeat_interval_s;
+  options.lease_s = settings.lease_s;
+  options.list_lag_s = settings.list_lag_s;
+  return options;
+}
+
+TransactionCommitter::Hooks CommitHooks(RoundTrigger& trigger) {
+  TransactionCommitter::Hooks hooks;
+  hooks.on_not_written = [&trigger] { trigger.Request(); };
+  return hooks;
+}
+
+}  // namespace
+
+BlockPlacementLoop::BlockPlacementLoop(const NodeServices& services)
+    : services_(services),
+      machines_(RegistryOptions(*services.settings)),
+      committer_(services, CommitHooks(trigger_)) {
+  context_.settings = services.settings;
+  context_.operators = services.operators;
+}
+
+bool BlockPlacementLoop::CanPlace() const {
+  const double current_s =
+      kCurrentHeartbeats * services_.settings->heartbeat_interval_s + services_.client->timeout_s();
+  return services_.cache->loaded() && !services_.client->down() &&
+         Now() - services_.cache->complete_at() <= current_s;
+}
+
+std::optional<wire::BlockAcknowledgement> BlockPlacementLoop::OnView(const wire::BlockView& view) {
+  const std::optional<uint64_t> sequence = machines_.Take(view, Now());
+  if (!sequence) return std::nullopt;
+  if (!view.changed.empty() || !view.failures.empty()) RequestRound();
+  return wire::BlockAcknowledgement{*sequence, services_.session(), CanPlace()};
+}
+
+std::optional<size_t> BlockPlacementLoop::HolderIndex() const {
+  // A leader places in its own rounds. After a pause the copy must be complete anew: tasks may have
+  // been cancelled meanwhile.
+  const bool paused = services_.cache->complete_at() < services_.scope->loop().resumed_at();
+  if (services_.election->leading() || paused || services_.formats->changing()) {
+    return std::nullopt;
+  }
+  const blocks::CopyState copy = {services_.cache->revision(), services_.cache->fencing_token()};
+  return services_.block_records->Holding(services_.settings->node, services_.session(), copy);
+}
+
+async::Task<> BlockPlacementLoop::Run() {
+  async::Scope& scope = *services_.scope;
+  while (!scope.cancelled()) {
+    async::Sleep gap(scope, RoundGapS(*services_.settings, *services_.operators, planning_s_));
+    co_await gap;
+    if (!trigger_.requested()) {
+      auto wait =
+          trigger_.Await(scope, services_.settings->heartbeat_interval_s / kRoundsPerHeartbeat);
+      co_await wait;
+    }
+    if (scope.cancelled()) break;
+    trigger_.Clear();
+    co_await Round();
+  }
+}
+
+plan::RoundResult BlockPlacementLoop::Plan(size_t holder) {
+  const double now = Now();
+  const double time_of_day = services_.time_of_day();
+  context_.machine_types = *services_.machine_types;
+  const double widen_s =
+      services_.operators->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
+  const plan::Scope scope = services_.block_records->HolderScope(
+      holder, widen_s, time_of_day, *services_.settings, *services_.job_table);
+  plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, machines_.registry(),
+                                           now, time_of_day, &scope);
+  planning_s_ = Now() - now;
+  return plan;
+}
+
+async::Task<> BlockPlacementLoop::Round() {
+  async::Scope& scope = *services_.scope;
+  const double budget_s = services_.operators->round_s;
+  // Even if another holds the block now: the records show whether these placements counted.
+  const bool resolved = co_await committer_.ResolveUnanswered(scope, budget_s);
+  if (scope.cancelled()) co_return;
+  if (!resolved) {
+    RequestRound();
+    co_return;
+  }
+  const std::optional<size_t> holder = HolderIndex();
+  if (!holder) co_return;
+  plan::RoundResult plan = Plan(*holder);
+  for (const std::string& job : plan.retried_jobs) {
+    machines_.registry().failures().OnRetry(job, Now());
+  }
+  if (plan.places.empty()) co_return;
+  spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *holder, plan.waiting,
+               plan.places.size(), planning_s_ * kMsPerS);
+  jobs::TransactionLimits limits =
+      committer_.Limits(services_.block_records->PlacementPreconditions(*holder));
+  limits.placements_only = true;
+  limits.others_place = true;
+  auto version = [this](const std::string& key) { return services_.cache->Version(key); };
+  auto transactions = jobs::BuildTransactions(*services_.job_table, plan.places, limits, version);
+  co_await committer_.Commit(scope, std::move(transactions), budget_s);
+}
+
+}  // namespace hallpier::controller
--- /dev/null
+++ b/src/controller/command_source.cc
@@ -0,0 +1,20 @@
+#include "controller/command_source.h"
+
+namespace hallpier::controller {
+
+void CommandSource::BeginTerm() { term_revision_ = services_.election->token().value(); }
+
+bool CommandSource::CopyIsCurrent() const {
+  return services_.cache->revision() >= term_revision_ &&
+         services_.cache->complete_at() >= services_.scope->loop().resumed_at();
+}
+
+std::vector<model::WorkerCommand> CommandSource::CommandsFor(fleet::Machine& machine, bool direct) {
+  if (CopyIsCurrent()) return registry_.Reconcile(machine, *services_.job_table, direct);
+  // After a pause in an outage, leases are renewed on the reports of the other nodes while the copy
+  // can't be confirmed. A cancellation that these reports bring must still be carried out; it holds
+  // whatever else has been recorded.
+  return fleet::WorkerRegistry::CancellationCommands(machine, *services_.job_table);
+}
+
+}  // namespace hallpier::controller
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -14,7 +14,8 @@
 // The largest answer of the key-value store that is read, as a part of this machine's memory.
 constexpr double kBodyShare = 1.0 / 8;
 // Connections that a node accepts, as parts of its sockets. Direct commands have a part of their
-// own (LeaderLoop); the rest is for calls to the key-value store, the cloud and the other nodes.
+// own (CommandDispatcher); the rest is for calls to the key-value store, the cloud and the other
+// nodes.
 constexpr double kWorkerSockets = 0.74;
 constexpr double kUserSockets = 0.14;
 constexpr double kStateTimeoutS = 1.0;
@@ -97,7 +98,8 @@
       cancellations_(services_, [this] { return users_.cancelling(); }),
       membership_(operators_.membership.enabled ? MakeMembership() : nullptr),
       leader_(services_),
-      block_holder_(operators_.blocks.enabled ? std::make_unique<PlacingLoop>(services_) : nullptr),
+      block_holder_(operators_.blocks.enabled ? std::make_unique<BlockPlacementLoop>(services_)
+                                              : nullptr),
       linearizable_read_(root_, client_, cache_, kBarrierS),
       users_(UserApiDependencies()),
       router_(services_, leader_, users_, membership_, peers_),
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -10,13 +10,13 @@
 #include "api/user_api.h"
 #include "async/event_loop.h"
 #include "config/settings.h"
+#include "controller/block_placement_loop.h"
 #include "controller/cancellation_exchange.h"
 #include "controller/dependency_outcomes.h"
-#include "controller/leader_loop.h"
+#include "controller/leader.h"
 #include "controller/node_election_policy.h"
 #include "controller/node_services.h"
 #include "controller/node_shutdown.h"
-#include "controller/placing_loop.h"
 #include "controller/request_router.h"
 #include "controller/state_dispatcher.h"
 #include "election/leader_election.h"
@@ -67,8 +67,8 @@
   const NodeServices services_;
   CancellationExchange cancellations_;
   std::unique_ptr<membership::Service> membership_;  // null: it is off
-  LeaderLoop leader_;
-  std::unique_ptr<PlacingLoop> block_holder_;  // null: blocks are off
+  Leader leader_;
+  std::unique_ptr<BlockPlacementLoop> block_holder_;  // null: blocks are off
   store::LinearizableRead linearizable_read_;
   api::UserApi users_;
   RequestRouter router_;
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -1,11 +1,15 @@
 #include "controller/dependency_outcomes.h"
 
+#include "store/schema.h"
+
 namespace hallpier::controller {
 namespace {
-// Reads under way at a time: they take their turn beside polls.
-constexpr size_t kMostAtOnce = 8;
-// After this long what could not be read is tried again.
+
+// Reads under way at a time: they share the store's limits with users' reads.
+constexpr size_t kMaxReads = 8;
+// Seconds after which what could not be read is tried again.
 constexpr double kRetryS = 0.5;
+
 }  // namespace
 
 void DependencyOutcomes::OnJobsChanged() {
@@ -16,7 +20,7 @@
   while (!scope_.cancelled()) {
     const auto& unknown = job_table_.dependency_graph().unknown();
     if (cache_.loaded()) {
-      for (auto it = unknown.begin(); it != unknown.end() && reading_.size() < kMostAtOnce; ++it) {
+      for (auto it = unknown.begin(); it != unknown.end() && reading_.size() < kMaxReads; ++it) {
         if (reading_.insert(*it).second) scope_.Spawn(Read(*it));
       }
     }
@@ -30,31 +34,31 @@
   }
 }
 
-async::Task<bool> DependencyOutcomes::AwaitKnown(std::string id, double limit_s) {
-  const double end = scope_.loop().Now() + limit_s;
-  while (!job_table_.dependency_graph().Settled(id)) {
-    const double left = end - scope_.loop().Now();
-    if (left <= 0 || scope_.cancelled()) co_return false;
-    auto wait = known_.Await(scope_, left);
+async::Task<bool> DependencyOutcomes::AwaitKnown(std::string job, double limit_s) {
+  const double deadline = scope_.loop().Now() + limit_s;
+  while (!job_table_.dependency_graph().Settled(job)) {
+    const double left_s = deadline - scope_.loop().Now();
+    if (left_s <= 0 || scope_.cancelled()) co_return false;
+    auto wait = outcome_known_.Await(scope_, left_s);
     co_await wait;
   }
   co_return true;
 }
 
-async::Task<> DependencyOutcomes::Read(std::string id) {
-  auto entry = co_await client_.Get(store::FinalKey(id));
+async::Task<> DependencyOutcomes::Read(std::string job) {
+  auto entry = co_await client_.Get(store::FinalKey(job));
   auto record = entry.ok() ? store::ReadFinal(entry.value.value) : std::nullopt;
   if (record) {
-    job_table_.RecordFinal(id, *record);
-    found_();
-    known_.Notify();
+    job_table_.RecordFinal(job, *record);
+    on_outcome_();
+    outcome_known_.Notify();
   } else {
-    // Not there: it has not reached the warm copy yet, or could not be asked for. Who awaits it
-    // goes on waiting.
+    // Not there: its end has not reached the copy yet, or could not be read. The jobs that depend
+    // on it go on waiting.
     async::Sleep pause(scope_, kRetryS);
     co_await pause;
   }
-  reading_.erase(id);
+  reading_.erase(job);
   wake_.Notify();
 }
 
--- /dev/null
+++ b/src/controller/heartbeat_handler.h
@@ -0,0 +1,33 @@
+// Answers workers' heartbeats on the leader: takes in what a worker reports, and replies with its
+// commands. Owned by the leader.
+#pragma once
+
+#include "controller/command_source.h"
+#include "controller/node_services.h"
+#include "controller/round_trigger.h"
+#include "fleet/worker_registry.h"
+#include "model/heartbeat.h"
+#include "wire/http.h"
+
+namespace hallpier::controller {
+
+class HeartbeatHandler {
+ public:
+  // All references must outlive this.
+  HeartbeatHandler(const NodeServices& services, fleet::WorkerRegistry& registry,
+                   CommandSource& commands, RoundTrigger& trigger)
+      : services_(services), registry_(registry), commands_(commands), trigger_(trigger) {}
+
+  // The answer to a heartbeat: 200 with commands, which renews the worker's lease, or 421 if the
+  // worker knows a higher token, which ends our term. Only to be called while this node leads and
+  // LeaderElection::MayAct holds.
+  wire::HttpResponse OnHeartbeat(const model::Heartbeat& report);
+
+ private:
+  const NodeServices& services_;
+  fleet::WorkerRegistry& registry_;
+  CommandSource& commands_;
+  RoundTrigger& trigger_;
+};
+
+}  // namespace hallpier::controller
--- /dev/null
+++ b/src/controller/leader.cc
@@ -0,0 +1,110 @@
+#include "controller/leader.h"
+
+#include <algorithm>
+
+#include "model/job.h"
+
+namespace hallpier::controller {
+namespace {
+
+// Retries of jobs that fail on every machine take at most this part of the store's writes; each
+// takes two of them, its placement and its end.
+constexpr double kRetryWriteShare = 0.1;
+constexpr double kWritesPerRetry = 2;
+
+fleet::WorkerRegistry::Options RegistryOptions(const config::Settings& settings,
+                                               const config::Operator& operators) {
+  fleet::WorkerRegistry::Options options;
+  options.heartbeat_interval_s = settings.heartbeat_interval_s;
+  options.lease_s = settings.lease_s;
+  options.list_lag_s = settings.list_lag_s;
+  options.silent_ratio = operators.silent_ratio;
+  options.retries_per_s = kRetryWriteShare * settings.least().write_rps / kWritesPerRetry;
+  options.returns_per_s = ScalingLoop::kReturnsPerCall * settings.cloud_rps;
+  return options;
+}
+
+plan::Context ContextOf(const NodeServices& services) {
+  plan::Context context;
+  context.settings = services.settings;
+  context.operators = services.operators;
+  return context;
+}
+
+}  // namespace
+
+Leader::Leader(const NodeServices& services)
+    : services_(services),
+      registry_(RegistryOptions(*services.settings, *services.operators)),
+      context_(ContextOf(services)),
+      commands_(services, registry_),
+      dispatcher_(services, registry_, commands_, trigger_),
+      heartbeats_(services, registry_, commands_, trigger_),
+      scaling_(services, registry_, context_, trigger_),
+      blocks_(services.operators->blocks.enabled
+                  ? std::make_unique<BlockCoordinator>(services, registry_, context_)
+                  : nullptr),
+      rounds_(services, {.registry = registry_,
+                         .context = context_,
+                         .commands = commands_,
+                         .dispatcher = dispatcher_,
+                         .scaling = scaling_,
+                         .trigger = trigger_,
+                         .blocks = blocks_.get()}) {}
+
+void Leader::Begin(async::Scope& term) {
+  term_ = &term;
+  const election::LeaderElection& election = *services_.election;
+  registry_.BeginTerm(election.token(), term.loop().Now(), election.predecessors_until());
+  context_.machine_types = *services_.machine_types;
+  commands_.BeginTerm();
+  dispatcher_.BeginTerm(term);
+  rounds_.BeginTerm();
+  if (blocks_) blocks_->BeginTerm(term);
+  term.Spawn(rounds_.Run(term));
+  term.Spawn(scaling_.Run(term));
+}
+
+void Leader::OnJobChanged(const std::string& id) {
+  if (!InTerm()) return;
+  const jobs::Job* job = services_.job_table->Find(id);
+  if (job != nullptr && job->cancelled) {
+    for (const auto& [number, task_group] : job->task_groups()) {
+      for (const auto& [index, task] : task_group.open) {
+        if (!task.machine.empty()) dispatcher_.Send(task.machine);
+      }
+    }
+  }
+  if (job != nullptr && !job->blocked && job->priority <= model::Priority::kUrgent) {
+    rounds_.OnUrgentWork();
+  }
+  trigger_.Request();
+}
+
+void Leader::OnTasksChanged(const store::ParsedKey& key) {
+  if (!blocks_ || !InTerm()) return;
+  const jobs::Job* job = services_.job_table->Find(key.job);
+  if (job == nullptr) return;
+  // The key names one part of a group, or all of them.
+  const uint32_t parts = job->groups.layout().parts;
+  const uint32_t first = key.task_group * parts + key.part.value_or(0);
+  const uint32_t end = key.part ? first + 1 : first + parts;
+  for (auto it = job->task_groups().lower_bound(first);
+       it != job->task_groups().end() && it->first < end; ++it) {
+    for (const auto& [index, task] : it->second.open) {
+      if (!task.machine.empty() &&
+          registry_.StartIsDue(task.machine, {key.job, index}, task.attempt)) {
+        dispatcher_.Send(task.machine);
+      }
+    }
+  }
+}
+
+size_t Leader::ReportingMachines() const {
+  const auto& machines = registry_.all();
+  return static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
+    return entry.second.has_reported() && !entry.second.returning;
+  }));
+}
+
+}  // namespace hallpier::controller
--- /dev/null
+++ b/src/controller/replan_policy.cc
@@ -0,0 +1,17 @@
+#include "controller/replan_policy.h"
+
+namespace hallpier::controller {
+
+bool ReplanPolicy::ReplanInsteadOf(const jobs::Transaction& transaction, bool round_requested,
+                                   double now) {
+  // Urgent work may go before anything that ranks behind the ends of jobs.
+  if (urgent_work_ && transaction.rank > jobs::WritePriority::kEnd) return true;
+  // Background writes are dropped for anything new, except for one transaction in each interval: on
+  // a busy day there is always something new, and no write may be put off for ever.
+  if (transaction.rank < jobs::WritePriority::kTidy) return false;
+  if (round_requested && now < last_background_at_ + background_interval_s_) return true;
+  last_background_at_ = now;
+  return false;
+}
+
+}  // namespace hallpier::controller
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -8,7 +8,7 @@
 
 #include "api/user_api.h"
 #include "async/event_loop.h"
-#include "controller/leader_loop.h"
+#include "controller/leader.h"
 #include "controller/node_services.h"
 #include "membership/service.h"
 #include "net/peer_mesh.h"
@@ -23,7 +23,7 @@
 
   // Only refers to its arguments, which may be constructed after it but must outlive it.
   // `membership`: null while membership is off.
-  RequestRouter(const NodeServices& services, LeaderLoop& leader, api::UserApi& users,
+  RequestRouter(const NodeServices& services, Leader& leader, api::UserApi& users,
                 const std::unique_ptr<membership::Service>& membership, const net::PeerMesh& peers)
       : services_(services),
         leader_(leader),
@@ -43,7 +43,7 @@
   wire::HttpResponse AnswerHeartbeat(const std::string& body);
 
   const NodeServices& services_;
-  LeaderLoop& leader_;
+  Leader& leader_;
   api::UserApi& users_;
   const std::unique_ptr<membership::Service>& membership_;
   const net::PeerMesh& peers_;
--- a/src/controller/round_interval.cc
+++ b/src/controller/round_interval.cc
@@ -6,16 +6,17 @@
 namespace {
 
 // Rounds that something new calls for come at least this part of the reaction time apart...
-constexpr double kRoundGap = 1.0 / 12;
-// ...and leave this many times their own length to everything else.
-constexpr double kRoundRest = 5;
+constexpr double kMinGap = 1.0 / 12;
+// ...and leave this many times their own planning time to everything else.
+constexpr double kGapPerPlanning = 5;
 
 }  // namespace
 
 double RoundGapS(const config::Settings& settings, const config::Operator& operators,
-                 double round_took_s) {
-  const double least = kRoundGap * config::ReactionS(settings, operators);
-  return std::clamp(kRoundRest * round_took_s, least, std::max(operators.round_s, least));
+                 double planning_s) {
+  const double min_gap_s = kMinGap * config::ReactionS(settings, operators);
+  return std::clamp(kGapPerPlanning * planning_s, min_gap_s,
+                    std::max(operators.round_s, min_gap_s));
 }
 
 }  // namespace hallpier::controller
--- a/src/controller/round_interval.h
+++ b/src/controller/round_interval.h
@@ -1,13 +1,13 @@
-// How far apart rounds of mapping are.
+// How far apart scheduling rounds are. Does no I/O.
 #pragma once
 
 #include "config/settings.h"
 
 namespace hallpier::controller {
 
-// Seconds from the end of a round to the next, if something new calls for one. `round_took_s`: how
-// long the last one took to plan.
+// Seconds from the end of a round to the next, if something new calls for one. `planning_s`: how
+// long the last round took to plan, in seconds.
 double RoundGapS(const config::Settings& settings, const config::Operator& operators,
-                 double round_took_s);
+                 double planning_s);
 
 }  // namespace hallpier::controller
--- /dev/null
+++ b/src/controller/scaling_loop.cc
@@ -0,0 +1,261 @@
+#include "controller/scaling_loop.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <set>
+#include <string>
+#include <tuple>
+
+#include "model/key_value.h"
+#include "store/machine_type_pages.h"
+#include "store/schema.h"
+#include "wire/cloud_codec.h"
+#include "wire/json.h"
+
+namespace hallpier::controller {
+namespace {
+
+constexpr double kCloudTimeoutS = 5;
+// Part of the cloud's request limit that is used at all, and the calls that may come at once.
+constexpr double kRateShare = 0.8;
+constexpr double kRateBurst = 2.0;
+constexpr size_t kCloudConnections = 2;
+// Part of the cloud's request limit that the regular listing may use.
+constexpr double kListShare = 0.2;
+// Lists in a heartbeat interval, where they take few calls.
+constexpr double kListsPerHeartbeat = 3;
+// Machine types are asked for anew after this many heartbeat intervals.
+constexpr double kMachineTypeHeartbeats = 20;
+// A leader that hears too few workers leaves the lead to another for this part of their lease.
+constexpr double kResignRatio = 1.0;
+// A page of the list of machines has 500 of them at the most, however large the fleet.
+constexpr size_t kMaxCloudBody = size_t{1024} * 1024;
+constexpr int kOk = 200;
+
+// What the cloud may run out of.
+struct Offer {
+  std::string machine_type;
+  std::string zone;
+  bool spot;
+  bool operator<(const Offer& other) const {
+    return std::tie(machine_type, zone, spot) <
+           std::tie(other.machine_type, other.zone, other.spot);
+  }
+};
+
+Offer OfferOf(const model::ScaleOutRequest& request) {
+  return {request.machine_type, request.zone, request.spot};
+}
+
+}  // namespace
+
+ScalingLoop::ScalingLoop(const NodeServices& services, fleet::WorkerRegistry& registry,
+                         plan::Context& context, RoundTrigger& trigger)
+    : services_(services),
+      registry_(registry),
+      context_(context),
+      trigger_(trigger),
+      autoscaler_(*services.settings, *services.operators),
+      cloud_(kCloudConnections, kMaxCloudBody),
+      rate_limiter_(services.settings->cloud_rps * kRateShare, kRateBurst, 0) {}
+
+async::Task<std::optional<wire::HttpResponse>> ScalingLoop::Call(async::Scope& term,
+                                                                 wire::HttpRequest request) {
+  const double wait_s =
+      rate_limiter_.Take(term.loop().Now(), 1, store::Urgent::kYes, kCloudTimeoutS);
+  if (wait_s < 0) co_return std::nullopt;
+  if (wait_s > 0) {
+    async::Sleep pause(term, wait_s);
+    co_await pause;
+  }
+  const bool repeatable = request.method == "GET";
+  // The lead may have gone to another node meanwhile, and a pause may have made the plan an old
+  // one.
+  if (!repeatable && !services_.election->MayAct()) co_return std::nullopt;
+  auto response = co_await cloud_.Call(term, services_.settings->cloud, std::move(request),
+                                       kCloudTimeoutS, repeatable);
+  co_return response;
+}
+
+async::Task<> ScalingLoop::RefreshMachineTypes(async::Scope& term) {
+  const double now = term.loop().Now();
+  const double interval_s = kMachineTypeHeartbeats * services_.settings->heartbeat_interval_s;
+  if (machine_types_at_ >= 0 && now - machine_types_at_ < interval_s) co_return;
+  wire::HttpRequest request{.method = "GET", .target = "/flavors", .body = {}};
+  auto response = co_await Call(term, std::move(request));
+  if (!response || response->status != kOk) co_return;
+  auto document = wire::ParseObject(response->body);
+  auto machine_types = document ? wire::ReadMachineTypes(*document) : std::nullopt;
+  if (!machine_types || machine_types->empty()) {
+    spdlog::warn("cloud: unreadable list of machine types bytes={}", response->body.size());
+    co_return;
+  }
+  machine_types_at_ = now;
+  context_.machine_types = std::move(*machine_types);
+  // Spot prices move all the time; the other nodes need to know only what could run.
+  auto recorded = context_.machine_types;
+  for (model::MachineType& type : recorded) type.spot_price = type.price;
+  if (wire::WriteMachineTypes(recorded) == wire::WriteMachineTypes(*services_.machine_types)) {
+    co_return;
+  }
+  co_await RecordMachineTypes(term, std::move(recorded));
+}
+
+async::Task<> ScalingLoop::RecordMachineTypes(async::Scope& term,
+                                              std::vector<model::MachineType> types) {
+  auto pages = store::WriteMachineTypePages(types, services_.formats->value_bytes());
+  const auto page_count = static_cast<uint32_t>(pages.size());
+  // Versions without pipelines know one page only, and the pages that are left of a longer list
+  // would be taken for a part of this one.
+  uint32_t end = page_count;
+  while (services_.cache->Version(store::MachineTypesKey(end)) != 0) ++end;
+  bool written = true;
+  // The first page last: it says that the others are there.
+  for (uint32_t page = end; page-- > 0 && written;) {
+    const std::string key = store::MachineTypesKey(page);
+    const std::string value = page < page_count ? pages[page] : std::string();
+    std::vector<model::Precondition> preconditions = {
+        store::TokenPrecondition(services_.election->token())};
+    std::vector<model::KeyWrite> writes = {{key, value, 0}};
+    auto result = co_await services_.client->Commit(std::move(preconditions), std::move(writes));
+    if (term.cancelled()) co_return;
+    written = result.ok();
+    if (result.ok()) services_.cache->Apply(key, value, result.value.revision);
+    // Rejected as it is, it can wait for its usual turn.
+    if (!result.ok() && result.status != store::Status::kInvalid) machine_types_at_ = -1;
+  }
+  trigger_.Request();
+}
+
+async::Task<bool> ScalingLoop::ListMachines(async::Scope& term) {
+  const double asked = term.loop().Now();
+  std::vector<model::CloudMachine> machines;
+  std::string last;
+  list_pages_ = 0;
+  while (!term.cancelled()) {
+    std::string target = "/rentals?limit=500";
+    if (!last.empty()) target += "&from=" + wire::EscapeQuery(last);
+    wire::HttpRequest request{.method = "GET", .target = std::move(target), .body = {}};
+    auto response = co_await Call(term, std::move(request));
+    if (!response || response->status != kOk) co_return false;
+    ++list_pages_;
+    auto page = wire::ReadMachineList(response->body);
+    if (!page) {
+      spdlog::warn("cloud: unreadable list of machines bytes={}", response->body.size());
+      co_return false;
+    }
+    for (model::CloudMachine& machine : page->machines) machines.push_back(std::move(machine));
+    if (!page->more || page->machines.empty()) break;
+    last = machines.back().machine;
+  }
+  if (term.cancelled()) co_return false;
+  registry_.OnListed(machines, asked, term.loop().Now());
+  co_return true;
+}
+
+async::Task<> ScalingLoop::ScaleOut(async::Scope& term) {
+  const auto max_requests = static_cast<size_t>(std::ceil(services_.settings->cloud_rps));
+  auto requests =
+      autoscaler_.ScaleOutRequests(demands_, context_.machine_types, services_.election->token(),
+                                   max_requests, term.loop().Now());
+  fleet::Autoscaler::LimitOutstanding(registry_, context_.machine_types, term.loop().Now(),
+                                      &requests);
+  // An offer that turns out to have no more is not asked for again.
+  std::set<Offer> exhausted;
+  for (const model::ScaleOutRequest& request : requests) {
+    if (exhausted.contains(OfferOf(request))) continue;
+    if (term.cancelled() || !services_.election->MayAct()) co_return;
+    const RentResult result = co_await Rent(term, request);
+    if (result == RentResult::kFailed) co_return;
+    if (result == RentResult::kServed) continue;
+    autoscaler_.OnShort(request, term.loop().Now());
+    exhausted.insert(OfferOf(request));
+  }
+  // What rounds wanted meanwhile did not count these machines yet.
+  demands_.clear();
+}
+
+async::Task<ScalingLoop::RentResult> ScalingLoop::Rent(async::Scope& term,
+                                                       model::ScaleOutRequest request) {
+  wire::HttpRequest call{
+      .method = "POST", .target = "/rentals", .body = wire::WriteScaleOutRequest(request)};
+  auto response = co_await Call(term, std::move(call));
+  if (!response) {
+    spdlog::warn("scale out: no answer request={}", request.request);
+    co_return RentResult::kFailed;
+  }
+  if (response->status != kOk) {
+    const bool no_capacity = response->body.find("no capacity") != std::string::npos;
+    co_return no_capacity ? RentResult::kShort : RentResult::kFailed;
+  }
+  auto names = wire::ReadScaleOutResponse(response->body);
+  if (!names) co_return RentResult::kServed;
+  spdlog::info("scale out: rented machines={} requested={} type={} zone={} spot={}", names->size(),
+               request.count, request.machine_type, request.zone, request.spot);
+  registry_.OnScaledOut(*names, request, term.loop().Now());
+  const bool all = static_cast<int>(names->size()) == request.count;
+  co_return all ? RentResult::kServed : RentResult::kShort;
+}
+
+async::Task<> ScalingLoop::ScaleIn(async::Scope& term) {
+  std::vector<std::string> names;
+  for (const auto& [name, machine] : registry_.all()) {
+    if (!machine.returning || names.size() >= kReturnsPerCall) continue;
+    names.push_back(name);
+  }
+  // A former leader's judgement must not take machines from its successor.
+  if (names.empty() || !services_.election->MayAct()) co_return;
+  wire::HttpRequest request{
+      .method = "POST", .target = "/rentals/return", .body = wire::WriteScaleInRequest(names)};
+  auto response = co_await Call(term, std::move(request));
+  if (!response || response->status != kOk) co_return;
+  for (const std::string& name : names) {
+    spdlog::info("scale in: returned machine={}", name);
+    registry_.OnReturned(name);
+  }
+  trigger_.Request();
+}
+
+bool ScalingLoop::JustResumed(double now, double resumed_at) const {
+  // A process that was paused has heard no worker, whichever of them reported. In an outage, when
+  // no node can take the lead, giving it up would end every running task.
+  return now - resumed_at <
+         services_.operators->silent_ratio * services_.settings->heartbeat_interval_s;
+}
+
+async::Task<> ScalingLoop::Run(async::Scope& term) {
+  const double seconds_per_call = 1 / (kListShare * services_.settings->cloud_rps);
+  double next_list_at = 0;
+  bool listed = false;
+  // What a former term wanted, and knew of prices, no longer holds.
+  demands_.clear();
+  machine_types_at_ = -1;
+  while (!term.cancelled()) {
+    co_await RefreshMachineTypes(term);
+    if (term.loop().Now() >= next_list_at) {
+      listed = co_await ListMachines(term);
+      // A long list takes many calls: the longer it is, the less often it is asked for.
+      next_list_at = term.loop().Now() +
+                     std::max(services_.settings->heartbeat_interval_s / kListsPerHeartbeat,
+                              seconds_per_call * list_pages_);
+    }
+    if (term.cancelled()) break;
+    const double now = term.loop().Now();
+    const bool enough_report =
+        autoscaler_.Review(registry_, *services_.job_table, context_, !demands_.empty(), now);
+    if (!enough_report && !JustResumed(now, term.loop().resumed_at())) {
+      services_.election->Resign(kResignRatio * services_.settings->lease_s,
+                                 "most workers are silent");
+      break;
+    }
+    co_await ScaleIn(term);
+    if (listed) co_await ScaleOut(term);
+    async::Sleep pause(term, seconds_per_call);
+    co_await pause;
+  }
+}
+
+}  // namespace hallpier::controller
--- a/src/controller/state_dispatcher.h
+++ b/src/controller/state_dispatcher.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <string>
 
+#include "controller/block_placement_loop.h"
 #include "controller/dependency_outcomes.h"
-#include "controller/leader_loop.h"
+#include "controller/leader.h"
 #include "controller/node_services.h"
-#include "controller/placing_loop.h"
 #include "membership/service.h"
 #include "store/machine_type_pages.h"
 #include "store/schema.h"
@@ -19,10 +19,10 @@
  public:
   // Only refers to its arguments, which may be constructed after it but must outlive it. Null
   // pointers in `membership` and `block_holder`: these parts are off.
-  StateDispatcher(const NodeServices& services, LeaderLoop& leader,
+  StateDispatcher(const NodeServices& services, Leader& leader,
                   DependencyOutcomes& dependency_outcomes,
                   const std::unique_ptr<membership::Service>& membership,
-                  const std::unique_ptr<PlacingLoop>& block_holder)
+                  const std::unique_ptr<BlockPlacementLoop>& block_holder)
       : services_(services),
         leader_(leader),
         dependency_outcomes_(dependency_outcomes),
@@ -44,10 +44,10 @@
   void RequestHolderRound();
 
   const NodeServices& services_;
-  LeaderLoop& leader_;
+  Leader& leader_;
   DependencyOutcomes& dependency_outcomes_;
   const std::unique_ptr<membership::Service>& membership_;
-  const std::unique_ptr<PlacingLoop>& block_holder_;
+  const std::unique_ptr<BlockPlacementLoop>& block_holder_;
   store::MachineTypePages machine_type_pages_;
 };
 
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -2,158 +2,137 @@
 
 #include <spdlog/spdlog.h>
 
+#include <set>
+
 #include "store/schema.h"
 
 namespace hallpier::controller {
-namespace {
-
-// What a refusal for size depends on: not on the times that are in final records.
-std::vector<std::pair<std::string, size_t>> SizesOf(const std::vector<model::KeyWrite>& writes) {
-  std::vector<std::pair<std::string, size_t>> out;
-  out.reserve(writes.size());
-  for (const model::KeyWrite& w : writes) out.emplace_back(w.key, w.value.size());
-  return out;
-}
-
-}  // namespace
 
-TransactionCommitter::TransactionCommitter(const config::Settings& settings, store::Client& client,
-                                           store::WatchCache& cache, store::Formats& formats,
-                                           Hooks hooks)
-    : settings_(settings),
-      client_(client),
-      cache_(cache),
-      formats_(formats),
-      hooks_(std::move(hooks)) {}
+TransactionCommitter::TransactionCommitter(const NodeServices& services, Hooks hooks)
+    : services_(services), hooks_(std::move(hooks)) {}
 
 void TransactionCommitter::Reset() {
-  alone_.clear();
-  refused_.clear();
+  oversized_.Clear();
   unanswered_.clear();
 }
 
-jobs::TransactionLimits TransactionCommitter::Limits(std::vector<model::Precondition> preconditions,
-                                                     double time_of_day) const {
+jobs::TransactionLimits TransactionCommitter::Limits(
+    std::vector<model::Precondition> preconditions) const {
   jobs::TransactionLimits limits;
-  limits.ops = formats_.txn_ops();
+  limits.ops = services_.formats->txn_ops();
   limits.preconditions = std::move(preconditions);
-  limits.value_bytes = formats_.value_bytes();
-  limits.patience_s = settings_.heartbeat_interval_s;
-  limits.packed = formats_.packed();
-  limits.time_of_day = time_of_day;
-  limits.alone = &alone_;
+  limits.value_bytes = services_.formats->value_bytes();
+  limits.patience_s = services_.settings->heartbeat_interval_s;
+  limits.packed = services_.formats->packed();
+  limits.time_of_day = services_.time_of_day();
+  limits.alone = &oversized_.alone();
   return limits;
 }
 
-void TransactionCommitter::OnTooLarge(const std::vector<model::KeyWrite>& writes) {
-  if (!formats_.packed() && settings_.state_next) {
-    formats_.Prove("the limits are lower");
-    return;
-  }
-  if (alone_.contains(writes[0].key)) {
-    spdlog::error("state: {} is refused as it is; it is left until it has another size",
-                  writes[0].key);
-    refused_[writes[0].key] = SizesOf(writes);
-  } else {
-    for (const model::KeyWrite& w : writes) alone_.insert(w.key);
-  }
-}
-
-bool TransactionCommitter::Refused(const std::vector<model::KeyWrite>& writes) const {
-  auto it = refused_.find(writes[0].key);
-  return it != refused_.end() && it->second == SizesOf(writes);
-}
-
 async::Task<> TransactionCommitter::Commit(async::Scope& scope,
                                            std::vector<jobs::Transaction> transactions,
                                            double budget_s) {
-  const double begin = scope.loop().Now();
+  const double began = scope.loop().Now();
   for (jobs::Transaction& transaction : transactions) {
-    if (Refused(transaction.writes)) continue;
+    if (oversized_.IsRejected(transaction.writes)) continue;
     // What the budget has no room for now is decided anew, with what has come in meanwhile.
-    const double left = begin + budget_s - scope.loop().Now();
-    if (left <= 0 || (hooks_.gives_way && hooks_.gives_way(transaction))) {
-      hooks_.on_left();
+    const double left_s = began + budget_s - scope.loop().Now();
+    if (left_s <= 0 || (hooks_.replan_instead && hooks_.replan_instead(transaction))) {
+      hooks_.on_not_written();
       co_return;
     }
-    const Written written = co_await Write(scope, transaction, left);
+    const Outcome outcome = co_await Send(scope, transaction, left_s);
     if (scope.cancelled()) co_return;
-    if (written == Written::kNoAnswer && !transaction.machines.empty()) {
+    if (outcome == Outcome::kNoAnswer && !transaction.machines.empty()) {
       unanswered_.push_back(std::move(transaction));
     }
-    // What was refused for what it holds holds up nothing that comes behind it.
-    if (written != Written::kYes && written != Written::kNever) co_return;
+    // A transaction that was rejected for what it contains does not hold up those behind it.
+    if (outcome != Outcome::kCommitted && outcome != Outcome::kMalformed) co_return;
   }
 }
 
-void TransactionCommitter::TellPlaced(const jobs::Transaction& transaction) const {
-  if (!hooks_.on_placed) return;
-  const std::set<std::string> machines(transaction.machines.begin(), transaction.machines.end());
-  for (const std::string& machine : machines) hooks_.on_placed(machine);
+async::Task<TransactionCommitter::Outcome> TransactionCommitter::Send(
+    async::Scope& scope, const jobs::Transaction& transaction, double patience_s) {
+  std::vector<std::string> lines;
+  if (hooks_.describe) lines = hooks_.describe(transaction);
+  const auto urgent =
+      transaction.rank <= jobs::WritePriority::kEnd ? store::Urgent::kYes : store::Urgent::kNo;
+  auto result = co_await services_.client->Commit(transaction.preconditions, transaction.writes,
+                                                  urgent, patience_s);
+  if (scope.cancelled()) co_return Outcome::kNoAnswer;
+  if (result.ok()) {
+    for (const std::string& line : lines) spdlog::info("{}", line);
+    OnCommitted(transaction, result.value.revision);
+    co_return Outcome::kCommitted;
+  }
+  spdlog::info("commit: failed writes={} status={} overtaken_by={}", transaction.writes.size(),
+               static_cast<int>(result.status),
+               result.value.failed.empty() ? "-" : result.value.failed.front());
+  hooks_.on_not_written();
+  if (result.status == store::Status::kInvalid) {
+    OnMalformed(transaction.writes);
+    co_return Outcome::kMalformed;
+  }
+  if (result.status == store::Status::kRefused) co_return Outcome::kNotApplied;
+  if (result.status != store::Status::kConflict) co_return Outcome::kNoAnswer;
+  const Outcome outcome = co_await OnConflict(scope, transaction, std::move(result.value.failed));
+  co_return outcome;
 }
 
-void TransactionCommitter::TakeIn(const jobs::Transaction& transaction, uint64_t revision) {
-  if (hooks_.on_written) hooks_.on_written(transaction);
-  for (const model::KeyWrite& w : transaction.writes) cache_.Apply(w.key, w.value, revision);
-  TellPlaced(transaction);
+void TransactionCommitter::OnCommitted(const jobs::Transaction& transaction, uint64_t revision) {
+  if (hooks_.on_committed) hooks_.on_committed(transaction);
+  for (const model::KeyWrite& write : transaction.writes) {
+    services_.cache->Apply(write.key, write.value, revision);
+  }
+  NotifyPlaced(transaction);
+}
+
+void TransactionCommitter::OnMalformed(const std::vector<model::KeyWrite>& writes) {
+  if (!services_.formats->packed() && services_.settings->state_next) {
+    services_.formats->Prove("the limits are lower");
+    return;
+  }
+  if (oversized_.OnRejected(writes)) {
+    spdlog::error("commit: record rejected as malformed key={}", writes[0].key);
+  }
+}
+
+async::Task<TransactionCommitter::Outcome> TransactionCommitter::OnConflict(
+    async::Scope& scope, const jobs::Transaction& transaction,
+    std::vector<std::string> failed_keys) {
+  const bool known = co_await Refresh(scope, std::move(failed_keys));
+  if (scope.cancelled()) co_return Outcome::kNoAnswer;
+  // Overtaken by its own first copy, perhaps: then there is something to start.
+  NotifyPlaced(transaction);
+  co_return known ? Outcome::kOvertaken : Outcome::kNotApplied;
 }
 
 async::Task<bool> TransactionCommitter::Refresh(async::Scope& scope,
-                                                std::vector<std::string> keys) {
-  // The watch brings most of it by itself. Were the copy wrong for good, the same write would
-  // fail in every round, and all that comes behind it with it.
+                                                std::vector<std::string> keys) const {
+  // The watch brings most of it by itself. Were the copy wrong for good, the same write would fail
+  // in every round, and all that comes behind it with it.
   bool known = true;
   for (const std::string& key : keys) {
-    // Whose token it is comes from the leadership alone.
+    // Whose token it is comes from the election alone.
     if (key == store::FencingTokenKey()) continue;
-    bool read = co_await cache_.Refresh(key);
+    const bool read = co_await services_.cache->Refresh(key);
     if (scope.cancelled()) co_return false;
     known = known && read;
   }
   co_return known;
 }
 
-async::Task<TransactionCommitter::Written> TransactionCommitter::Write(
-    async::Scope& scope, const jobs::Transaction& transaction, double patience_s) {
-  std::vector<std::string> lines;
-  if (hooks_.describe) lines = hooks_.describe(transaction);
-  const auto urgent =
-      transaction.rank <= jobs::WritePriority::kEnd ? store::Urgent::kYes : store::Urgent::kNo;
-  auto r =
-      co_await client_.Commit(transaction.preconditions, transaction.writes, urgent, patience_s);
-  if (scope.cancelled()) co_return Written::kNoAnswer;
-  if (r.ok()) {
-    for (const std::string& line : lines) spdlog::info("{}", line);
-    TakeIn(transaction, r.value.revision);
-    co_return Written::kYes;
-  }
-  spdlog::info("commit of {} writes failed ({}{})", transaction.writes.size(),
-               static_cast<int>(r.status),
-               r.value.failed.empty() ? "" : ", overtaken: " + r.value.failed.front());
-  hooks_.on_left();
-  switch (r.status) {
-    case store::Status::kInvalid:
-      OnTooLarge(transaction.writes);
-      co_return Written::kNever;
-    case store::Status::kRefused:
-      co_return Written::kNotNow;
-    case store::Status::kConflict:
-      break;
-    default:
-      co_return Written::kNoAnswer;
-  }
-  bool known = co_await Refresh(scope, std::move(r.value.failed));
-  if (scope.cancelled()) co_return Written::kNoAnswer;
-  // Overtaken by its own first copy, perhaps: then there is something to start.
-  TellPlaced(transaction);
-  co_return known ? Written::kOvertaken : Written::kNotNow;
+void TransactionCommitter::NotifyPlaced(const jobs::Transaction& transaction) const {
+  if (!hooks_.on_placed) return;
+  const std::set<std::string> machines(transaction.machines.begin(), transaction.machines.end());
+  for (const std::string& machine : machines) hooks_.on_placed(machine);
 }
 
 async::Task<bool> TransactionCommitter::ResolveUnanswered(async::Scope& scope, double budget_s) {
   while (!unanswered_.empty()) {
-    const Written written = co_await Write(scope, unanswered_.front(), budget_s);
+    const Outcome outcome = co_await Send(scope, unanswered_.front(), budget_s);
     if (scope.cancelled()) co_return false;
-    if (written == Written::kNotNow || written == Written::kNoAnswer) co_return false;
+    if (outcome == Outcome::kNotApplied || outcome == Outcome::kNoAnswer) co_return false;
     unanswered_.pop_front();
   }
   co_return true;
--- /dev/null
+++ b/tests/oversized_writes_test.cc
@@ -0,0 +1,43 @@
+// Writes that the key-value store has rejected for their size (controller/oversized_writes.h).
+#include "controller/oversized_writes.h"
+
+#include <gtest/gtest.h>
+
+namespace hallpier::controller {
+namespace {
+
+using Writes = std::vector<model::KeyWrite>;
+
+TEST(OversizedWrites, GoAloneFirst) {
+  OversizedWrites oversized;
+  const Writes together = {{"key-1", "1234", 0}, {"key-2", "12", 0}};
+  EXPECT_FALSE(oversized.IsRejected(together));
+  EXPECT_FALSE(oversized.OnRejected(together));
+  EXPECT_EQ(oversized.alone(), (std::set<std::string>{"key-1", "key-2"}));
+  EXPECT_FALSE(oversized.IsRejected({together[0]})) << "alone it may pass";
+}
+
+TEST(OversizedWrites, AreNotSentAgainAtTheSameSize) {
+  OversizedWrites oversized;
+  const Writes write = {{"key-1", "1234", 0}};
+  EXPECT_FALSE(oversized.OnRejected(write));
+  EXPECT_TRUE(oversized.OnRejected(write)) << "it was alone";
+  EXPECT_TRUE(oversized.IsRejected(write));
+  EXPECT_TRUE(oversized.IsRejected({{"key-1", "4321", 0}})) << "other times in it change nothing";
+  EXPECT_FALSE(oversized.IsRejected({{"key-1", "123", 0}}));
+  EXPECT_FALSE(oversized.IsRejected({{"key-2", "1234", 0}}));
+  EXPECT_FALSE(oversized.IsRejected({{"key-1", "1234", 0}, {"key-2", "", 0}}));
+}
+
+TEST(OversizedWrites, AreForgottenWithATerm) {
+  OversizedWrites oversized;
+  const Writes write = {{"key-1", "1234", 0}};
+  oversized.OnRejected(write);
+  oversized.OnRejected(write);
+  oversized.Clear();
+  EXPECT_FALSE(oversized.IsRejected(write));
+  EXPECT_TRUE(oversized.alone().empty());
+}
+
+}  // namespace
+}  // namespace hallpier::controller
--- /dev/null
+++ b/tests/replan_policy_test.cc
@@ -0,0 +1,51 @@
+// When the rest of a round is decided anew (controller/replan_policy.h).
+#include "controller/replan_policy.h"
+
+#include <gtest/gtest.h>
+
+namespace hallpier::controller {
+namespace {
+
+constexpr double kInterval = 10;
+
+jobs::Transaction Ranked(jobs::WritePriority rank) {
+  jobs::Transaction transaction;
+  transaction.rank = rank;
+  return transaction;
+}
+
+TEST(ReplanPolicy, UrgentWorkGoesBeforeAllButUrgentStartsAndEnds) {
+  ReplanPolicy policy(kInterval);
+  const jobs::Transaction start = Ranked(jobs::WritePriority::kStart);
+  EXPECT_FALSE(policy.ReplanInsteadOf(start, true, 100));
+  policy.OnUrgentWork();
+  EXPECT_TRUE(policy.ReplanInsteadOf(start, false, 100));
+  EXPECT_TRUE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kOutcome), false, 100));
+  EXPECT_FALSE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kUrgentStart), true, 100));
+  EXPECT_FALSE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kEnd), true, 100));
+  policy.OnRoundBegins();
+  EXPECT_FALSE(policy.ReplanInsteadOf(start, true, 100)) << "the round has considered it";
+}
+
+TEST(ReplanPolicy, BackgroundWritesYieldToNewWorkButForOneInEachInterval) {
+  ReplanPolicy policy(kInterval);
+  for (const auto rank : {jobs::WritePriority::kTidy, jobs::WritePriority::kOutcome}) {
+    const jobs::Transaction background = Ranked(rank);
+    const double now = rank == jobs::WritePriority::kTidy ? 100 : 200;
+    EXPECT_FALSE(policy.ReplanInsteadOf(background, true, now)) << "none for a long time";
+    EXPECT_TRUE(policy.ReplanInsteadOf(background, true, now + 1));
+    EXPECT_TRUE(policy.ReplanInsteadOf(background, true, now + kInterval - 0.5));
+    EXPECT_FALSE(policy.ReplanInsteadOf(background, true, now + kInterval));
+  }
+}
+
+TEST(ReplanPolicy, BackgroundWritesAreSentWhileNothingIsNew) {
+  ReplanPolicy policy(kInterval);
+  const jobs::Transaction background = Ranked(jobs::WritePriority::kTidy);
+  EXPECT_FALSE(policy.ReplanInsteadOf(background, false, 100));
+  EXPECT_FALSE(policy.ReplanInsteadOf(background, false, 100.1));
+  EXPECT_TRUE(policy.ReplanInsteadOf(background, true, 100.2)) << "they count for the interval";
+}
+
+}  // namespace
+}  // namespace hallpier::controller
