--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,4 +1,4 @@
-// Command line of the controller.
+// The program: parses the command line, checks the settings, and runs a controller or a command.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -6,13 +6,21 @@
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
 
 #include "cli/members_command.h"
 #include "controller/controller.h"
 
 namespace {
 
+// Exit statuses.
+constexpr int kGood = 0;
+constexpr int kCannotListen = 1;
+constexpr int kBadSettings = 2;
+
+// Logs to standard error, at the level of the environment's LOG_LEVEL.
 void SetUpLog(const std::string& node) {
   auto log = spdlog::stderr_logger_st("hallpier");
   log->set_pattern("%H:%M:%S.%e %L " + node + " %v");
@@ -21,18 +29,22 @@
   spdlog::set_default_logger(std::move(log));
 }
 
-struct Running {
+// A controller on its event loop, as the signal handler sees them.
+struct Node {
   hallpier::async::EventLoop loop;
   hallpier::controller::Controller controller;
 };
 
-void OnSignal(struct ev_loop* /*unused*/, ev_signal* w, int /*unused*/) {
-  auto* running = static_cast<Running*>(w->data);
-  running->controller.Shutdown([running] { running->loop.Stop(); });
+void OnSignal(struct ev_loop* /*unused*/, ev_signal* watcher, int /*unused*/) {
+  auto* node = static_cast<Node*>(watcher->data);
+  node->controller.Shutdown([node] { node->loop.Stop(); });
 }
 
+// True if there are any faults, which are printed with the name of their file.
 bool PrintFaults(const std::string& file, const std::vector<std::string>& faults) {
-  for (const auto& f : faults) std::fprintf(stderr, "%s: %s\n", file.c_str(), f.c_str());
+  for (const std::string& fault : faults) {
+    std::fprintf(stderr, "%s: %s\n", file.c_str(), fault.c_str());
+  }
   return !faults.empty();
 }
 
@@ -44,46 +56,50 @@
   bool json = false;
 };
 
-// Nothing if the arguments are in order; else the exit status.
-std::optional<int> ParseArguments(int argc, char** argv, Arguments* arguments) {
+// The arguments, or the exit status if the program is to end at once.
+std::variant<Arguments, int> ParseArguments(int argc, char** argv) {
+  Arguments arguments;
   CLI::App cli("hallpier: a controller of a cluster scheduler");
-  cli.add_option("--config", arguments->config_file, "the platform's settings (TOML)");
-  cli.add_option("--operator", arguments->operator_file, "the operators' own settings (HCL-like)");
-  cli.add_flag("--check", arguments->check, "check the settings, then end");
+  cli.add_option("--config", arguments.config_file, "the platform's settings (TOML)");
+  cli.add_option("--operator", arguments.operator_file, "the operators' own settings (HCL-like)");
+  cli.add_flag("--check", arguments.check, "check the settings, then end");
   cli.set_version_flag("--version", std::string("hallpier ") + HALLPIER_VERSION);
   CLI::App* members = cli.add_subcommand("members", "show how the controllers see each other");
-  members->add_option("--config", arguments->config_file, "the platform's settings (TOML)");
-  members->add_flag("--json", arguments->json, "as JSON (docs/schemas/members.schema.json)");
+  members->add_option("--config", arguments.config_file, "the platform's settings (TOML)");
+  members->add_flag("--json", arguments.json, "as JSON (docs/schemas/members.schema.json)");
   try {
     cli.parse(argc, argv);
-    if (arguments->config_file.empty()) throw CLI::RequiredError("--config");
-  } catch (const CLI::ParseError& e) {
-    return cli.exit(e);
+    if (arguments.config_file.empty()) throw CLI::RequiredError("--config");
+  } catch (const CLI::ParseError& error) {
+    return cli.exit(error);
   }
-  arguments->members = members->parsed();
-  return std::nullopt;
+  arguments.members = members->parsed();
+  return arguments;
 }
 
-// Serves until a signal ends it.
+// Serves until a signal ends it. Returns the exit status.
 int Serve(hallpier::config::Settings settings, const hallpier::config::Operator& operators) {
   SetUpLog(settings.node);
   signal(SIGPIPE, SIG_IGN);
-  Running running{{}, {running.loop, std::move(settings), operators}};
+  Node node{{}, {node.loop, std::move(settings), operators}};
   std::string error;
-  if (!running.controller.Start(&error)) {
-    spdlog::error("can't listen: {}", error);
-    return 1;
+  if (!node.controller.Start(&error)) {
+    spdlog::error("start: can't listen reason={}", error);
+    return kCannotListen;
   }
-  ev_signal term, interrupt;
-  ev_signal_init(&term, OnSignal, SIGTERM);
-  ev_signal_init(&interrupt, OnSignal, SIGINT);
-  for (ev_signal* w : {&term, &interrupt}) {
-    w->data = &running;
-    ev_signal_start(running.loop.raw(), w);
+  ev_signal on_terminate;
+  ev_signal on_interrupt;
+  ev_signal_init(&on_terminate, OnSignal, SIGTERM);
+  ev_signal_init(&on_interrupt, OnSignal, SIGINT);
+  for (ev_signal* watcher : {&on_terminate, &on_interrupt}) {
+    watcher->data = &node;
+    ev_signal_start(node.loop.raw(), watcher);
   }
-  running.loop.Run();
-  for (ev_signal* w : {&term, &interrupt}) ev_signal_stop(running.loop.raw(), w);
-  return 0;
+  node.loop.Run();
+  for (ev_signal* watcher : {&on_terminate, &on_interrupt}) {
+    ev_signal_stop(node.loop.raw(), watcher);
+  }
+  return kGood;
 }
 
 }  // namespace
@@ -92,21 +108,24 @@
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   using namespace hallpier;
-  Arguments arguments;
-  if (auto status = ParseArguments(argc, argv, &arguments)) return *status;
+  const std::variant<Arguments, int> parsed = ParseArguments(argc, argv);
+  if (const int* status = std::get_if<int>(&parsed)) return *status;
+  const auto& arguments = std::get<Arguments>(parsed);
   std::vector<std::string> faults;
   config::Settings settings = config::LoadSettings(arguments.config_file, &faults);
-  if (PrintFaults(arguments.config_file, faults)) return 2;
+  if (PrintFaults(arguments.config_file, faults)) return kBadSettings;
   if (arguments.members) return cli::RunMembersCommand(settings, arguments.json);
   config::Operator operators;
   if (!arguments.operator_file.empty()) {
     operators = config::LoadOperator(arguments.operator_file, &faults);
   }
-  if (PrintFaults(arguments.operator_file, faults)) return 2;
-  if (PrintFaults(arguments.config_file, config::ContradictionsOf(settings, operators))) return 2;
+  if (PrintFaults(arguments.operator_file, faults)) return kBadSettings;
+  if (PrintFaults(arguments.config_file, config::ContradictionsOf(settings, operators))) {
+    return kBadSettings;
+  }
   if (arguments.check) {
     std::printf("settings are good\n");
-    return 0;
+    return kGood;
   }
   return Serve(std::move(settings), operators);
 }
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -15,13 +15,17 @@
 
 constexpr double kTimeoutS = 3;
 constexpr double kMsPerS = 1000;
+// Exit statuses.
+constexpr int kAnswered = 0;
 constexpr int kNobodyAnswered = 1;
 
+// A controller of the settings, and where it listens for its peers.
 struct Target {
   std::string node;
   std::string endpoint;
 };
 
+// This controller and all others of the settings.
 std::vector<Target> Targets(const config::Settings& settings) {
   std::vector<Target> targets = {{settings.node, settings.peer_bind}};
   for (config::Seed& seed : settings.OtherSeeds()) {
@@ -30,56 +34,56 @@
   return targets;
 }
 
-void TakeAnswer(const std::string& payload, MembersAnswer* answer) {
+// What a controller's answer says; an error if it is no report.
+MembersAnswer ReadAnswer(const std::string& node, const std::string& payload) {
   std::string fault;
   auto message = wire::ReadPeerMessage(payload, &fault);
-  if (!message) {
-    answer->error = "gives an answer that can't be read: " + fault;
-    return;
-  }
+  if (!message) return {node, std::nullopt, "gives an answer that can't be read: " + fault};
   if (auto* report = std::get_if<wire::MembersReport>(&*message)) {
-    answer->report = std::move(*report);
-    return;
+    return {node, std::move(*report), {}};
   }
-  answer->error = fmt::format("answers with {}", wire::PeerMessageName(*message));
+  return {node, std::nullopt, fmt::format("answers with {}", wire::PeerMessageName(*message))};
 }
 
-async::Task<> Ask(async::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
-  answer->node = target.node;
-  auto to = net::ParseAddress(target.endpoint);
+async::Task<MembersAnswer> Ask(async::Scope& scope, Target target, double deadline) {
+  auto address = net::ParseAddress(target.endpoint);
   int error = 0;
-  std::optional<net::Stream> stream = co_await net::Stream::Connect(scope, *to, deadline, &error);
+  std::optional<net::Stream> stream =
+      co_await net::Stream::Connect(scope, *address, deadline, &error);
   if (!stream) {
-    answer->error = "can't be reached at " + target.endpoint;
-    co_return;
+    co_return MembersAnswer{target.node, std::nullopt, "can't be reached at " + target.endpoint};
   }
   const std::string request = wire::Frame(wire::WritePeerMessage(wire::MembersRequest{}));
   bool open = co_await stream->Write(scope, request, deadline);
   wire::FrameBuffer frames(wire::kMaxPeerFrame);
   while (open && !frames.corrupt()) {
-    if (auto payload = frames.Next()) {
-      TakeAnswer(*payload, answer);
-      co_return;
-    }
+    if (auto payload = frames.Next()) co_return ReadAnswer(target.node, *payload);
     std::string data;
     open = co_await stream->Read(scope, data, deadline);
     frames.Feed(data);
   }
-  answer->error = "gives no answer; its version may be older";
+  co_return MembersAnswer{target.node, std::nullopt, "gives no answer; its version may be older"};
+}
+
+// Asks one controller; the answer is put where the caller collects them.
+async::Task<> AskInto(async::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
+  MembersAnswer received = co_await Ask(scope, std::move(target), deadline);
+  *answer = std::move(received);
 }
 
+// Asks all controllers at once, then stops the loop.
 async::Task<> AskAll(async::EventLoop& loop, const std::vector<Target>& targets, double timeout_s,
                      std::vector<MembersAnswer>* answers) {
   async::Scope scope(loop);
   const double deadline = loop.Now() + timeout_s;
   for (size_t i = 0; i < targets.size(); ++i) {
-    scope.Spawn(Ask(scope, targets[i], deadline, &answers->at(i)));
+    scope.Spawn(AskInto(scope, targets[i], deadline, &answers->at(i)));
   }
   co_await scope.Join();
   loop.Stop();
 }
 
-double Seconds(uint64_t ms) { return static_cast<double>(ms) / kMsPerS; }
+double Seconds(uint64_t milliseconds) { return static_cast<double>(milliseconds) / kMsPerS; }
 
 std::string RowText(const wire::MemberRow& row) {
   const std::string state(row.known ? membership::StateName(row.state) : "no record");
@@ -93,47 +97,47 @@
   return line + "\n";
 }
 
-void WriteRow(wire::JsonWriter& w, const wire::MemberRow& row) {
-  w.StartObject();
-  w.Field("node").Text(row.node);
-  w.Field("state").Text(row.known ? membership::StateName(row.state) : "unknown");
-  w.Field("sinceS").Double(Seconds(row.since_ms));
-  w.Field("session").Uint64(row.incarnation.session);
-  w.Field("refutation").Uint64(row.incarnation.refutation);
-  w.Field("leading").Bool(row.leading);
-  w.Field("suspectedBy").StartArray();
-  for (const std::string& node : row.suspected_by) w.Text(node);
-  w.EndArray();
-  w.Field("reason").TextOrNull(row.reason);
-  w.EndObject();
+void WriteRow(wire::JsonWriter& writer, const wire::MemberRow& row) {
+  writer.StartObject();
+  writer.Field("node").Text(row.node);
+  writer.Field("state").Text(row.known ? membership::StateName(row.state) : "unknown");
+  writer.Field("sinceS").Double(Seconds(row.since_ms));
+  writer.Field("session").Uint64(row.incarnation.session);
+  writer.Field("refutation").Uint64(row.incarnation.refutation);
+  writer.Field("leading").Bool(row.leading);
+  writer.Field("suspectedBy").StartArray();
+  for (const std::string& node : row.suspected_by) writer.Text(node);
+  writer.EndArray();
+  writer.Field("reason").TextOrNull(row.reason);
+  writer.EndObject();
 }
 
-void WriteHandover(wire::JsonWriter& w, const wire::MembersReport& report) {
-  w.Field("lastHandover");
+void WriteHandover(wire::JsonWriter& writer, const wire::MembersReport& report) {
+  writer.Field("lastHandover");
   if (report.handover_to.empty()) {
-    w.Null();
+    writer.Null();
     return;
   }
-  w.StartObject();
-  w.Field("from").TextOrNull(report.handover_from);
-  w.Field("to").Text(report.handover_to);
-  w.Field("agoS").Double(Seconds(report.handover_ms_ago));
-  w.EndObject();
+  writer.StartObject();
+  writer.Field("from").TextOrNull(report.handover_from);
+  writer.Field("to").Text(report.handover_to);
+  writer.Field("agoS").Double(Seconds(report.handover_ms_ago));
+  writer.EndObject();
 }
 
-void WriteAnswer(wire::JsonWriter& w, const MembersAnswer& answer) {
-  w.StartObject();
-  w.Field("node").Text(answer.node);
-  w.Field("answered").Bool(answer.report.has_value());
-  w.Field("error").TextOrNull(answer.error);
+void WriteAnswer(wire::JsonWriter& writer, const MembersAnswer& answer) {
+  writer.StartObject();
+  writer.Field("node").Text(answer.node);
+  writer.Field("answered").Bool(answer.report.has_value());
+  writer.Field("error").TextOrNull(answer.error);
   if (answer.report) {
-    w.Field("enabled").Bool(answer.report->enabled);
-    w.Field("members").StartArray();
-    for (const wire::MemberRow& row : answer.report->rows) WriteRow(w, row);
-    w.EndArray();
-    WriteHandover(w, *answer.report);
+    writer.Field("enabled").Bool(answer.report->enabled);
+    writer.Field("members").StartArray();
+    for (const wire::MemberRow& row : answer.report->rows) WriteRow(writer, row);
+    writer.EndArray();
+    WriteHandover(writer, *answer.report);
   }
-  w.EndObject();
+  writer.EndObject();
 }
 
 }  // namespace
@@ -172,13 +176,13 @@
 }
 
 std::string MembersJson(const std::vector<MembersAnswer>& answers) {
-  wire::JsonWriter w;
-  w.StartObject();
-  w.Field("controllers").StartArray();
-  for (const MembersAnswer& answer : answers) WriteAnswer(w, answer);
-  w.EndArray();
-  w.EndObject();
-  return w.Take();
+  wire::JsonWriter writer;
+  writer.StartObject();
+  writer.Field("controllers").StartArray();
+  for (const MembersAnswer& answer : answers) WriteAnswer(writer, answer);
+  writer.EndArray();
+  writer.EndObject();
+  return writer.Take();
 }
 
 int RunMembersCommand(const config::Settings& settings, bool json) {
@@ -186,7 +190,7 @@
   const std::string text = json ? MembersJson(answers) + "\n" : MembersText(answers);
   std::fputs(text.c_str(), stdout);
   for (const MembersAnswer& answer : answers) {
-    if (answer.report) return 0;
+    if (answer.report) return kAnswered;
   }
   std::fputs("no controller could be reached\n", stderr);
   return kNobodyAnswered;
--- a/src/cli/members_command.h
+++ b/src/cli/members_command.h
@@ -1,5 +1,5 @@
 // `hallpier members`: asks the controllers that a settings file names how they see each other, and
-// prints it as text or JSON (docs/schemas/members.schema.json).
+// prints it as text or JSON (docs/schemas/members.schema.json). Runs an event loop of its own.
 #pragma once
 
 #include <optional>
@@ -11,20 +11,23 @@
 
 namespace hallpier::cli {
 
-// What became of asking one controller.
+// What came of asking one controller.
 struct MembersAnswer {
   std::string node;
-  std::optional<wire::MembersReport> report;
-  std::string error;  // why there is no report
+  std::optional<wire::MembersReport> report;  // nothing: there is an error
+  std::string error;                          // why there is no report
 };
 
-// Asks every controller, each for as long as `timeout_s`.
+// Asks every controller of the settings at once, for `timeout_s` seconds at the most. The answers
+// are in the order of the settings, this node's own first.
 std::vector<MembersAnswer> AskMembers(const config::Settings& settings, double timeout_s);
 
+// The answers as lines for a reader, or as one JSON document.
 std::string MembersText(const std::vector<MembersAnswer>& answers);
 std::string MembersJson(const std::vector<MembersAnswer>& answers);
 
-// The whole command; its exit status: 0 if a controller answered, 1 if none could be reached.
+// The whole command: asks, and prints the answers to standard output. Returns the exit status: 0 if
+// a controller answered, 1 if none could be reached.
 int RunMembersCommand(const config::Settings& settings, bool json);
 
 }  // namespace hallpier::cli
