--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -30,7 +30,7 @@
 
 UserApi::Found UserApi::FromMemory(const std::string& id) const {
   Found out;
-  if (auto it = dependency_outcomes_.find(id); it != dependency_outcomes_.end()) {
+  if (auto it = final_records_.find(id); it != final_records_.end()) {
     out.kind = Found::Kind::kFinal;
     out.final_record = it->second;
   }
@@ -38,10 +38,10 @@
 }
 
 void UserApi::Remember(const std::string& id, const store::FinalRecord& r) {
-  if (!dependency_outcomes_.emplace(id, r).second) return;
+  if (!final_records_.emplace(id, r).second) return;
   finals_order_.push_back(id);
   if (static_cast<double>(finals_order_.size()) > kFinalsPerMb * deps_.settings->memory_mb) {
-    dependency_outcomes_.erase(finals_order_.front());
+    final_records_.erase(finals_order_.front());
     finals_order_.pop_front();
   }
 }
@@ -241,7 +241,7 @@
   }
   if (deps_.machine_types->empty()) co_return NotNow("machine types are not known yet");
   const std::string id = spec->id;
-  if (!dependency_outcomes_.contains(id) && deps_.job_table->Find(id) == nullptr) {
+  if (!final_records_.contains(id) && deps_.job_table->Find(id) == nullptr) {
     std::optional<wire::HttpResponse> answer = co_await Accept(std::move(*spec));
     if (answer) co_return std::move(*answer);
   }
@@ -289,7 +289,7 @@
     deps_.cache->Apply(store::JobKey(id), value, r.value.revision);
     // What was read for it just now need not be read again.
     for (const std::string& a : record.spec.awaits) {
-      if (auto it = dependency_outcomes_.find(a); it != dependency_outcomes_.end())
+      if (auto it = final_records_.find(a); it != final_records_.end())
         deps_.job_table->RecordFinal(a, it->second);
     }
     spdlog::info("job {} accepted: {} x {} cpus, team {}, awaits {}{}", id, record.spec.tasks,
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -80,7 +80,7 @@
 
   Deps deps_;
   int cancelling_ = 0;
-  std::unordered_map<std::string, store::FinalRecord> dependency_outcomes_;
+  std::unordered_map<std::string, store::FinalRecord> final_records_;
   std::deque<std::string> finals_order_;
 };
 
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -13,13 +13,13 @@
 #include <vector>
 
 #include "async/wait.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "election/election_policy.h"
 #include "model/ids.h"
 #include "model/key_value.h"
 #include "store/client.h"
 #include "store/watch_cache.h"
-#include "config/operator_options.h"
 
 namespace hallpier::election {
 
@@ -35,8 +35,8 @@
 
   // All references must outlive the election. `policy` is only asked once Run() has been started.
   LeaderElection(async::Scope& scope, const config::Settings& settings,
-                 const config::OperatorOptions& operators, store::Client& client, store::WatchCache& cache,
-                 const ElectionPolicy& policy, TermStarter start_term);
+                 const config::OperatorOptions& operators, store::Client& client,
+                 store::WatchCache& cache, const ElectionPolicy& policy, TermStarter start_term);
 
   // The election's routine: runs until the scope is cancelled.
   async::Task<> Run();
--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -12,13 +12,13 @@
 #include <string_view>
 #include <vector>
 
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "model/cloud.h"
 #include "model/ids.h"
 #include "model/machine_type.h"
 #include "plan/round.h"
-#include "config/operator_options.h"
 
 namespace hallpier::fleet {
 
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -3,11 +3,11 @@
 
 #include <gtest/gtest.h>
 
+#include "config/operator_options.h"
 #include "fixtures.h"
 #include "fleet/reconciliation.h"
 #include "model/cloud.h"
 #include "model/heartbeat.h"
-#include "config/operator_options.h"
 
 namespace hallpier::fleet {
 namespace {
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -4,13 +4,13 @@
 
 #include <gtest/gtest.h>
 
+#include "config/operator_options.h"
 #include "election/election_policy.h"
+#include "fakes/fake_state_service.h"
 #include "fixtures.h"
 #include "model/key_value.h"
 #include "net_fixture.h"
-#include "fakes/fake_state_service.h"
 #include "store/watch_cache.h"
-#include "config/operator_options.h"
 
 namespace hallpier {
 namespace {
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -9,20 +9,20 @@
 #include <memory>
 #include <thread>
 
+#include "fakes/fake_state_service.h"
 #include "fixtures.h"
 #include "model/key_value.h"
+#include "net/address.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "net_fixture.h"
 #include "port_block.h"
-#include "fakes/fake_state_service.h"
 #include "store/linearizable_read.h"
+#include "wire/frame.h"
+#include "wire/peer_codec.h"
 #include "wire/peer_messages.h"
 #include "wire/varint.h"
-#include "wire/peer_codec.h"
-#include "wire/frame.h"
-#include "net/address.h"
 
 namespace hallpier {
 namespace {
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -21,6 +21,7 @@
 #include "blocks/lending.h"
 #include "blocks/machine_mirror.h"
 #include "blocks/view_sender.h"
+#include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "jobs/transaction_builder.h"
@@ -33,7 +34,6 @@
 #include "simulation/simulated_process.h"
 #include "simulation/simulated_workers.h"
 #include "simulation/versioned_store.h"
-#include "config/operator_options.h"
 
 namespace hallpier::testing_support {
 
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -2,11 +2,11 @@
 #include <algorithm>
 
 #include "blocks/view_sender.h"
+#include "fleet/reconciliation.h"
+#include "fleet/task_outcomes.h"
 #include "plan/round.h"
 #include "simulation/blocks_cluster.h"
 #include "simulation/blocks_cluster_constants.h"
-#include "fleet/task_outcomes.h"
-#include "fleet/reconciliation.h"
 
 namespace hallpier::testing_support {
 namespace {
@@ -109,7 +109,8 @@
     scope = node.records.WholeScope(WidenS(), now());
   }
   node.registry->UpdateObservations(node.job_table);
-  std::vector<jobs::TaskTransition> transitions = fleet::CollectTaskTransitions(*node.registry, node.job_table, now());
+  std::vector<jobs::TaskTransition> transitions =
+      fleet::CollectTaskTransitions(*node.registry, node.job_table, now());
   plan::RoundResult plan = plan::PlanRound(node.context, node.job_table, *node.registry, now(),
                                            now(), scope ? &*scope : nullptr);
   for (const plan::Preemption& preemption : plan.preemptions) {
@@ -133,12 +134,13 @@
   const auto holder = node.records.Holding(node.name, node.session, Copy(node));
   const bool undivided = !divided && !node.records.division().divided();
   if (undivided && node.revision >= node.records.newest()) {
-    own.places = plan::PlanRound(node.context, node.job_table, *node.registry, now(), now()).placements;
+    own.places =
+        plan::PlanRound(node.context, node.job_table, *node.registry, now(), now()).placements;
   } else if (holder) {
     const plan::PlacementScope scope =
         node.records.HolderScope(*holder, WidenS(), now(), settings_, node.job_table);
-    own.places =
-        plan::PlanRound(node.context, node.job_table, *node.registry, now(), now(), &scope).placements;
+    own.places = plan::PlanRound(node.context, node.job_table, *node.registry, now(), now(), &scope)
+                     .placements;
     own.preconditions = node.records.PlacementPreconditions(*holder);
   }
   return own;
@@ -213,7 +215,7 @@
 void BlocksCluster::AnswerHeartbeat(const std::string& name, const model::Heartbeat& heartbeat,
                                     double sent) {
   Node& leader = NodeOf(name);
-  // As LeaderElection::Entitled has it: one that may have been followed answers nobody.
+  // As LeaderElection::MayAct has it: one that may have been followed answers nobody.
   if (!leader.leads || name != leader_ || now() - sent > kHeartbeatTimeoutS) return;
   leader.registry->OnHeartbeat(heartbeat, now(), false);
   fleet::Machine* machine = leader.registry->Find(heartbeat.machine);
