--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -49,7 +49,7 @@
   watermark_.OnCancellationReport(node, asked, report);
 }
 
-void CancellationExchange::OnCancellation(const wire::Cancellation& cancellation) {
+void CancellationExchange::OnCancellation(const wire::Cancellation& cancellation) const {
   // A job that is not known here has no tasks of ours; its record will arrive with the
   // cancellation.
   auto record = services_.job_table->CancelledRecord(cancellation.job);
--- a/src/controller/cancellation_exchange.h
+++ b/src/controller/cancellation_exchange.h
@@ -26,7 +26,7 @@
   // A node's answer to a request that was sent at `asked` (steady time, s).
   void OnReport(const std::string& node, double asked, const wire::CancellationReport& report);
   // A cancellation that was recorded by way of another node, ahead of the watch.
-  void OnCancellation(const wire::Cancellation& cancellation);
+  void OnCancellation(const wire::Cancellation& cancellation) const;
   // True while workers' leases may be renewed without missing an acknowledged cancellation.
   bool MayRenewWorkerLeases();
 
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -184,23 +184,23 @@
 }
 
 TEST(CancellationWatermark, IsTheOwnCopyOrWhatAllOthersVouchFor) {
-  CancellationWatermark h({kCancel, kLease, kReport}, {"node-1", "node-2"});
-  EXPECT_FALSE(h.MayRenew(0)) << "nothing is known yet";
-  h.OnCopyComplete(10);
-  EXPECT_EQ(h.KnownAt(12), 10);
-  EXPECT_FALSE(h.CopyIsStale(24));
-  EXPECT_TRUE(h.CopyIsStale(26));
-  h.OnCancellationReport("node-1", 20, Nothing());
-  EXPECT_EQ(h.KnownAt(21), 10) << "one is missing";
-  h.OnCancellationReport("node-2", 18, Nothing());
-  EXPECT_EQ(h.KnownAt(21), 18) << "the oldest counts";
-  h.OnCancellationReport("node-2", 25, {false, 500, {}});
-  EXPECT_EQ(h.KnownAt(26), 18) << "who does not vouch has said nothing";
-  EXPECT_EQ(h.RequestFor("node-2", 90).beyond, 100U);
-  EXPECT_EQ(h.RequestFor("node-2", 120).beyond, 120U);
+  CancellationWatermark watermark({kCancel, kLease, kReport}, {"node-1", "node-2"});
+  EXPECT_FALSE(watermark.MayRenew(0)) << "nothing is known yet";
+  watermark.OnCopyComplete(10);
+  EXPECT_EQ(watermark.KnownAt(12), 10);
+  EXPECT_FALSE(watermark.CopyIsStale(24));
+  EXPECT_TRUE(watermark.CopyIsStale(26));
+  watermark.OnCancellationReport("node-1", 20, Nothing());
+  EXPECT_EQ(watermark.KnownAt(21), 10) << "one is missing";
+  watermark.OnCancellationReport("node-2", 18, Nothing());
+  EXPECT_EQ(watermark.KnownAt(21), 18) << "the oldest counts";
+  watermark.OnCancellationReport("node-2", 25, {false, 500, {}});
+  EXPECT_EQ(watermark.KnownAt(26), 18) << "who does not vouch has said nothing";
+  EXPECT_EQ(watermark.RequestFor("node-2", 90).beyond, 100U);
+  EXPECT_EQ(watermark.RequestFor("node-2", 120).beyond, 120U);
   // The last answer and a whole lease after it end before cancel_s is over.
-  EXPECT_LT(h.renewal_bound_s() + kLease, kCancel);
-  EXPECT_GT(h.renewal_bound_s() + kLease, kCancel - kReport / 2);
+  EXPECT_LT(watermark.renewal_bound_s() + kLease, kCancel);
+  EXPECT_GT(watermark.renewal_bound_s() + kLease, kCancel - kReport / 2);
   CancellationWatermark alone({kCancel, kLease, kReport}, {});
   EXPECT_TRUE(alone.MayRenew(1000)) << "nobody else tells anything";
 }
