--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -72,7 +72,7 @@
   const model::FencingToken token = registry_.token();
   auto commands = commands_.CommandsFor(*worker, true);
   // Its heartbeat has fetched them meanwhile, or they have to wait for the copy. A worker that does
-  // not know our token yet is told it all the same.
+  // not know our token yet is sent it all the same.
   if (commands.empty() && (worker->token == token || !commands_.CopyIsCurrent())) co_return false;
   wire::HttpRequest request{.method = "POST",
                             .target = "/commands",
--- a/src/controller/command_source.h
+++ b/src/controller/command_source.h
@@ -1,5 +1,5 @@
-// Says what a worker is to be told, as far as the leader's copy of the records allows it now. Owned
-// by the leader; does no I/O.
+// Computes the commands for a worker, as far as the copy of the records allows it now. Owned by the
+// leader; does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -30,7 +30,7 @@
   // `other_nodes`: all nodes that may acknowledge cancellations, without this one.
   CancellationWatermark(Options options, std::vector<std::string> other_nodes);
 
-  // This node's copy held, at `asked`, all that had been recorded by then.
+  // This node's copy contained, at `asked`, all that had been recorded by then.
   void OnCopyComplete(double asked);
   // The request for a node, given the revision up to which this node's copy is complete.
   wire::CancellationReportRequest RequestFor(const std::string& node, uint64_t revision) const;
