--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -85,7 +85,7 @@
 async::Task<UserApi::Found> UserApi::LookupShared(std::string id) {
   Found out = FromMemory(id);
   if (out.kind == Found::Kind::kFinal) co_return out;
-  const bool fresh = co_await deps_.linearizable_read->Reached();
+  const bool fresh = co_await deps_.linearizable_read->CatchUp();
   if (!fresh) {
     out = co_await Lookup(std::move(id));
     co_return out;
@@ -155,7 +155,7 @@
                                                                     bool* cancelled) {
   // Sorted out here as far as is known; what is not, every node finds out for itself later on.
   *cancelled = false;
-  const bool warm = co_await deps_.linearizable_read->Reached();
+  const bool warm = co_await deps_.linearizable_read->CatchUp();
   for (const std::string& id : awaits) {
     bool service = false;
     if (const jobs::Job* job = deps_.job_table->Find(id)) {
@@ -261,7 +261,7 @@
   std::optional<wire::HttpResponse> refused;
   // Room for what a cancellation adds is not needed: that leaves out what has no room.
   const double most = deps_.settings->least().value_kb * 1024;
-  record.group = deps_.formats->group();
+  record.group = deps_.formats->new_job_group_size();
   if (static_cast<double>(store::WriteJob(record).size()) > most) {
     const bool many = record.spec.awaits.size() > record.spec.machine_types.size();
     refused = Answer(400, wire::WriteError(many ? "names more jobs than fit"
@@ -271,7 +271,7 @@
   if (!record.spec.awaits.empty()) {
     if (!refused) refused = co_await CheckAwaits(record.spec.awaits, &record.cancelled);
     // Users name others only once every node can read it.
-    if (!refused) deps_.formats->Prove("a submission awaits others");
+    if (!refused) deps_.formats->ProveAllUpgraded("a submission awaits others");
   }
   if (refused) {
     // Whoever was told "accepted" once must never be told anything worse; the version before took
@@ -313,7 +313,7 @@
 async::Task<wire::HttpResponse> UserApi::Cancel(std::string id) {
   if (!model::IsJobId(id)) co_return Answer(404, wire::WriteError("no such job"));
   const auto least = static_cast<size_t>(deps_.settings->least().value_kb * 1024);
-  size_t most = deps_.formats->value_bytes();
+  size_t most = deps_.formats->max_value_bytes();
   for (int attempt = 0; attempt < kCasTries; ++attempt) {
     Found found = co_await Lookup(id);
     if (found.kind == Found::Kind::kNever) co_return Answer(404, wire::WriteError("no such job"));
@@ -329,7 +329,7 @@
     std::vector<model::KeyWrite> writes = {{key, value, 0}};
     ++cancelling_;
     auto r = co_await deps_.client->Commit(std::move(preconditions), std::move(writes),
-                                           store::Urgent::kYes);
+                                           store::RequestPriority::kUrgent);
     --cancelling_;
     if (r.ok()) {
       deps_.cache->Apply(key, value, r.value.revision);
@@ -339,7 +339,7 @@
     }
     if (r.status == store::Status::kInvalid && value.size() > least) {
       // The limits are lower already, and this node did not know.
-      deps_.formats->Prove("the limits are lower");
+      deps_.formats->ProveAllUpgraded("the limits are lower");
       most = least;
       continue;
     }
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -15,8 +15,8 @@
 #include "model/machine_type.h"
 #include "net/http_server.h"
 #include "store/client.h"
-#include "store/formats.h"
 #include "store/linearizable_read.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 #include "wire/user_codec.h"
 
@@ -29,7 +29,7 @@
     store::Client* client;
     store::WatchCache* cache;
     store::LinearizableRead* linearizable_read;
-    store::Formats* formats;
+    store::RecordFormats* formats;
     jobs::JobTable* job_table;
     const std::vector<model::MachineType>* machine_types;  // empty: not known yet
     std::function<double()> time_of_day;
--- a/src/controller/block_leader.cc
+++ b/src/controller/block_leader.cc
@@ -122,8 +122,8 @@
 
 async::Task<> BlockLeader::ReviewShares(async::Scope& term, const plan::RoundResult& round,
                                         const plan::Scope& scope) {
-  const blocks::WriteLimits limits = {static_cast<size_t>(deps_.formats->txn_ops()),
-                                      deps_.formats->value_bytes()};
+  const blocks::WriteLimits limits = {static_cast<size_t>(deps_.formats->max_transaction_writes()),
+                                      deps_.formats->max_value_bytes()};
   auto change = lending_.ReviewShares(*deps_.records, Copy(), *deps_.job_table, registry_, context_,
                                       round, scope, limits);
   if (!change) co_return;
@@ -136,7 +136,8 @@
 async::Task<> BlockLeader::Write(async::Scope& term, blocks::RecordChange change) const {
   // Without an answer it may be carried out late. Its guards name every record of blocks and
   // shares, so that nothing that was decided since stands beside it.
-  auto r = co_await deps_.client->Commit(change.preconditions, change.writes, store::Urgent::kYes);
+  auto r = co_await deps_.client->Commit(change.preconditions, change.writes,
+                                         store::RequestPriority::kUrgent);
   if (term.cancelled()) co_return;
   if (r.ok()) {
     for (const model::KeyWrite& write : change.writes) {
--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -41,7 +41,8 @@
 
 async::Task<std::optional<wire::HttpResponse>> CloudLoop::Call(async::Scope& term,
                                                                wire::HttpRequest request) {
-  const double wait = rate_limiter_.Take(term.loop().Now(), 1, store::Urgent::kYes, kCloudTimeoutS);
+  const double wait =
+      rate_limiter_.Acquire(term.loop().Now(), 1, store::RequestPriority::kUrgent, kCloudTimeoutS);
   if (wait < 0) co_return std::nullopt;
   if (wait > 0) {
     async::Sleep pause(term, wait);
@@ -76,7 +77,7 @@
   auto plain = context_.machine_types;
   for (auto& f : plain) f.spot_price = f.price;
   if (wire::WriteMachineTypes(plain) == wire::WriteMachineTypes(*deps_.machine_types)) co_return;
-  auto pages = store::WriteMachineTypePages(plain, deps_.formats->value_bytes());
+  auto pages = store::WriteMachineTypePages(plain, deps_.formats->max_value_bytes());
   const auto page_count = static_cast<uint32_t>(pages.size());
   // Versions without pipelines know one value only, and what is left of a longer list is in the
   // way.
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -46,7 +46,7 @@
   return o;
 }
 
-// What this node records that it understands (store::Formats).
+// What this node records that it understands (store::RecordFormats).
 uint64_t NodeFormatOf(const config::Operator& operators) {
   if (operators.blocks.enabled) return store::kBlocksFormat;
   return operators.membership.enabled ? store::kMembershipFormat : store::kCancellationReportFormat;
@@ -164,7 +164,7 @@
 net::PeerMesh::Hooks Controller::PeerHooks() {
   net::PeerMesh::Hooks h;
   h.status = [this] { return Status(); };
-  h.execute = [this](wire::HttpRequest r) { return client_.Direct(std::move(r)); };
+  h.execute = [this](wire::HttpRequest r) { return client_.ExecuteForPeer(std::move(r)); };
   h.on_status = [this](const wire::PeerStatus& s) { election_.Superseded(s.token); };
   h.on_refused = [this](const std::string& node) {
     election_.Suspect(node);
@@ -205,7 +205,7 @@
   };
   hooks->cancellation_report_request =
       [this](const std::string& node) -> std::optional<wire::CancellationReportRequest> {
-    watermark_.OnComplete(cache_.complete_at());
+    watermark_.OnComplete(cache_.current_as_of());
     const bool apart = client_.down() || watermark_.Stale(root_.loop().Now());
     if (!election_.leading() || !apart) return std::nullopt;
     return watermark_.RequestFor(node, cache_.revision());
@@ -248,7 +248,7 @@
 }
 
 bool Controller::MayRenew() {
-  watermark_.OnComplete(cache_.complete_at());
+  watermark_.OnComplete(cache_.current_as_of());
   return watermark_.MayRenew(root_.loop().Now());
 }
 
@@ -319,7 +319,8 @@
           [&](const store::MemberKeyName& name) { OnMember(name.node, value); },
           [&](const store::DivisionKeyName&) {
             block_records_.PutDivision(value, cache_.Version(key));
-            client_.SetDivided(operators_.blocks.enabled && block_records_.division().divided());
+            client_.SetOthersPlace(operators_.blocks.enabled &&
+                                   block_records_.division().divided());
             OnPlacingChange();
           },
           [&](const store::ShareKeyName& name) {
@@ -332,7 +333,7 @@
           },
           [&](const store::FormatKeyName&) {
             job_table_.Apply(parsed, value);
-            formats_.OnRecord(value);
+            formats_.OnFormatRecord(value);
           },
           [&](const store::NodeFormatKeyName& name) { formats_.OnNodeFormat(name.node, value); },
           [&](const store::JobKeyName& name) {
@@ -405,8 +406,8 @@
   while (!root_.cancelled()) {
     async::Sleep pause(root_, election_.MaxUnverifiedS() / kPauseChecks);
     co_await pause;
-    while (!root_.cancelled() && cache_.complete_at() < root_.loop().resumed_at()) {
-      const bool confirmed = co_await linearizable_read_.Reached();
+    while (!root_.cancelled() && cache_.current_as_of() < root_.loop().resumed_at()) {
+      const bool confirmed = co_await linearizable_read_.CatchUp();
       if (confirmed) break;
       async::Sleep retry(root_, kStateTimeoutS);
       co_await retry;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -18,8 +18,8 @@
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "store/client.h"
-#include "store/formats.h"
 #include "store/machine_type_pages.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 
 namespace hallpier::controller {
@@ -74,7 +74,7 @@
   std::vector<model::MachineType> machine_types_;
   store::Client client_;
   store::WatchCache cache_;
-  store::Formats formats_;
+  store::RecordFormats formats_;
   DependencyOutcomes dependency_outcomes_;
   election::LeaderElection election_;
   election::CancellationWatermark watermark_;
--- a/src/controller/leader_dependencies.h
+++ b/src/controller/leader_dependencies.h
@@ -10,7 +10,7 @@
 #include "jobs/job_table.h"
 #include "model/machine_type.h"
 #include "store/client.h"
-#include "store/formats.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 #include "wire/peer.h"
 
@@ -21,7 +21,7 @@
   const config::Operator* operators;
   store::Client* client;
   store::WatchCache* cache;
-  store::Formats* formats;
+  store::RecordFormats* formats;
   jobs::JobTable* job_table;
   std::vector<model::MachineType>* machine_types;
   election::LeaderElection* election;
--- a/src/controller/leader_loop.cc
+++ b/src/controller/leader_loop.cc
@@ -144,7 +144,7 @@
 
 bool LeaderLoop::CaughtUp() const {
   return deps_.cache->revision() >= term_began_ &&
-         deps_.cache->complete_at() >= term_->loop().resumed_at();
+         deps_.cache->current_as_of() >= term_->loop().resumed_at();
 }
 
 std::vector<model::WorkerCommand> LeaderLoop::CommandsFor(fleet::Machine& machine, bool direct) {
@@ -276,7 +276,7 @@
 
 async::Task<> LeaderLoop::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                                  std::vector<model::Precondition> preconditions) {
-  if (deps_.formats->changing()) {
+  if (deps_.formats->change_pending()) {
     work_waits_ = true;
     co_return;
   }
--- a/src/controller/placing_loop.cc
+++ b/src/controller/placing_loop.cc
@@ -49,7 +49,7 @@
   const double current_s =
       kCurrentReports * deps_.settings->heartbeat_interval_s + deps_.client->timeout_s();
   return deps_.cache->loaded() && !deps_.client->down() &&
-         Now() - deps_.cache->complete_at() <= current_s;
+         Now() - deps_.cache->current_as_of() <= current_s;
 }
 
 std::optional<wire::BlockAcknowledgement> PlacingLoop::OnView(const wire::BlockView& view) {
@@ -61,8 +61,8 @@
 
 std::optional<size_t> PlacingLoop::Holding() const {
   // After a pause the copy must be complete anew: tasks may have been cancelled meanwhile.
-  const bool paused = deps_.cache->complete_at() < scope_.loop().resumed_at();
-  if (deps_.leading() || paused || deps_.formats->changing()) return std::nullopt;
+  const bool paused = deps_.cache->current_as_of() < scope_.loop().resumed_at();
+  if (deps_.leading() || paused || deps_.formats->change_pending()) return std::nullopt;
   const blocks::CopyState copy = {deps_.cache->revision(), deps_.cache->fencing_token()};
   return deps_.records->Holding(deps_.settings->node, deps_.session(), copy);
 }
--- a/src/controller/placing_loop.h
+++ b/src/controller/placing_loop.h
@@ -13,7 +13,7 @@
 #include "model/machine_type.h"
 #include "plan/round.h"
 #include "store/client.h"
-#include "store/formats.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 #include "wire/peer.h"
 
@@ -26,7 +26,7 @@
     const config::Operator* operators;
     store::Client* client;
     store::WatchCache* cache;
-    store::Formats* formats;
+    store::RecordFormats* formats;
     jobs::JobTable* job_table;
     std::vector<model::MachineType>* machine_types;
     blocks::BlockRecords* records;
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 TransactionCommitter::TransactionCommitter(const config::Settings& settings, store::Client& client,
-                                           store::WatchCache& cache, store::Formats& formats,
+                                           store::WatchCache& cache, store::RecordFormats& formats,
                                            Hooks hooks)
     : settings_(settings),
       client_(client),
@@ -35,19 +35,19 @@
 jobs::TransactionLimits TransactionCommitter::Limits(std::vector<model::Precondition> preconditions,
                                                      double time_of_day) const {
   jobs::TransactionLimits limits;
-  limits.max_writes = formats_.txn_ops();
+  limits.max_writes = formats_.max_transaction_writes();
   limits.preconditions = std::move(preconditions);
-  limits.value_bytes = formats_.value_bytes();
+  limits.value_bytes = formats_.max_value_bytes();
   limits.task_end_max_wait_s = settings_.heartbeat_interval_s;
-  limits.packed_groups = formats_.packed();
+  limits.packed_groups = formats_.packed_groups_enabled();
   limits.time_of_day = time_of_day;
   limits.sent_alone = &alone_;
   return limits;
 }
 
 void TransactionCommitter::OnTooLarge(const std::vector<model::KeyWrite>& writes) {
-  if (!formats_.packed() && settings_.state_next) {
-    formats_.Prove("the limits are lower");
+  if (!formats_.packed_groups_enabled() && settings_.state_next) {
+    formats_.ProveAllUpgraded("the limits are lower");
     return;
   }
   if (alone_.contains(writes[0].key)) {
@@ -117,8 +117,9 @@
     async::Scope& scope, const jobs::Transaction& transaction, double patience_s) {
   std::vector<std::string> lines;
   if (hooks_.describe) lines = hooks_.describe(transaction);
-  const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd ? store::Urgent::kYes
-                                                                           : store::Urgent::kNo;
+  const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd
+                          ? store::RequestPriority::kUrgent
+                          : store::RequestPriority::kNormal;
   auto r =
       co_await client_.Commit(transaction.preconditions, transaction.writes, urgent, patience_s);
   if (scope.cancelled()) co_return Written::kNoAnswer;
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -15,7 +15,7 @@
 #include "jobs/transaction_builder.h"
 #include "model/key_value.h"
 #include "store/client.h"
-#include "store/formats.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 
 namespace hallpier::controller {
@@ -36,7 +36,7 @@
     std::function<void()> on_left;
   };
   TransactionCommitter(const config::Settings& settings, store::Client& client,
-                       store::WatchCache& cache, store::Formats& formats, Hooks hooks);
+                       store::WatchCache& cache, store::RecordFormats& formats, Hooks hooks);
 
   // What was left of an earlier term is void: its guards can't hold any more.
   void Reset();
@@ -75,7 +75,7 @@
   const config::Settings& settings_;
   store::Client& client_;
   store::WatchCache& cache_;
-  store::Formats& formats_;
+  store::RecordFormats& formats_;
   const Hooks hooks_;
   std::set<std::string> alone_;  // keys that go alone, since they were refused with others
   // By first key, what was refused alone: its keys and the sizes of their values.
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -92,7 +92,8 @@
   std::vector<model::KeyWrite> writes = {
       {store::FencingTokenKey(), store::WriteFencingTokenRecord(settings_.node), 0}};
   fencing_ = true;
-  auto r = co_await client_.Commit(std::move(preconditions), writes, store::Urgent::kYes);
+  auto r =
+      co_await client_.Commit(std::move(preconditions), writes, store::RequestPriority::kUrgent);
   fencing_ = false;
   if (!r.ok()) {
     // It may have been carried out all the same, and then our token is void.
@@ -107,7 +108,7 @@
 
 async::Task<bool> LeaderElection::Acquire() {
   const double asked = scope_.loop().Now();
-  auto lease_id = co_await client_.Grant(ttl());
+  auto lease_id = co_await client_.GrantLease(ttl());
   if (!lease_id.ok()) co_return false;
   std::vector<model::Precondition> preconditions = {
       {store::LeaderKey(), 0}, store::TokenPrecondition(cache_.fencing_token())};
@@ -119,11 +120,11 @@
   const std::string block = store::WriteFencingTokenRecord(settings_.node);
   std::vector<model::KeyWrite> writes = {{store::LeaderKey(), leader, lease_id.value},
                                          {store::FencingTokenKey(), block, 0}};
-  auto r =
-      co_await client_.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
+  auto r = co_await client_.Commit(std::move(preconditions), std::move(writes),
+                                   store::RequestPriority::kUrgent);
   if (!r.ok()) {
     // With no answer it may have been, or may yet be, applied: without the lease it can't be.
-    auto ended = co_await client_.End(lease_id.value);
+    auto ended = co_await client_.RevokeLease(lease_id.value);
     (void)ended;
     co_return false;
   }
@@ -148,7 +149,7 @@
   const double asked = scope_.loop().Now();
   const bool relay = asked - last_renewed_directly_ < kRelayedRatio * settings_.lease_s;
   const auto route = relay ? store::Client::Route::kAny : store::Client::Route::kDirect;
-  auto r = co_await client_.Extend(lease_id_, route);
+  auto r = co_await client_.RenewLease(lease_id_, route);
   doubted_ = !r.ok();
   if (r.ok()) {
     last_renewed_ = asked;
@@ -188,7 +189,7 @@
   // A node that yields since it is refused alone can end its lease only by way of a peer.
   const auto route =
       take_hooks_.allowed ? store::Client::Route::kAny : store::Client::Route::kDirect;
-  auto ended = co_await client_.End(lease_id, route);
+  auto ended = co_await client_.RevokeLease(lease_id, route);
   (void)ended;
   holding_ = false;
 }
@@ -210,7 +211,7 @@
 }
 
 async::Task<> LeaderElection::EndForgotten(uint64_t lease_id) {
-  auto ended = co_await client_.End(lease_id);
+  auto ended = co_await client_.RevokeLease(lease_id);
   co_await AwaitRecordGone(lease_id, ended.ok());
 }
 
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -70,7 +70,7 @@
     ApplyTaskGroup(*task_group, value);
   } else if (std::holds_alternative<store::FormatKeyName>(key)) {
     // The record is never dropped, and the layout that it names never changes. Where it can't be
-    // read, store::Formats says so.
+    // read, store::RecordFormats says so.
     if (auto record = store::ReadFormat(value)) SetCommonLayout(record->layout);
   }
 }
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -239,8 +239,8 @@
   const std::string value = WriteMember(proposal.record);
   std::vector<model::KeyWrite> writes = {{key, value, 0}};
   const double asked = Now();
-  auto r =
-      co_await deps_.client->Commit(proposal.preconditions, std::move(writes), store::Urgent::kYes);
+  auto r = co_await deps_.client->Commit(proposal.preconditions, std::move(writes),
+                                         store::RequestPriority::kUrgent);
   if (r.ok()) {
     table_.OnStateRoundTrip(Now() - asked);
     deps_.cache->Apply(key, value, r.value.revision);
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -2,247 +2,321 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <utility>
+
 #include "wire/state_codec.h"
 
 namespace hallpier::store {
 namespace {
 
-// A node of several leaves this much of its share unused: the others' clocks are not ours.
+// A node of several leaves this much of its share unused: the service counts by its own clock.
 constexpr double kShareUsed = 0.9;
-constexpr double kReserve = 0.25;
+// The limiters hold the requests of this time; the part of them that is kept for urgent ones.
+constexpr double kBurstS = 1;
+constexpr double kUrgentReserve = 0.25;
 // The leader's part of all writes; the rest is for the others' submissions and cancellations.
 constexpr double kLeaderShare = 0.7;
 // The same while other nodes place tasks as well.
-constexpr double kDividedLeaderShare = 0.5;
-// Requests wait for their budget no longer than this part of a call's time limit.
-constexpr double kQueueRatio = 0.8;
+constexpr double kLeaderShareWhileOthersPlace = 0.5;
+// The part of a call's time limit that it may wait for the rate limiters.
+constexpr double kMaxWaitRatio = 0.8;
+constexpr size_t kMaxIdleConnections = 16;
+// A full page takes a small machine longer to read than a single value does.
+constexpr double kListTimeoutRatio = 5;
+constexpr int kMsPerS = 1000;
+
+constexpr int kHttpOk = 200;
+constexpr int kHttpNoContent = 204;
+constexpr int kHttpInvalid = 400;
+constexpr int kHttpNotFound = 404;
+constexpr int kHttpConflict = 409;
+constexpr int kHttpGone = 410;
+constexpr int kHttpTooManyRequests = 429;
+constexpr int kHttpUnavailable = 503;
 
-constexpr std::string_view kGet = "/store/";
+constexpr std::string_view kValuePath = "/store/";
+constexpr std::string_view kTransactionPath = "/txn";
 // No key begins with this: a list of it costs nothing and still names the revision.
-constexpr std::string_view kNothing = "hallpier/nothing/";
+constexpr std::string_view kEmptyPrefix = "hallpier/nothing/";
 
-template <class T>
-Result<T> Failed(const std::optional<wire::HttpResponse>& r) {
-  if (!r) return {Status::kUnknown};
-  switch (r->status) {
-    case 404:
-      return {Status::kNotFound};
-    case 409:
-      return {Status::kConflict};
-    case 410:
-      return {Status::kGone};
-    case 429:
-    case 503:
-      return {Status::kRefused};
-    case 400:
-      return {Status::kInvalid};
+bool IsRefusal(const wire::HttpResponse& response) {
+  return response.status == kHttpUnavailable || response.status == kHttpTooManyRequests;
+}
+
+bool IsRepeatable(const wire::HttpRequest& request) { return request.method == "GET"; }
+
+Status FailureOf(const std::optional<wire::HttpResponse>& response) {
+  if (!response) return Status::kUnknown;
+  switch (response->status) {
+    case kHttpNotFound:
+      return Status::kNotFound;
+    case kHttpConflict:
+      return Status::kConflict;
+    case kHttpGone:
+      return Status::kGone;
+    case kHttpTooManyRequests:
+    case kHttpUnavailable:
+      return Status::kRefused;
+    case kHttpInvalid:
+      return Status::kInvalid;
     default:
-      return {Status::kUnknown};
+      return Status::kUnknown;
   }
 }
 
 template <class T>
-Result<T> Made(std::optional<T> value) {
-  if (!value) return {Status::kUnknown};
+Result<T> Failed(const std::optional<wire::HttpResponse>& response) {
+  return {FailureOf(response), {}};
+}
+
+// An answer that can't be read says nothing of what was executed.
+template <class T>
+Result<T> OkIfRead(std::optional<T> value) {
+  if (!value) return {Status::kUnknown, {}};
   return {Status::kOk, std::move(*value)};
 }
 
+bool IsOk(const std::optional<wire::HttpResponse>& response) {
+  return response && response->status == kHttpOk;
+}
+
 }  // namespace
 
 Client::Client(async::Scope& scope, Options options)
     : scope_(scope),
       options_(std::move(options)),
       share_(kShareUsed / options_.size),
-      http_(16, options_.max_body),
-      requests_(options_.rps * share_, 1.0, kReserve),
-      writes_(options_.write_rps * share_, 1.0, kReserve) {}
+      http_(kMaxIdleConnections, options_.max_body),
+      request_limiter_(options_.rps * share_, kBurstS, kUrgentReserve),
+      write_limiter_(options_.write_rps * share_, kBurstS, kUrgentReserve) {}
 
 void Client::SetLeading(bool leading) {
   leading_ = leading;
-  SetShare();
+  UpdateShare();
 }
 
-void Client::SetDivided(bool divided) {
-  if (divided == divided_) return;
-  divided_ = divided;
-  SetShare();
+void Client::SetOthersPlace(bool others_place) {
+  if (others_place == others_place_) return;
+  others_place_ = others_place;
+  UpdateShare();
 }
 
-void Client::SetShare() {
+void Client::UpdateShare() {
   if (options_.size <= 1) return;
-  const double leaders = divided_ ? kDividedLeaderShare : kLeaderShare;
-  share_ = kShareUsed * (leading_ ? leaders : (1 - leaders) / (options_.size - 1));
-  SetRates();
+  const double leader_share = others_place_ ? kLeaderShareWhileOthersPlace : kLeaderShare;
+  share_ = kShareUsed * (leading_ ? leader_share : (1 - leader_share) / (options_.size - 1));
+  UpdateRates();
 }
 
 double Client::request_rate() const {
-  const bool lower = lowered_ && options_.next_rps > 0;
-  return (lower ? options_.next_rps : options_.rps) * share_;
+  return (use_lowered_limits() ? options_.next_rps : options_.rps) * share_;
 }
 
-void Client::SetRates() {
-  const bool lower = lowered_ && options_.next_rps > 0;
-  requests_.SetRate(request_rate(), 1.0);
-  writes_.SetRate((lower ? options_.next_write_rps : options_.write_rps) * share_, 1.0);
+void Client::UpdateRates() {
+  const double write_rps = use_lowered_limits() ? options_.next_write_rps : options_.write_rps;
+  request_limiter_.SetRate(request_rate(), kBurstS);
+  write_limiter_.SetRate(write_rps * share_, kBurstS);
 }
 
-void Client::NoteLimits(const std::optional<wire::HttpResponse>& r) {
-  if (!r || r->status != 429 || !may_be_lowered_ || lowered_ || options_.next_rps <= 0) return;
-  spdlog::info("state service: its limits are lower from now on");
-  lowered_ = true;
-  SetRates();
+void Client::DetectLoweredLimits(const std::optional<wire::HttpResponse>& response) {
+  if (!response || response->status != kHttpTooManyRequests) return;
+  if (!may_be_lowered_ || limits_lowered_ || options_.next_rps <= 0) return;
+  spdlog::info("state service: limits lowered requests_per_s={} writes_per_s={}", options_.next_rps,
+               options_.next_write_rps);
+  limits_lowered_ = true;
+  UpdateRates();
 }
 
-void Client::Note(const std::optional<wire::HttpResponse>& r) {
-  NoteLimits(r);
-  const bool good = r && r->status != 503 && r->status != 429;
-  if (good) {
-    if (failures_ >= 2) {
-      spdlog::info("state service answers again after {} failures", failures_);
-    }
+void Client::TrackAvailability(const std::optional<wire::HttpResponse>& response) {
+  DetectLoweredLimits(response);
+  if (response && !IsRefusal(*response)) {
+    if (down()) spdlog::info("state service: answers again failures={}", failures_);
     failures_ = 0;
-  } else {
-    if (++failures_ == 2) spdlog::warn("state service does not answer");
+    return;
+  }
+  if (++failures_ == kFailuresUntilDown) {
+    spdlog::warn("state service: no answer failures={}", failures_);
   }
 }
 
-async::Task<std::optional<wire::HttpResponse>> Client::Direct(wire::HttpRequest request) {
-  const double writes = request.target == "/txn" ? 1 : 0;
-  const double wait = requests_.Take(scope_.loop().Now(), 1, Urgent::kNo, 0);
-  const double w = writes_.Take(scope_.loop().Now(), writes, Urgent::kNo, 0);
-  if (wait < 0 || w < 0) co_return std::nullopt;
-  const bool repeatable = request.method == "GET";
-  auto r = co_await http_.Call(scope_, options_.endpoint, std::move(request), options_.timeout_s,
-                               repeatable);
-  Note(r);
-  co_return r;
+async::Task<std::optional<wire::HttpResponse>> Client::ExecuteForPeer(wire::HttpRequest request) {
+  const double writes = request.target == kTransactionPath ? 1 : 0;
+  const double now = scope_.loop().Now();
+  const double request_wait = request_limiter_.Acquire(now, 1, RequestPriority::kNormal, 0);
+  const double write_wait = write_limiter_.Acquire(now, writes, RequestPriority::kNormal, 0);
+  if (request_wait < 0 || write_wait < 0) co_return std::nullopt;
+  const bool repeatable = IsRepeatable(request);
+  auto response = co_await http_.Call(scope_, options_.endpoint, std::move(request),
+                                      options_.timeout_s, repeatable);
+  TrackAvailability(response);
+  co_return response;
+}
+
+double Client::AcquireBudget(const CallOptions& options) {
+  const bool default_wait = options.max_wait_s < 0;
+  const double max_wait_s = default_wait ? options_.timeout_s * kMaxWaitRatio : options.max_wait_s;
+  const double now = scope_.loop().Now();
+  const double request_wait = request_limiter_.Acquire(now, 1, options.priority, max_wait_s);
+  if (request_wait < 0 || options.writes <= 0) return request_wait;
+  const double write_wait =
+      write_limiter_.Acquire(now, options.writes, options.priority, max_wait_s);
+  return write_wait < 0 ? write_wait : std::max(request_wait, write_wait);
+}
+
+bool Client::MayBeRelayed(const wire::HttpRequest& request, Route route) const {
+  // Reads of single values and transactions always may. That is safe even for a transaction that
+  // got no answer here: its preconditions name the keys that it writes, so that only one copy of it
+  // can ever be carried out.
+  if (!relay_) return false;
+  return route == Route::kAny || request.target == kTransactionPath ||
+         request.target.starts_with(kValuePath);
 }
 
 async::Task<std::optional<wire::HttpResponse>> Client::Call(wire::HttpRequest request,
-                                                            double writes, Urgent urgent,
-                                                            double timeout_s, double patience_s,
-                                                            Route route) {
-  const double max_wait_s = patience_s < 0 ? options_.timeout_s * kQueueRatio : patience_s;
-  double wait = requests_.Take(scope_.loop().Now(), 1, urgent, max_wait_s);
-  if (wait >= 0 && writes > 0) {
-    const double cost = writes;
-    const double w = writes_.Take(scope_.loop().Now(), cost, urgent, max_wait_s);
-    wait = w < 0 ? w : std::max(wait, w);
-  }
+                                                            CallOptions options) {
+  const double wait = AcquireBudget(options);
   if (wait < 0) {
-    spdlog::debug("state budget is used up: {} {}", request.method, request.target);
-    co_return wire::HttpResponse{.status = 429, .body = {}};
+    spdlog::debug("state service: over the rate method={} target={}", request.method,
+                  request.target);
+    co_return wire::HttpResponse{.status = kHttpTooManyRequests, .body = {}};
   }
   if (wait > 0) {
     async::Sleep pause(scope_, wait);
     co_await pause;
   }
-  const bool repeatable = request.method == "GET";
-  // While this node alone is refused, single values and transactions go by way of a peer. That is
-  // safe even for a transaction that got no answer here: its guards name the keys that it writes,
-  // so that only one copy can ever be applied.
-  const bool relayable = relay_ && (route == Route::kAny || request.target == "/txn" ||
-                                    request.target.starts_with(kGet));
-  // A refusal of one copy says nothing of another that got no answer and may be carried out yet.
-  bool pending = false;
-  auto final = [&](const wire::HttpResponse& a) {
-    return repeatable || !pending || (a.status != 503 && a.status != 429);
+  const bool repeatable = IsRepeatable(request);
+  const bool relayable = MayBeRelayed(request, options.route);
+  // True while a copy of the request was sent and got no answer: it may yet be carried out, and the
+  // refusal of another copy says nothing of it.
+  bool copy_pending = false;
+  auto conclusive = [&](const wire::HttpResponse& response) {
+    return repeatable || !copy_pending || !IsRefusal(response);
   };
   if (relayable && down()) {
-    net::Relayed other = co_await relay_(request);
-    if (other.answer) co_return std::move(other.answer);
-    pending = other.sent;
+    net::Relayed relayed = co_await relay_(request);
+    if (relayed.answer) co_return std::move(relayed.answer);
+    copy_pending = relayed.sent;
   }
-  std::optional<wire::HttpResponse> r =
-      co_await http_.Call(scope_, options_.endpoint, request, timeout_s, repeatable);
-  Note(r);
+  std::optional<wire::HttpResponse> response =
+      co_await http_.Call(scope_, options_.endpoint, request, options.timeout_s, repeatable);
+  TrackAvailability(response);
   if (relayable && down()) {
-    pending = pending || !r;
-    net::Relayed other = co_await relay_(std::move(request));
-    if (other.answer && final(*other.answer)) co_return std::move(other.answer);
-    pending = pending || (other.sent && !other.answer);
+    copy_pending = copy_pending || !response;
+    net::Relayed relayed = co_await relay_(std::move(request));
+    if (relayed.answer && conclusive(*relayed.answer)) co_return std::move(relayed.answer);
+    copy_pending = copy_pending || (relayed.sent && !relayed.answer);
   }
-  if (r && !final(*r)) r.reset();
-  co_return r;
+  if (response && !conclusive(*response)) response.reset();
+  co_return response;
 }
 
-async::Task<Result<model::KeyValue>> Client::Get(std::string key, Urgent urgent) {
-  wire::HttpRequest q{.method = "GET", .target = "/store/" + key, .body = {}};
-  auto r = co_await Call(std::move(q), 0, urgent, options_.timeout_s);
-  if (!r || r->status != 200) co_return Failed<model::KeyValue>(r);
-  co_return Made(wire::ReadKeyValue(r->body));
+Client::CallOptions Client::UrgentCall() const {
+  CallOptions options;
+  options.priority = RequestPriority::kUrgent;
+  options.timeout_s = options_.timeout_s;
+  return options;
+}
+
+async::Task<Result<model::KeyValue>> Client::Get(std::string key, RequestPriority priority) {
+  wire::HttpRequest request{.method = "GET", .target = std::string(kValuePath) + key, .body = {}};
+  CallOptions options;
+  options.priority = priority;
+  options.timeout_s = options_.timeout_s;
+  auto response = co_await Call(std::move(request), options);
+  if (!IsOk(response)) co_return Failed<model::KeyValue>(response);
+  co_return OkIfRead(wire::ReadKeyValue(response->body));
 }
 
 async::Task<Result<model::KeyValueList>> Client::List(std::string prefix, std::string after) {
   std::string target = "/store?starts=" + wire::EscapeQuery(prefix) + "&limit=1000";
   if (!after.empty()) target += "&from=" + wire::EscapeQuery(after);
-  wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = {}};
-  // A full page takes a small machine longer to read than a single value does.
-  auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s * 5);
-  if (!r || r->status != 200) co_return Failed<model::KeyValueList>(r);
-  co_return Made(wire::ReadKeyValueList(r->body));
+  wire::HttpRequest request{.method = "GET", .target = std::move(target), .body = {}};
+  CallOptions options = UrgentCall();
+  options.timeout_s = options_.timeout_s * kListTimeoutRatio;
+  auto response = co_await Call(std::move(request), options);
+  if (!IsOk(response)) co_return Failed<model::KeyValueList>(response);
+  co_return OkIfRead(wire::ReadKeyValueList(response->body));
 }
 
 async::Task<Result<uint64_t>> Client::Revision(double timeout_s) {
-  wire::HttpRequest q{.method = "GET",
-                      .target = "/store?starts=" + wire::EscapeQuery(kNothing) + "&limit=1",
-                      .body = {}};
-  auto r = co_await Call(std::move(q), 0, Urgent::kNo, timeout_s);
-  if (!r || r->status != 200) co_return Failed<uint64_t>(r);
-  co_return Made(wire::ReadRevision(r->body));
+  wire::HttpRequest request{
+      .method = "GET",
+      .target = "/store?starts=" + wire::EscapeQuery(kEmptyPrefix) + "&limit=1",
+      .body = {}};
+  CallOptions options;
+  options.timeout_s = timeout_s;
+  auto response = co_await Call(std::move(request), options);
+  if (!IsOk(response)) co_return Failed<uint64_t>(response);
+  co_return OkIfRead(wire::ReadRevision(response->body));
 }
 
 async::Task<Result<Client::CommitResult>> Client::Commit(
     std::vector<model::Precondition> preconditions, std::vector<model::KeyWrite> writes,
-    Urgent urgent, double patience_s) {
-  wire::HttpRequest q{
-      .method = "POST", .target = "/txn", .body = wire::WriteTransaction(preconditions, writes)};
-  auto r = co_await Call(std::move(q), static_cast<double>(writes.size()), urgent,
-                         options_.timeout_s, patience_s);
-  if (r && r->status == 409) {
-    co_return Result<CommitResult>{Status::kConflict, {0, wire::ReadFailedPreconditions(r->body)}};
+    RequestPriority priority, double max_wait_s) {
+  wire::HttpRequest request{.method = "POST",
+                            .target = std::string(kTransactionPath),
+                            .body = wire::WriteTransaction(preconditions, writes)};
+  CallOptions options;
+  options.writes = static_cast<double>(writes.size());
+  options.priority = priority;
+  options.timeout_s = options_.timeout_s;
+  options.max_wait_s = max_wait_s;
+  auto response = co_await Call(std::move(request), options);
+  if (response && response->status == kHttpConflict) {
+    co_return Result<CommitResult>{Status::kConflict,
+                                   {0, wire::ReadFailedPreconditions(response->body)}};
   }
-  if (!r || r->status != 200) co_return Failed<CommitResult>(r);
-  auto revision = wire::ReadRevision(r->body);
-  if (!revision) co_return Result<CommitResult>{Status::kUnknown};
+  if (!IsOk(response)) co_return Failed<CommitResult>(response);
+  auto revision = wire::ReadRevision(response->body);
+  if (!revision) co_return Result<CommitResult>{Status::kUnknown, {}};
   co_return Result<CommitResult>{Status::kOk, {*revision, {}}};
 }
 
-async::Task<Result<uint64_t>> Client::Grant(double ttl_s) {
-  wire::HttpRequest q{.method = "POST", .target = "/holds", .body = wire::WriteLeaseRequest(ttl_s)};
-  auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s);
-  if (!r || r->status != 200) co_return Failed<uint64_t>(r);
-  co_return Made(wire::ReadLeaseId(r->body));
+async::Task<Result<uint64_t>> Client::GrantLease(double ttl_s) {
+  wire::HttpRequest request{
+      .method = "POST", .target = "/holds", .body = wire::WriteLeaseRequest(ttl_s)};
+  auto response = co_await Call(std::move(request), UrgentCall());
+  if (!IsOk(response)) co_return Failed<uint64_t>(response);
+  co_return OkIfRead(wire::ReadLeaseId(response->body));
 }
 
-async::Task<Result<bool>> Client::Extend(uint64_t lease_id, Route route) {
-  wire::HttpRequest q{
+async::Task<Result<bool>> Client::RenewLease(uint64_t lease_id, Route route) {
+  wire::HttpRequest request{
       .method = "POST", .target = "/holds/" + std::to_string(lease_id) + "/extend", .body = "{}"};
-  auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s, -1, route);
-  if (!r || r->status != 200) co_return Failed<bool>(r);
+  CallOptions options = UrgentCall();
+  options.route = route;
+  auto response = co_await Call(std::move(request), options);
+  if (!IsOk(response)) co_return Failed<bool>(response);
   co_return Result<bool>{Status::kOk, true};
 }
 
-async::Task<Result<bool>> Client::End(uint64_t lease_id, Route route) {
-  wire::HttpRequest q{
+async::Task<Result<bool>> Client::RevokeLease(uint64_t lease_id, Route route) {
+  wire::HttpRequest request{
       .method = "DELETE", .target = "/holds/" + std::to_string(lease_id), .body = {}};
-  auto r = co_await Call(std::move(q), 0, Urgent::kYes, options_.timeout_s, -1, route);
-  if (!r || (r->status != 200 && r->status != 204 && r->status != 404)) {
-    co_return Failed<bool>(r);
-  }
+  CallOptions options = UrgentCall();
+  options.route = route;
+  auto response = co_await Call(std::move(request), options);
+  const bool ended =
+      response && (response->status == kHttpOk || response->status == kHttpNoContent ||
+                   response->status == kHttpNotFound);
+  if (!ended) co_return Failed<bool>(response);
   co_return Result<bool>{Status::kOk, true};
 }
 
-async::Task<Result<model::WatchResponse>> Client::Follow(std::string prefix, uint64_t revision,
-                                                         double block_s) {
-  wire::HttpRequest q{.method = "GET",
-                      .target = "/follow?starts=" + wire::EscapeQuery(prefix) +
-                                "&from=" + std::to_string(revision) +
-                                "&blockMs=" + std::to_string(static_cast<int>(block_s * 1000)),
-                      .body = {}};
-  auto r = co_await Call(std::move(q), 0, Urgent::kYes, block_s + options_.timeout_s);
-  if (!r || r->status != 200) co_return Failed<model::WatchResponse>(r);
-  co_return Made(wire::ReadWatchResponse(r->body));
+async::Task<Result<model::WatchResponse>> Client::Watch(std::string prefix, uint64_t revision,
+                                                        double block_s) {
+  const int block_ms = static_cast<int>(block_s * kMsPerS);
+  wire::HttpRequest request{.method = "GET",
+                            .target = "/follow?starts=" + wire::EscapeQuery(prefix) +
+                                      "&from=" + std::to_string(revision) +
+                                      "&blockMs=" + std::to_string(block_ms),
+                            .body = {}};
+  CallOptions options = UrgentCall();
+  options.timeout_s = block_s + options_.timeout_s;
+  auto response = co_await Call(std::move(request), options);
+  if (!IsOk(response)) co_return Failed<model::WatchResponse>(response);
+  co_return OkIfRead(wire::ReadWatchResponse(response->body));
 }
 
 }  // namespace hallpier::store
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,12 +1,17 @@
-// The state service's client: budgeted calls, each with a time limit.
+// The client of the state service: rate-limited calls, each with a time limit.
+//
+// One per node, owned by the controller; used on the thread of its event loop only. Its calls are
+// coroutines that belong to the scope given at construction.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <optional>
-#include <random>
 #include <string>
 #include <vector>
 
+#include "async/event_loop.h"
 #include "model/key_value.h"
 #include "net/http_client.h"
 #include "store/rate_limiter.h"
@@ -16,11 +21,11 @@
 enum class Status {
   kOk,
   kNotFound,
-  kConflict,  // a guard did not hold: nothing was written
-  kRefused,   // not executed
+  kConflict,  // a precondition did not hold: nothing was written
+  kRefused,   // not executed: over the rate, or the service is not ready
   kUnknown,   // no answer: executed, or not, or to be executed later
   kGone,      // the watch's revision is too old
-  kInvalid,   // the service calls the request malformed, or the lease ended
+  kInvalid,   // the service calls the request malformed, or the lease has expired
 };
 
 template <class T>
@@ -34,86 +39,110 @@
  public:
   struct Options {
     std::string endpoint;
+    // Requests, and written keys, a second that the service allows for all nodes together.
     double rps = 0;
     double write_rps = 0;
-    // What the service may go down to without notice; 0: nothing is known of that.
+    // What these limits may be lowered to without notice; 0: they stay.
     double next_rps = 0;
     double next_write_rps = 0;
     int size = 1;          // nodes that share the limits
     double timeout_s = 1;  // of one call
-    size_t max_body = 0;
+    size_t max_body = 0;   // bytes of an answer
   };
-  // How a request reaches the service when this node is refused: by way of a peer, if set.
+  // Sends a request to the service by way of a peer.
   using Relay = std::function<async::Task<net::Relayed>(wire::HttpRequest)>;
 
   Client(async::Scope& scope, Options options);
 
-  // The leader writes more than the others; each takes its share of what all may use.
+  // Whether this node leads: the leader writes more than the others and gets a larger share.
   void SetLeading(bool leading);
-  // Where others place as well, they write nearly as much as the leader does.
-  void SetDivided(bool divided);
+  // Whether other nodes place tasks as well: then they write nearly as much as the leader.
+  void SetOthersPlace(bool others_place);
+  // With a relay, requests go by way of a peer while the service refuses this node alone.
   void SetRelay(Relay relay) { relay_ = std::move(relay); }
-  // From here on the limits may be lowered at any moment: the first refusal for the rate says that
-  // they have been, and what they allow is kept to from then on.
-  void ExpectLowered() { may_be_lowered_ = true; }
+  // From here on the limits may be lowered at any moment. The first refusal for the rate is taken
+  // as the sign that they have been, and the lower ones are kept to from then on.
+  void ExpectLoweredLimits() { may_be_lowered_ = true; }
 
-  async::Task<Result<model::KeyValue>> Get(std::string key, Urgent urgent = Urgent::kNo);
+  async::Task<Result<model::KeyValue>> Get(std::string key,
+                                           RequestPriority priority = RequestPriority::kNormal);
+  // One page of the keys with a prefix, in their order, beginning behind `after`.
   async::Task<Result<model::KeyValueList>> List(std::string prefix, std::string after);
-  // How far the service is: the revision of its last change.
+  // The revision of the service's last change.
   async::Task<Result<uint64_t>> Revision(double timeout_s);
-  // The revision, or with kConflict the keys whose guards did not hold.
+
   struct CommitResult {
     uint64_t revision = 0;
-    std::vector<std::string> failed;
+    std::vector<std::string> failed;  // kConflict: keys whose preconditions did not hold
   };
-  // `patience_s`: how long it may wait for its budget; negative: for a part of a call's time limit.
+  // Executes a transaction. `max_wait_s`: how long it may wait for the rate limiter; negative: for
+  // the part of the time limit of a call that all other calls may wait.
   async::Task<Result<CommitResult>> Commit(std::vector<model::Precondition> preconditions,
                                            std::vector<model::KeyWrite> writes,
-                                           Urgent urgent = Urgent::kNo, double patience_s = -1);
-  async::Task<Result<uint64_t>> Grant(double ttl_s);
-  // Whether a call may go by way of a peer while this node alone is refused.
+                                           RequestPriority priority = RequestPriority::kNormal,
+                                           double max_wait_s = kDefaultMaxWait);
+
+  // Grants a lease and returns its id.
+  async::Task<Result<uint64_t>> GrantLease(double ttl_s);
+  // Whether a call may go by way of a peer while the service refuses this node alone.
   enum class Route { kDirect, kAny };
-  async::Task<Result<bool>> Extend(uint64_t lease_id, Route route);
-  async::Task<Result<bool>> End(uint64_t lease_id, Route route = Route::kDirect);
-  async::Task<Result<model::WatchResponse>> Follow(std::string prefix, uint64_t revision,
-                                                   double block_s);
-
-  // True once the service has refused what only the lower limits forbid.
-  bool lowered() const { return lowered_; }
-  // True while the newest calls went unanswered or refused.
-  bool down() const { return failures_ >= 2; }
-  // A call without a wait of its own is answered by then, or never.
+  async::Task<Result<bool>> RenewLease(uint64_t lease_id, Route route);
+  // Ends a lease, and drops the keys attached to it. A lease that is gone already counts as ended.
+  async::Task<Result<bool>> RevokeLease(uint64_t lease_id, Route route = Route::kDirect);
+
+  // Changes of keys with a prefix after `revision`. Without any, the service answers after
+  // `block_s` seconds.
+  async::Task<Result<model::WatchResponse>> Watch(std::string prefix, uint64_t revision,
+                                                  double block_s);
+
+  // True once the service has refused what only the lowered limits forbid.
+  bool limits_lowered() const { return limits_lowered_; }
+  // True while the newest calls were refused or got no answer.
+  bool down() const { return failures_ >= kFailuresUntilDown; }
+  // A call that does not wait at the service is answered within this time, or never.
   double timeout_s() const { return options_.timeout_s; }
   // Requests a second that this node may send.
   double request_rate() const;
-  // Executes a peer's request here, without relaying it any further.
-  async::Task<std::optional<wire::HttpResponse>> Direct(wire::HttpRequest request);
+  // Executes a request of a peer that the service refuses. It is never relayed any further.
+  // Nothing: not sent, or no answer.
+  async::Task<std::optional<wire::HttpResponse>> ExecuteForPeer(wire::HttpRequest request);
 
  private:
-  async::Task<std::optional<wire::HttpResponse>> Call(wire::HttpRequest request, double writes,
-                                                      Urgent urgent, double timeout_s,
-                                                      double patience_s = -1,
-                                                      Route route = Route::kDirect);
-  // Counts an answer, or none, for down().
-  void Note(const std::optional<wire::HttpResponse>& r);
-
-  // Looks for a refusal that only the lowered limits explain.
-  void NoteLimits(const std::optional<wire::HttpResponse>& r);
-  void SetShare();
-  void SetRates();
+  static constexpr double kDefaultMaxWait = -1;
+  static constexpr int kFailuresUntilDown = 2;
+
+  struct CallOptions {
+    double writes = 0;  // keys that the request writes
+    RequestPriority priority = RequestPriority::kNormal;
+    double timeout_s = 0;
+    double max_wait_s = kDefaultMaxWait;
+    Route route = Route::kDirect;
+  };
+  CallOptions UrgentCall() const;
+  async::Task<std::optional<wire::HttpResponse>> Call(wire::HttpRequest request,
+                                                      CallOptions options);
+  // Takes what a call costs from both rate limiters; see RateLimiter::Acquire.
+  double AcquireBudget(const CallOptions& options);
+  bool MayBeRelayed(const wire::HttpRequest& request, Route route) const;
+  // Counts an answer, or none, for down(), and looks for lowered limits.
+  void TrackAvailability(const std::optional<wire::HttpResponse>& response);
+  void DetectLoweredLimits(const std::optional<wire::HttpResponse>& response);
+  void UpdateShare();
+  void UpdateRates();
+  bool use_lowered_limits() const { return limits_lowered_ && options_.next_rps > 0; }
 
   async::Scope& scope_;
   const Options options_;
   bool leading_ = false;
-  bool divided_ = false;
+  bool others_place_ = false;
   double share_;  // of all limits that is this node's
   bool may_be_lowered_ = false;
-  bool lowered_ = false;
+  bool limits_lowered_ = false;
   net::HttpClient http_;
-  RateLimiter requests_;
-  RateLimiter writes_;
+  RateLimiter request_limiter_;
+  RateLimiter write_limiter_;
   Relay relay_;
-  int failures_ = 0;
+  int failures_ = 0;  // since the last answer
 };
 
 }  // namespace hallpier::store
--- a/src/store/linearizable_read.cc
+++ b/src/store/linearizable_read.cc
@@ -1,47 +1,49 @@
 #include "store/linearizable_read.h"
 
+#include <utility>
+
 namespace hallpier::store {
 namespace {
 
-// Part of this node's requests that these reads may take, however many ask.
-constexpr double kReadShare = 0.5;
+// The part of this node's requests that these may take, however many ask.
+constexpr double kRequestShare = 0.5;
 
 }  // namespace
 
-async::Task<bool> LinearizableRead::Reached() {
+async::Task<bool> LinearizableRead::CatchUp() {
   if (client_.down() || !cache_.loaded()) co_return false;
-  // A read that is under way may be older than this question: only the next one will do.
-  if (!next_) next_ = std::make_shared<Batch>();
-  std::shared_ptr<Batch> batch = next_;
+  // A request that is under way may have been executed before this call: only the next one counts.
+  if (!next_batch_) next_batch_ = std::make_shared<Batch>();
+  std::shared_ptr<Batch> batch = next_batch_;
   if (!running_) {
     running_ = true;
     scope_.Spawn(Run());
   }
-  auto wait = batch->event.Await(scope_, limit_s_);
+  auto wait = batch->finished.Await(scope_, limit_s_);
   co_await wait;
-  co_return batch->reached;
+  co_return batch->caught_up;
 }
 
 async::Task<> LinearizableRead::Run() {
-  while (next_ && !scope_.cancelled()) {
-    const double interval = 1 / (kReadShare * client_.request_rate());
-    async::Sleep spacing(scope_, last_read_ + interval - scope_.loop().Now());
+  while (next_batch_ && !scope_.cancelled()) {
+    const double interval_s = 1 / (kRequestShare * client_.request_rate());
+    async::Sleep spacing(scope_, last_request_at_ + interval_s - scope_.loop().Now());
     co_await spacing;
     if (scope_.cancelled()) break;
-    const std::shared_ptr<Batch> batch = std::exchange(next_, nullptr);
-    const double asked = scope_.loop().Now();
-    const double deadline = asked + limit_s_;
-    last_read_ = asked;
+    const std::shared_ptr<Batch> batch = std::exchange(next_batch_, nullptr);
+    const double asked_at = scope_.loop().Now();
+    const double deadline = asked_at + limit_s_;
+    last_request_at_ = asked_at;
     auto revision = co_await client_.Revision(limit_s_);
     while (revision.ok() && cache_.revision() < revision.value) {
-      const double left = deadline - scope_.loop().Now();
-      if (left <= 0 || scope_.cancelled()) break;
-      auto wait = cache_.changed().Await(scope_, left);
+      const double left_s = deadline - scope_.loop().Now();
+      if (left_s <= 0 || scope_.cancelled()) break;
+      auto wait = cache_.changed().Await(scope_, left_s);
       co_await wait;
     }
-    batch->reached = revision.ok() && cache_.revision() >= revision.value;
-    if (batch->reached) cache_.SetComplete(asked);
-    batch->event.Notify();
+    batch->caught_up = revision.ok() && cache_.revision() >= revision.value;
+    if (batch->caught_up) cache_.ConfirmCurrent(asked_at);
+    batch->finished.Notify();
   }
   running_ = false;
 }
--- a/src/store/linearizable_read.h
+++ b/src/store/linearizable_read.h
@@ -1,6 +1,9 @@
-// One read for any number of questions: it says how far the state service is, and once the warm
-// copy has come as far, that copy is no older than anything that was told to anybody before the
-// read. The reads leave room for everything else however many questions there are.
+// Tells when the local copy of the state is at least as new as a given moment, so that answers from
+// it are linearizable: no older than anything that any node had answered before.
+//
+// One request for the service's revision serves all who ask meanwhile, so that the requests leave
+// room for all else however many ask. Owned by the controller; used on the thread of its event
+// loop.
 #pragma once
 
 #include <limits>
@@ -14,17 +17,19 @@
 
 class LinearizableRead {
  public:
-  // Whoever waits longer than `limit_s` is told no.
+  // `limit_s`: seconds that a call of CatchUp waits at most.
   LinearizableRead(async::Scope& scope, Client& client, WatchCache& cache, double limit_s)
       : scope_(scope), client_(client), cache_(cache), limit_s_(limit_s) {}
 
-  // True once the warm copy holds all that had been written when this was called.
-  async::Task<bool> Reached();
+  // Waits until the copy holds all that had been written when this was called. False if that is
+  // not certain within the time limit.
+  async::Task<bool> CatchUp();
 
  private:
+  // Calls that share a request.
   struct Batch {
-    bool reached = false;
-    async::Event event;
+    bool caught_up = false;
+    async::Event finished;
   };
   async::Task<> Run();
 
@@ -32,9 +37,9 @@
   Client& client_;
   WatchCache& cache_;
   const double limit_s_;
-  std::shared_ptr<Batch> next_;  // those who came since the last read was sent
+  std::shared_ptr<Batch> next_batch_;  // calls since the last request was sent; null: none
   bool running_ = false;
-  double last_read_ = -std::numeric_limits<double>::infinity();
+  double last_request_at_ = -std::numeric_limits<double>::infinity();
 };
 
 }  // namespace hallpier::store
--- a/src/store/machine_name_codec.h
+++ b/src/store/machine_name_codec.h
@@ -5,13 +5,13 @@
 // another from 1 on, and 0 stands for no machine.
 #pragma once
 
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <tuple>
 #include <vector>
 
 #include "store/decode_result.h"
@@ -40,7 +40,9 @@
   struct FamilyId {
     std::string stem;
     size_t digits = 0;  // of the number at the end
-    auto operator<=>(const FamilyId&) const = default;
+    bool operator<(const FamilyId& other) const {
+      return std::tie(stem, digits) < std::tie(other.stem, other.digits);
+    }
   };
   struct Family {
     FamilyId id;
--- a/src/store/rate_limiter.cc
+++ b/src/store/rate_limiter.cc
@@ -10,13 +10,16 @@
   level_ = std::min(level_, burst_);
 }
 
-double RateLimiter::Take(double now, double cost, Urgent urgent, double max_wait_s) {
-  if (last_ >= 0) level_ = std::min(burst_, level_ + (now - last_) * rate_);
-  last_ = now;
-  const double keep = urgent == Urgent::kYes ? 0 : burst_ * reserve_;
-  // What exceeds the bucket itself could never be had: it waits for a full one and leaves a debt.
-  const double need = std::min(cost + keep, burst_);
-  const double wait = std::max(0.0, (need - level_) / rate_);
+double RateLimiter::Acquire(double now, double cost, RequestPriority priority, double max_wait_s) {
+  if (last_acquired_at_ >= 0) {
+    level_ = std::min(burst_, level_ + (now - last_acquired_at_) * rate_);
+  }
+  last_acquired_at_ = now;
+  const double untouched = priority == RequestPriority::kUrgent ? 0 : burst_ * reserve_;
+  // A cost of more than the bucket holds could never be had at once: it waits for a full bucket and
+  // leaves the level negative.
+  const double needed = std::min(cost + untouched, burst_);
+  const double wait = std::max(0.0, (needed - level_) / rate_);
   if (wait > max_wait_s) return -1;
   level_ -= cost;
   return wait;
--- /dev/null
+++ b/src/store/record_formats.cc
@@ -0,0 +1,132 @@
+#include "store/record_formats.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <random>
+#include <utility>
+#include <vector>
+
+#include "model/key_value.h"
+#include "store/keys.h"
+
+namespace hallpier::store {
+namespace {
+
+constexpr double kBytesPerKb = 1024;
+// Between two attempts to write, in heartbeat intervals: random within these bounds, so that nodes
+// that see the last node's format at the same moment do not all try at once.
+constexpr double kMinRetryIntervals = 0.1;
+constexpr double kMaxRetryIntervals = 0.3;
+
+}  // namespace
+
+TaskGroupLayout CommonLayout(const config::Settings& settings) {
+  const uint32_t tasks_per_whole = TasksPerTextGroup(settings.value_kb);
+  const uint32_t tasks_that_fit = TasksPerPackedGroup(settings.least().value_kb);
+  return {tasks_per_whole, (tasks_per_whole + tasks_that_fit - 1) / tasks_that_fit};
+}
+
+RecordFormats::RecordFormats(async::Scope& scope, const config::Settings& settings, Client& client,
+                             WatchCache& cache, uint64_t own_format)
+    : scope_(scope), settings_(settings), client_(client), cache_(cache), own_format_(own_format) {}
+
+size_t RecordFormats::max_value_bytes() const {
+  const double value_kb = packed_groups_enabled() ? settings_.least().value_kb : settings_.value_kb;
+  return static_cast<size_t>(value_kb * kBytesPerKb);
+}
+
+int RecordFormats::max_transaction_writes() const {
+  return packed_groups_enabled() ? settings_.least().txn_ops : settings_.txn_ops;
+}
+
+uint32_t RecordFormats::new_job_group_size() const {
+  return packed_groups_enabled() ? TasksPerPackedGroup(settings_.least().value_kb) : 0;
+}
+
+void RecordFormats::OnNodeFormat(const std::string& node, const std::string& value) {
+  uint64_t format = 0;
+  if (!value.empty()) {
+    format = ReadNodeFormat(value).ToOptionalOrLog(NodeFormatKey(node)).value_or(0);
+  }
+  node_formats_[node] = format;
+  wake_.Notify();
+}
+
+void RecordFormats::OnFormatRecord(const std::string& value) {
+  if (value.empty() || format_record_) return;
+  auto record = ReadFormat(value).ToOptionalOrLog(FormatKey());
+  if (!record) return;
+  format_record_ = record;
+  client_.ExpectLoweredLimits();
+  spdlog::info("record format: changed format={}; a node of an older version can't come back",
+               kRecordFormat);
+  wake_.Notify();
+}
+
+void RecordFormats::ProveAllUpgraded(const std::string& reason) {
+  if (packed_groups_enabled() || !proof_.empty()) return;
+  spdlog::info("record format: all nodes upgraded reason={}", reason);
+  proof_ = reason;
+  wake_.Notify();
+}
+
+uint64_t RecordFormats::NodeFormatOf(const std::string& node) const {
+  auto known = node_formats_.find(node);
+  return known == node_formats_.end() ? 0 : known->second;
+}
+
+bool RecordFormats::AllUnderstand(uint64_t format) const {
+  return NodeFormatOf(settings_.node) >= format &&
+         std::all_of(settings_.seeds.begin(), settings_.seeds.end(),
+                     [this, format](const config::Seed& seed) {
+                       return NodeFormatOf(seed.node) >= format;
+                     });
+}
+
+bool RecordFormats::OwnFormatRecorded() const {
+  // A higher one does not count: others must not ask of this node what was switched off here since.
+  return NodeFormatOf(settings_.node) == own_format_;
+}
+
+bool RecordFormats::ChangeDue() const {
+  return !packed_groups_enabled() && (AllUnderstand(kRecordFormat) || change_pending());
+}
+
+async::Task<bool> RecordFormats::Write(std::string key, uint64_t version, std::string value) {
+  std::vector<model::Precondition> preconditions = {{key, version}};
+  std::vector<model::KeyWrite> writes = {{key, value, 0}};
+  auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
+                                        RequestPriority::kUrgent);
+  if (result.ok()) cache_.Apply(key, value, result.value.revision);
+  co_return result.ok();
+}
+
+async::Task<> RecordFormats::Run() {
+  std::mt19937 random{std::random_device{}()};
+  std::uniform_real_distribution<double> retry_s(
+      kMinRetryIntervals * settings_.heartbeat_interval_s,
+      kMaxRetryIntervals * settings_.heartbeat_interval_s);
+  while (!scope_.cancelled() && !Finished()) {
+    const bool loaded = cache_.loaded();
+    if (loaded && !OwnFormatRecorded()) {
+      // What an older version recorded for this node is overwritten...
+      const std::string key = NodeFormatKey(settings_.node);
+      co_await Write(key, cache_.Version(key), WriteNodeFormat(own_format_));
+    } else if (loaded && ChangeDue()) {
+      // ...but a format record never is, not even one that can't be read here: whoever writes it
+      // first decides, and all others read it.
+      co_await Write(FormatKey(), 0, WriteFormat({kRecordFormat, CommonLayout(settings_)}));
+    }
+    if (Finished() || scope_.cancelled()) break;
+    if (!loaded || !OwnFormatRecorded() || ChangeDue()) {
+      async::Sleep pause(scope_, retry_s(random));
+      co_await pause;
+    } else {
+      auto wait = wake_.Await(scope_, settings_.heartbeat_interval_s);
+      co_await wait;
+    }
+  }
+}
+
+}  // namespace hallpier::store
--- a/src/store/watch_cache.cc
+++ b/src/store/watch_cache.cc
@@ -2,43 +2,51 @@
 
 #include <spdlog/spdlog.h>
 
-#include <unordered_set>
+#include <algorithm>
+#include <utility>
+#include <vector>
 
 namespace hallpier::store {
 namespace {
+
+// Before a failed load or watch is tried again.
 constexpr double kRetryS = 0.25;
-// Between two answers of the watch, so that a busy minute comes in batches.
-constexpr double kGapS = 0.05;
+// Between an answer of the watch and the next request, so that many changes come in one answer.
+constexpr double kWatchPauseS = 0.05;
+
 }  // namespace
 
-WatchCache::WatchCache(async::Scope& scope, Client& client, double block_s, Sink sink)
-    : scope_(scope), client_(client), block_s_(block_s), sink_(std::move(sink)) {}
+WatchCache::WatchCache(async::Scope& scope, Client& client, double block_s, ChangeHandler on_change)
+    : scope_(scope), client_(client), block_s_(block_s), on_change_(std::move(on_change)) {}
 
 uint64_t WatchCache::Version(const std::string& key) const {
-  auto it = versions_.find(key);
-  return it == versions_.end() ? 0 : it->second;
+  auto known = versions_.find(key);
+  return known == versions_.end() ? 0 : known->second;
 }
 
 void WatchCache::Apply(const std::string& key, const std::string& value, uint64_t version) {
-  // The watch may have passed this write, and what came after it, while its answer was under way:
-  // a job that was cancelled here and ended by the leader at once would be back for ever.
-  if (version > revision_ && key.starts_with(kActive)) Take(key, value, version);
+  // While the answer to this write was on its way, the watch may have passed the write and what
+  // came after it. Then the copy knows better: otherwise a job that was cancelled here, and ended
+  // by the leader at once, would be back for ever.
+  if (version > revision_ && key.starts_with(kActive)) ApplyIfNewer(key, value, version);
 }
 
 async::Task<bool> WatchCache::Refresh(std::string key) {
   const uint64_t known = Version(key);
-  auto now = co_await client_.Get(key, Urgent::kYes);
-  if (now.ok()) {
-    Take(key, now.value.value, now.value.version);
-  } else if (now.status == Status::kNotFound && known != 0 && Version(key) == known) {
-    // Dropped after it got the version that is known here, and before anything else it may get.
-    Take(key, "", known + 1);
+  auto current = co_await client_.Get(key, RequestPriority::kUrgent);
+  if (current.ok()) {
+    ApplyIfNewer(key, current.value.value, current.value.version);
+  } else if (current.status == Status::kNotFound && known != 0 && Version(key) == known) {
+    // The revision of the drop is not told. It is after the known version, and before any that the
+    // key may get later.
+    ApplyIfNewer(key, "", known + 1);
   }
-  co_return now.ok() || now.status == Status::kNotFound;
+  co_return current.ok() || current.status == Status::kNotFound;
 }
 
-void WatchCache::Take(const std::string& key, const std::string& value, uint64_t version) {
-  if (auto it = dropped_.find(key); it != dropped_.end() && version <= it->second) return;
+void WatchCache::ApplyIfNewer(const std::string& key, const std::string& value, uint64_t version) {
+  auto drop = dropped_.find(key);
+  if (drop != dropped_.end() && version <= drop->second) return;
   auto known = versions_.find(key);
   if (known != versions_.end() && version <= known->second) return;
   if (value.empty()) {
@@ -48,72 +56,78 @@
   } else {
     versions_[key] = version;
   }
-  sink_(key, value);
+  on_change_(key, value);
 }
 
 async::Task<bool> WatchCache::Load() {
-  std::unordered_set<std::string> seen;
+  std::unordered_set<std::string> listed;
   std::string after;
-  uint64_t first = 0;
-  const double asked = scope_.loop().Now();
+  uint64_t first_revision = 0;
+  const double asked_at = scope_.loop().Now();
   while (true) {
     auto page = co_await client_.List(std::string(kActive), after);
     if (!page.ok()) co_return false;
-    // Pages are of different moments: the watch goes on from the first, and repeats do no harm.
-    if (first == 0) first = page.value.revision;
-    for (const auto& e : page.value.entries) {
-      Take(e.key, e.value, e.version);
-      seen.insert(e.key);
-      after = e.key;
+    // The pages are of different revisions. The watch continues from that of the first, and changes
+    // that it repeats do no harm.
+    if (first_revision == 0) first_revision = page.value.revision;
+    for (const model::KeyValue& entry : page.value.entries) {
+      ApplyIfNewer(entry.key, entry.value, entry.version);
+      listed.insert(entry.key);
+      after = entry.key;
     }
     if (!page.value.more || page.value.entries.empty()) break;
   }
+  DropUnlisted(listed, first_revision);
+  revision_ = first_revision;
+  ConfirmCurrent(asked_at);
+  co_return true;
+}
+
+void WatchCache::DropUnlisted(const std::unordered_set<std::string>& listed, uint64_t revision) {
   std::vector<std::string> gone;
   for (const auto& [key, version] : versions_) {
-    if (version <= first && !seen.contains(key)) gone.push_back(key);
+    if (version <= revision && !listed.contains(key)) gone.push_back(key);
   }
-  for (const auto& key : gone) Take(key, "", first);
-  revision_ = first;
-  SetComplete(asked);
-  co_return true;
+  for (const std::string& key : gone) ApplyIfNewer(key, "", revision);
 }
 
-void WatchCache::SetComplete(double asked) {
-  const bool confirmed = complete_at_ < scope_.loop().resumed_at();
-  complete_at_ = std::max(complete_at_, asked);
-  // After a pause of the process, those who wait for a copy that counts hear of it.
-  if (confirmed) changed_.Notify();
+void WatchCache::ConfirmCurrent(double asked_at) {
+  const bool first_since_pause = current_as_of_ < scope_.loop().resumed_at();
+  current_as_of_ = std::max(current_as_of_, asked_at);
+  // After a pause of the process, some wait until the copy is known to be current again.
+  if (first_since_pause) changed_.Notify();
+}
+
+void WatchCache::TakeIn(const model::WatchResponse& changes, double asked_at) {
+  for (const model::WatchEvent& event : changes.events) {
+    ApplyIfNewer(event.key, event.value, event.version);
+  }
+  revision_ = std::max(revision_, changes.revision);
+  ConfirmCurrent(asked_at);
+  std::erase_if(dropped_, [this](const auto& drop) { return drop.second <= revision_; });
+  if (!changes.events.empty()) changed_.Notify();
 }
 
 async::Task<> WatchCache::Run() {
-  bool fresh = false;
+  bool must_load = true;
   while (!scope_.cancelled()) {
-    if (!fresh) {
-      fresh = co_await Load();
-      if (fresh) {
-        loaded_ = true;
-        spdlog::info("state loaded at revision {}: {} keys", revision_, versions_.size());
-        changed_.Notify();
-      } else {
+    if (must_load) {
+      const bool done = co_await Load();
+      if (!done) {
         async::Sleep pause(scope_, kRetryS);
         co_await pause;
         continue;
       }
+      must_load = false;
+      loaded_ = true;
+      spdlog::info("state loaded: revision={} keys={}", revision_, versions_.size());
+      changed_.Notify();
     }
-    const double asked = scope_.loop().Now();
-    auto news = co_await client_.Follow(std::string(kActive), revision_, block_s_);
-    if (news.ok()) {
-      for (const auto& c : news.value.events) Take(c.key, c.value, c.version);
-      revision_ = std::max(revision_, news.value.revision);
-      SetComplete(asked);
-      std::erase_if(dropped_, [&](const auto& d) { return d.second <= revision_; });
-      if (!news.value.events.empty()) changed_.Notify();
-      async::Sleep pause(scope_, kGapS);
-      co_await pause;
-      continue;
-    }
-    if (news.status == Status::kGone) fresh = false;
-    async::Sleep pause(scope_, kRetryS);
+    const double asked_at = scope_.loop().Now();
+    auto changes = co_await client_.Watch(std::string(kActive), revision_, block_s_);
+    if (changes.ok()) TakeIn(changes.value, asked_at);
+    if (changes.status == Status::kGone) must_load = true;
+    async::Sleep pause(scope_, changes.ok() ? kWatchPauseS : kRetryS);
     co_await pause;
   }
 }
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -15,9 +15,9 @@
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-class PipelinesTest : public testing::Test {
+class DependencyGraphTest : public testing::Test {
  protected:
-  PipelinesTest() : job_table_(64) {}
+  DependencyGraphTest() : job_table_(64) {}
 
   static model::JobSpec Awaiting(const std::string& id, std::vector<std::string> awaits) {
     model::JobSpec s = Spec(id, 2);
@@ -63,7 +63,7 @@
   TransactionLimits limits_ = {4, {{"block", 5}}, 0, 0, true, 100};
 };
 
-TEST_F(PipelinesTest, NothingStartsBeforeAllAwaitedAreRecordedAsDone) {
+TEST_F(DependencyGraphTest, NothingStartsBeforeAllAwaitedAreRecordedAsDone) {
   Put("run-1", {});
   Put("run-2", {});
   Put("run-3", {"run-1", "run-2"}, 10);
@@ -78,7 +78,7 @@
 }
 
 // Another node's end of a job is seen as its record going: how it ended is not in the warm copy.
-TEST_F(PipelinesTest, AnEndThatCanNotBeReadHoldsTheJob) {
+TEST_F(DependencyGraphTest, AnEndThatCanNotBeReadHoldsTheJob) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   Drop("run-1");
@@ -94,7 +94,7 @@
       << "kept for as long as it is awaited";
 }
 
-TEST_F(PipelinesTest, RecordsMayComeInAnyOrder) {
+TEST_F(DependencyGraphTest, RecordsMayComeInAnyOrder) {
   Put("run-3", {"run-2"});
   EXPECT_TRUE(Get("run-3").blocked);
   model::JobSpec two = Awaiting("run-2", {"run-1"});
@@ -105,7 +105,7 @@
   EXPECT_TRUE(Get("run-3").cancelled);
 }
 
-TEST_F(PipelinesTest, ACancellationReachesAllDownstream) {
+TEST_F(DependencyGraphTest, ACancellationReachesAllDownstream) {
   Put("run-1", {});
   Put("run-2", {});
   Put("run-3", {"run-1"});
@@ -124,7 +124,7 @@
 
 // Were a cancelled job's record to go while one that awaits it stands, a new leader would have to
 // find out from final records what is cancelled: so they end from the last one on.
-TEST_F(PipelinesTest, WhatAwaitsACancelledJobIsFinalBeforeIt) {
+TEST_F(DependencyGraphTest, WhatAwaitsACancelledJobIsFinalBeforeIt) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   Put("run-3", {"run-1", "run-2"});
@@ -140,7 +140,7 @@
 
 // It was submitted at a node that had not heard of the cancellation, and the leader had not heard
 // of it: only the final record tells.
-TEST_F(PipelinesTest, AFinalRecordCancelsAsWell) {
+TEST_F(DependencyGraphTest, AFinalRecordCancelsAsWell) {
   Put("run-2", {"run-1"});
   Put("run-3", {"run-2"});
   EXPECT_FALSE(Get("run-3").cancelled);
@@ -149,7 +149,7 @@
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2"}));
 }
 
-TEST_F(PipelinesTest, DoneStaysDoneForThoseThatCome) {
+TEST_F(DependencyGraphTest, DoneStaysDoneForThoseThatCome) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   End("run-1", model::JobPhase::kDone);
@@ -159,7 +159,7 @@
   EXPECT_FALSE(Get("run-2").blocked);
 }
 
-TEST_F(PipelinesTest, AJobIsAsUrgentAsWhatNeedsIt) {
+TEST_F(DependencyGraphTest, AJobIsAsUrgentAsWhatNeedsIt) {
   model::JobSpec last = Awaiting("run-4", {"run-2", "run-3"});
   last.priority = model::Priority::kUrgent;
   last.due_s = 200;
@@ -183,7 +183,7 @@
   EXPECT_EQ(Get("run-1").due, kNever);
 }
 
-TEST_F(PipelinesTest, OfSeveralThatNeedItTheNearestCounts) {
+TEST_F(DependencyGraphTest, OfSeveralThatNeedItTheNearestCounts) {
   Put("run-1", {});
   for (int i = 2; i < 6; ++i) {
     model::JobSpec s = Awaiting("run-" + std::to_string(i), {"run-1"});
@@ -196,7 +196,7 @@
 }
 
 // Deep chains and wide fans: a change touches what it concerns, and nothing recurses.
-TEST_F(PipelinesTest, ThousandsOfWaitingJobsStayCheap) {
+TEST_F(DependencyGraphTest, ThousandsOfWaitingJobsStayCheap) {
   constexpr int kJobs = 6000;
   const auto begin = std::chrono::steady_clock::now();
   auto name = [](int i) { return "run-" + std::to_string(i); };
@@ -223,7 +223,7 @@
 
 // A swarm of jobs that are cancelled with another must not keep starts from the budget: every node
 // says already that they are cancelled. What the user cancelled himself is recorded as before.
-TEST_F(PipelinesTest, CancelledSwarmsAreWrittenLast) {
+TEST_F(DependencyGraphTest, CancelledSwarmsAreWrittenLast) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   Put("run-3", {});
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -451,7 +451,7 @@
     node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::Relayed> {
       net::Relayed relayed;
       relayed.sent = true;
-      relayed.answer = co_await peer.Direct(std::move(request));
+      relayed.answer = co_await peer.ExecuteForPeer(std::move(request));
       co_return relayed;
     });
     election::LeaderElection& lead = node.lead;
@@ -485,7 +485,7 @@
   async::Task<> AskOften(store::LinearizableRead& linearizable_read, double until) {
     while (loop_.Now() < until) {
       const double asked = loop_.Now();
-      const bool fresh = co_await linearizable_read.Reached();
+      const bool fresh = co_await linearizable_read.CatchUp();
       EXPECT_TRUE(fresh);
       longest_ = std::max(longest_, loop_.Now() - asked);
       ++answered_;
@@ -511,8 +511,8 @@
     std::vector<model::Precondition> preconditions;
     std::vector<model::KeyWrite> writes = {{store::JobKey("run-1"), "{}", 0}};
     const double sent = loop_.Now();
-    auto written =
-        co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
+    auto written = co_await client.Commit(std::move(preconditions), std::move(writes),
+                                          store::RequestPriority::kUrgent);
     EXPECT_TRUE(written.ok());
     EXPECT_LT(loop_.Now() - sent, 0.1) << "a submission's write among the polls";
     while (askers_ > 0) co_await Pause(0.01);
@@ -600,8 +600,8 @@
   async::Task<store::Status> Write(store::Client& client) {
     std::vector<model::Precondition> preconditions;
     std::vector<model::KeyWrite> writes = {{"hallpier/x", "{}", 0}};
-    auto r =
-        co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
+    auto r = co_await client.Commit(std::move(preconditions), std::move(writes),
+                                    store::RequestPriority::kUrgent);
     co_return r.status;
   }
   async::Task<> Script() {
@@ -710,8 +710,8 @@
     for (int i = 0; loop_.Now() < end; ++i) {
       std::vector<model::Precondition> preconditions;
       std::vector<model::KeyWrite> writes = {{"hallpier/x", "{}", 0}};
-      auto r =
-          co_await client.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
+      auto r = co_await client.Commit(std::move(preconditions), std::move(writes),
+                                      store::RequestPriority::kUrgent);
       (void)r;
     }
     co_return state.refused() - before;
@@ -728,10 +728,10 @@
     store::Client client(scope_, options);
     int refused = co_await Refusals(client, state, 0.6);
     EXPECT_GT(refused, 2);
-    EXPECT_FALSE(client.lowered()) << "no formats have changed yet";
-    client.ExpectLowered();
+    EXPECT_FALSE(client.limits_lowered()) << "no formats have changed yet";
+    client.ExpectLoweredLimits();
     refused = co_await Refusals(client, state, 1.5);
-    EXPECT_TRUE(client.lowered());
+    EXPECT_TRUE(client.limits_lowered());
     EXPECT_LE(refused, 2);
     scope_.Cancel();
     co_await scope_.Join();
--- /dev/null
+++ b/tests/task_group_test.cc
@@ -0,0 +1,112 @@
+// The record of a task group in its two forms.
+#include "store/task_group.h"
+
+#include <gtest/gtest.h>
+
+#include "store/packed_task_group.h"
+#include "store/records.h"
+#include "store/task_group_layout.h"
+#include "store/task_index_set.h"
+
+namespace hallpier::store {
+namespace {
+
+TEST(TaskIndexSet, MergesRanges) {
+  TaskIndexSet s;
+  for (uint32_t i : {5U, 3U, 4U, 9U, 3U}) s.Insert(i);
+  EXPECT_EQ(s.size(), 4U);
+  EXPECT_EQ(s.ranges(), (std::map<uint32_t, uint32_t>{{3, 5}, {9, 9}}));
+  EXPECT_TRUE(s.Contains(4));
+  EXPECT_FALSE(s.Contains(6));
+}
+
+TEST(TaskGroup, SurvivesARoundTripAndRefusesNonsense) {
+  TaskGroup s;
+  s.done.Insert(1);
+  s.done.Insert(2);
+  s.open[7] = {3, "vm-1"};
+  s.open[8] = {1, ""};
+  s.runs["c4"] = {2, 20.5};
+  auto back = ReadTaskGroup(WriteTaskGroup(s));
+  ASSERT_TRUE(back);
+  EXPECT_EQ(back->open, s.open);
+  EXPECT_EQ(back->done.size(), 2U);
+  EXPECT_EQ(back->placed(), 1U);
+  EXPECT_EQ(back->runs["c4"].count, 2U);
+  for (const char* bad :
+       {R"({"done":[1],"on":{}})", R"({"done":[]})", R"({"done":[],"on":{"vm-1":[-2]}})",
+        R"({"done":[],"on":{"vm-1":[3,-2,-2]}})", R"({"done":[],"on":{"vm-1":[3],"vm-2":[3]}})",
+        R"({"done":[],"on":{"vm-1":[100000]}})"}) {
+    EXPECT_FALSE(ReadTaskGroup(bad)) << bad;
+  }
+  EXPECT_FALSE(ReadTaskGroup("[]"));
+  EXPECT_FALSE(ReadFinal(R"({"phase":"running"})"));
+}
+
+TEST(TaskGroup, TheLargestFitsItsValue) {
+  const double value_kb = 2;
+  const uint32_t tasks = TasksPerTextGroup(value_kb);
+  TaskGroup s;
+  for (uint32_t i = 0; i < tasks; ++i) s.open[99000 + i] = {1, "vm-" + std::to_string(100000 + i)};
+  EXPECT_LT(static_cast<double>(WriteTaskGroup(s).size()), value_kb * 1024);
+}
+
+TaskGroup Mixed(const std::vector<std::string>& machines) {
+  TaskGroup s;
+  s.done.Insert(300);
+  s.done.Insert(301);
+  s.runs["c4"] = {2, 20.5};
+  for (uint32_t i = 0; i < machines.size(); ++i) s.open[302 + i] = {i * 40 + 1, machines[i]};
+  return s;
+}
+
+TEST(PackedTaskGroup, SurvivesARoundTripWhateverTheNames) {
+  for (const TaskGroup& s :
+       {Mixed({"vm-000231", "vm-009000", "", "vm-000231"}), Mixed({"vm-9", "vm-10", "other"}),
+        Mixed({"a-7", "b-1", "b-3", "", "a-8", "b-3"}), Mixed({"", ""}), Mixed({}),
+        Mixed({"12345678901234567890", "12345678901234567891"})}) {
+    auto back = ReadTaskGroup(WritePackedTaskGroup(s, 300, 20));
+    ASSERT_TRUE(back) << WritePackedTaskGroup(s, 300, 20);
+    EXPECT_EQ(back->open, s.open);
+    EXPECT_EQ(back->done.ranges(), s.done.ranges());
+    EXPECT_EQ(back->runs["c4"].count, 2U);
+  }
+  // Tasks that the group should not hold are kept all the same.
+  EXPECT_EQ(ReadTaskGroup(WritePackedTaskGroup(Mixed({"vm-1"}), 300, 2))->open,
+            Mixed({"vm-1"}).open);
+}
+
+TEST(PackedTaskGroup, RefusesNonsense) {
+  const std::string good = WritePackedTaskGroup(Mixed({"vm-000231", "vm-009000"}), 300, 6);
+  ASSERT_TRUE(ReadTaskGroup(good));
+  auto broken = [&](const std::string& from, const std::string& to) {
+    std::string text = good;
+    EXPECT_NE(text.find(from), std::string::npos) << text;
+    text.replace(text.find(from), from.size(), to);
+    const auto result = ReadTaskGroup(text);
+    return result ? std::string("readable") : result.error().field;
+  };
+  EXPECT_EQ(broken("\"of\":6", "\"of\":7"), "done");
+  EXPECT_EQ(broken("\"first\":300", "\"first\":100000"), "of");
+  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",6,231,870]"), "on");
+  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",6,231]"), "hosts");
+  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",3,231,8770]"), "hosts") << "too few digits";
+  EXPECT_EQ(broken("\"open\":\"C\"", "\"open\":\"m\""), "open") << "done and open";
+}
+
+// The lowering of the limits must find nothing that is too large to be written again: the largest
+// group that production ever wrote fits a quarter of its value once it is packed.
+TEST(PackedTaskGroup, TheLargestGroupsFitTheLowerLimit) {
+  for (uint32_t tasks : {TasksPerTextGroup(8), TasksPerPackedGroup(2)}) {
+    TaskGroup s;
+    for (uint32_t i = 0; i < tasks; ++i) {
+      s.open[i] = {i % 60 + 1, "vm-" + std::to_string(100000 + (i * 7919) % 200000)};
+    }
+    for (const char* machine_type : {"menhir-4", "dolmen-8"})
+      s.runs[machine_type] = {1000, 12345.678901234};
+    EXPECT_LE(WritePackedTaskGroup(s, 0, tasks).size(), 2048U) << tasks;
+  }
+}
+
+}  // namespace
+}  // namespace hallpier::store
--- a/tests/jobs_test.cc
+++ b/tests/transaction_builder_test.cc
@@ -1,9 +1,13 @@
+// What a round writes: which changes go together, in which order, within which limits.
+#include "jobs/transaction_builder.h"
+
 #include <gtest/gtest.h>
 
+#include <map>
+#include <set>
+
 #include "fixtures.h"
-#include "jobs/transaction_builder.h"
 #include "model/job.h"
-#include "store/rate_limiter.h"
 
 namespace hallpier::jobs {
 namespace {
@@ -11,6 +15,8 @@
 using namespace testing_support;
 using Kind = TaskTransition::Kind;
 
+const TransactionLimits kLimits = {8, {{"block", 5}}, 0, 0, false, 0};
+
 uint64_t NoVersion(const std::string& /*unused*/) { return 0; }
 
 TaskTransition Make(Kind kind, uint32_t index, uint64_t attempt, const std::string& machine) {
@@ -42,51 +48,9 @@
   EXPECT_EQ(writes[1].value, store::WriteJob(*job_table.Record("run-1")));
 }
 
-const TransactionLimits kLimits = {8, {{"block", 5}}, 0, 0, false, 0};
-
-TEST(IndexSet, MergesRanges) {
-  store::TaskIndexSet s;
-  for (uint32_t i : {5U, 3U, 4U, 9U, 3U}) s.Insert(i);
-  EXPECT_EQ(s.size(), 4U);
-  EXPECT_EQ(s.ranges(), (std::map<uint32_t, uint32_t>{{3, 5}, {9, 9}}));
-  EXPECT_TRUE(s.Contains(4));
-  EXPECT_FALSE(s.Contains(6));
-}
-
-TEST(Records, SurviveARoundTripAndRefuseNonsense) {
-  store::TaskGroup s;
-  s.done.Insert(1);
-  s.done.Insert(2);
-  s.open[7] = {3, "vm-1"};
-  s.open[8] = {1, ""};
-  s.runs["c4"] = {2, 20.5};
-  auto back = store::ReadTaskGroup(store::WriteTaskGroup(s));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->open, s.open);
-  EXPECT_EQ(back->done.size(), 2U);
-  EXPECT_EQ(back->placed(), 1U);
-  EXPECT_EQ(back->runs["c4"].count, 2U);
-  for (const char* bad :
-       {R"({"done":[1],"on":{}})", R"({"done":[]})", R"({"done":[],"on":{"vm-1":[-2]}})",
-        R"({"done":[],"on":{"vm-1":[3,-2,-2]}})", R"({"done":[],"on":{"vm-1":[3],"vm-2":[3]}})",
-        R"({"done":[],"on":{"vm-1":[100000]}})"}) {
-    EXPECT_FALSE(store::ReadTaskGroup(bad)) << bad;
-  }
-  EXPECT_FALSE(store::ReadTaskGroup("[]"));
-  EXPECT_FALSE(store::ReadFinal(R"({"phase":"running"})"));
-}
-
-TEST(Records, TheLargestShardFitsItsValue) {
-  const double value_kb = 2;
-  const uint32_t tasks = store::TasksPerTextGroup(value_kb);
-  store::TaskGroup s;
-  for (uint32_t i = 0; i < tasks; ++i) s.open[99000 + i] = {1, "vm-" + std::to_string(100000 + i)};
-  EXPECT_LT(static_cast<double>(store::WriteTaskGroup(s).size()), value_kb * 1024);
-}
-
 // Names of machines may be longer than the size of a group allows for: what does not fit waits, and
 // is placed once others have ended. The state service would refuse the whole value.
-TEST(Batch, PlacementsThatWouldOverfillAValueWait) {
+TEST(BuildTransactions, PlacementsThatWouldOverfillAValueWait) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 40));
   std::vector<TaskTransition> all;
@@ -104,7 +68,7 @@
 
 // With more to write than the budget allows, urgent starts come first and ends of single tasks
 // last, unless they have waited long; the last task's end goes with what makes the job final.
-TEST(Batch, WhatMattersMostIsWrittenFirst) {
+TEST(BuildTransactions, WhatMattersMostIsWrittenFirst) {
   JobTable job_table(64);
   model::JobSpec urgent = Spec("run-4", 1);
   urgent.priority = model::Priority::kUrgent;
@@ -122,20 +86,21 @@
   std::vector<TaskTransition> all = {
       of("run-1", Make(Kind::kDone, 0, 1, "vm-1")), of("run-3", Make(Kind::kPlace, 0, 1, "vm-2")),
       of("run-2", Make(Kind::kDone, 0, 1, "vm-1")), of("run-4", Make(Kind::kPlace, 0, 1, "vm-3"))};
-  auto ranks = [&] {
+  auto priorities = [&] {
     std::vector<WritePriority> out;
     for (const auto& t : BuildTransactions(job_table, all, limits, NoVersion))
       out.push_back(t.priority);
     return out;
   };
-  EXPECT_EQ(ranks(), (std::vector<WritePriority>{WritePriority::kUrgentStart,
-                                                 WritePriority::kJobEnd, WritePriority::kStart}));
+  EXPECT_EQ(priorities(),
+            (std::vector<WritePriority>{WritePriority::kUrgentStart, WritePriority::kJobEnd,
+                                        WritePriority::kStart}));
   all[0].age_s = 6;
   all.erase(all.begin() + 1);
-  EXPECT_EQ(ranks().back(), WritePriority::kStart);
+  EXPECT_EQ(priorities().back(), WritePriority::kStart);
 }
 
-TEST(Batch, APlacementIsGuardedByBlockJobAndShard) {
+TEST(BuildTransactions, APlacementHasTokenJobAndGroupAsPreconditions) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
   auto transactions = BuildTransactions(job_table, {Make(Kind::kPlace, 2, 1, "vm-1")}, kLimits,
@@ -149,7 +114,7 @@
   EXPECT_EQ(transactions[0].machines, std::vector<std::string>{"vm-1"});
 }
 
-TEST(Batch, CancelledJobsGetNoPlacement) {
+TEST(BuildTransactions, CancelledJobsGetNoPlacement) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4), 1, true);
   Place(job_table, "run-1", 0, 1, "vm-1");
@@ -157,7 +122,7 @@
       BuildTransactions(job_table, {Make(Kind::kPlace, 2, 1, "vm-1")}, kLimits, NoVersion).empty());
 }
 
-TEST(Batch, AnOutcomeOfAnotherAttemptIsLeftOut) {
+TEST(BuildTransactions, AnOutcomeOfAnotherAttemptIsLeftOut) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
   Place(job_table, "run-1", 0, 2, "vm-1");
@@ -167,7 +132,7 @@
       BuildTransactions(job_table, {Make(Kind::kDone, 0, 2, "vm-2")}, kLimits, NoVersion).empty());
 }
 
-TEST(Batch, TheLastTaskMakesTheJobFinalInTheSameTransaction) {
+TEST(BuildTransactions, TheLastTaskMakesTheJobFinalInTheSameTransaction) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2));
   store::TaskGroup task_group;
@@ -188,7 +153,7 @@
   EXPECT_EQ(writes[store::TaskGroupKey("run-1", 0)], "");
 }
 
-TEST(Batch, ACancelledJobIsFinalOnlyOnceNothingIsPlaced) {
+TEST(BuildTransactions, ACancelledJobIsFinalOnlyOnceNothingIsPlaced) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2), 1, true);
   Place(job_table, "run-1", 0, 1, "vm-1");
@@ -201,7 +166,7 @@
   EXPECT_EQ(final_record->phase, model::JobPhase::kCancelled);
 }
 
-TEST(Batch, TransactionsStayWithinTheLimits) {
+TEST(BuildTransactions, TransactionsStayWithinTheLimits) {
   JobTable job_table(4);
   std::vector<TaskTransition> all;
   PutJob(job_table, Spec("run-1", 400));
@@ -217,41 +182,28 @@
   EXPECT_EQ(writes, 100U);
 }
 
-TEST(JobTable, ShardsWithoutTheirJobAreDroppedLater) {
-  JobTable job_table(4);
-  PutJob(job_table, Spec("run-1", 40));
-  Place(job_table, "run-1", 9, 1, "");
-  job_table.Apply(store::ParseKey(store::JobKey("run-1")), "");
-  auto orphans = job_table.ObsoleteKeys();
-  ASSERT_EQ(orphans.size(), 1U);
-  EXPECT_EQ(orphans[0], store::TaskGroupKey("run-1", 2));
-  job_table.Apply(store::ParseKey(orphans[0]), "");
-  EXPECT_TRUE(job_table.ObsoleteKeys().empty());
-}
-
-TEST(JobTable, HandsOutTasksInOrderWithGrowingAttempts) {
-  JobTable job_table(4);
-  PutJob(job_table, Spec("run-1", 10));
-  store::TaskGroup task_group;
-  task_group.done.Insert(0);
-  task_group.open[1] = {1, "vm-1"};
-  task_group.open[2] = {5, ""};
-  PutTaskGroup(job_table, "run-1", 0, task_group);
-  const Job& job = *job_table.Find("run-1");
-  EXPECT_EQ(job_table.WaitingTasks(job, 4), (std::vector<uint32_t>{2, 3, 4, 5}));
-  EXPECT_EQ(job_table.NextAttempt(job, 2), 6U);
-  EXPECT_EQ(job_table.NextAttempt(job, 9), 1U);
-  EXPECT_EQ(job.waiting(), 8U);
-}
-
-TEST(RateLimiter, KeepsAReserveForWhatIsUrgent) {
-  store::RateLimiter b(10, 1, 0.3);
-  using store::Urgent;
-  EXPECT_EQ(b.Take(0, 7, Urgent::kNo, 0), 0);
-  EXPECT_LT(b.Take(0, 1, Urgent::kNo, 0), 0);
-  EXPECT_EQ(b.Take(0, 3, Urgent::kYes, 0), 0);
-  EXPECT_NEAR(b.Take(0, 1, Urgent::kYes, 1), 0.1, 1e-9);
-  EXPECT_NEAR(b.Take(0.1, 2, Urgent::kNo, 1), 0.5, 1e-9);
+// Something in a transaction was refused: what was in it goes by itself the next time, so that it
+// holds up nothing else.
+TEST(BuildTransactions, RefusedWritesGoAlone) {
+  JobTable job_table(64);
+  std::vector<TaskTransition> all;
+  for (const char* id : {"run-1", "run-2", "run-3"}) {
+    PutJob(job_table, Spec(id, 2));
+    TaskTransition m;
+    m.task = {id, 0};
+    m.attempt = 1;
+    m.machine = "vm-1";
+    all.push_back(m);
+  }
+  std::set<std::string> alone;
+  TransactionLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &alone};
+  auto version = [](const std::string&) { return 1; };
+  EXPECT_EQ(BuildTransactions(job_table, all, limits, version).size(), 1U);
+  alone.insert(store::TaskGroupKey("run-2", 0));
+  auto transactions = BuildTransactions(job_table, all, limits, version);
+  ASSERT_EQ(transactions.size(), 3U);
+  EXPECT_EQ(transactions[1].writes.size(), 1U);
+  EXPECT_EQ(transactions[1].writes[0].key, store::TaskGroupKey("run-2", 0));
 }
 
 }  // namespace
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -74,7 +74,7 @@
 
   // As a node of the old version takes the lead; the lease, 0 if it can't.
   async::Task<uint64_t> OldNodeLeads(std::string node) {
-    auto lease_id = co_await state_client_.Grant(60);
+    auto lease_id = co_await state_client_.GrantLease(60);
     EXPECT_TRUE(lease_id.ok());
     std::vector<model::Precondition> preconditions = {{store::LeaderKey(), 0}};
     std::vector<model::KeyWrite> writes = {
@@ -110,7 +110,7 @@
     EXPECT_EQ(r.status, 421) << "the old node leads";
     EXPECT_NE(r.body.find("node-1"), std::string::npos);
     // The old one ends; it is followed at once, and its data are worked on in its own forms.
-    auto ended = co_await state_client_.End(lease_id);
+    auto ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
     ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-2", 700)), 201, "", 10);
     EXPECT_TRUE(ok);
@@ -131,7 +131,7 @@
     co_await WriteRecord(store::TaskGroupKey("run-4", 1),
                          R"({"done":[],"on":{"vm-999999":[335,336,-4]},"runs":{}})");
     StartNodes(0, 1, 3);
-    ended = co_await state_client_.End(lease_id);
+    ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
     ok = co_await Until(0, "GET", "/submissions/run-4", "", 200, R"("done","done":340)", 30);
     EXPECT_TRUE(ok) << "what was on the unknown machine, once its lease is over";
