--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -7,7 +7,7 @@
 #include "plan/feasibility.h"
 #include "quota/lender.h"
 #include "quota/usage.h"
-#include "store/schema.h"
+#include "store/keys.h"
 
 namespace hallpier::blocks {
 namespace {
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -9,7 +9,8 @@
 #include "model/key_value.h"
 #include "model/machine_view.h"
 #include "model/member.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::controller {
 namespace {
@@ -128,8 +129,9 @@
 
 async::Task<> BlockCoordinator::ReviewShares(const plan::RoundResult& round,
                                              const plan::PlacementScope& scope) {
-  const blocks::WriteLimits limits = {static_cast<size_t>(services_.formats->txn_ops()),
-                                      services_.formats->value_bytes()};
+  const blocks::WriteLimits limits = {
+      static_cast<size_t>(services_.formats->max_transaction_writes()),
+      services_.formats->max_value_bytes()};
   auto change = lending_.ReviewShares(*services_.block_records, Copy(), *services_.job_table,
                                       registry_, context_, round, scope, limits);
   if (!change) co_return;
@@ -142,8 +144,8 @@
 async::Task<> BlockCoordinator::Write(blocks::RecordChange change) {
   // Without an answer it may be carried out late. Its preconditions name every record of blocks and
   // shares, so that nothing that was decided since stands beside it.
-  auto result =
-      co_await services_.client->Commit(change.preconditions, change.writes, store::Urgent::kYes);
+  auto result = co_await services_.client->Commit(change.preconditions, change.writes,
+                                                  store::RequestPriority::kUrgent);
   if (term_->cancelled()) co_return;
   if (result.ok()) {
     for (const model::KeyWrite& write : change.writes) {
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -45,7 +45,7 @@
   const double current_s =
       kCurrentHeartbeats * services_.settings->heartbeat_interval_s + services_.client->timeout_s();
   return services_.cache->loaded() && !services_.client->down() &&
-         Now() - services_.cache->complete_at() <= current_s;
+         Now() - services_.cache->current_as_of() <= current_s;
 }
 
 std::optional<wire::BlockAcknowledgement> BlockPlacementLoop::OnView(const wire::BlockView& view) {
@@ -58,8 +58,8 @@
 std::optional<size_t> BlockPlacementLoop::HolderIndex() const {
   // A leader places in its own rounds. After a pause the copy must be complete anew: tasks may have
   // been cancelled meanwhile.
-  const bool paused = services_.cache->complete_at() < services_.scope->loop().resumed_at();
-  if (services_.election->leading() || paused || services_.formats->changing()) {
+  const bool paused = services_.cache->current_as_of() < services_.scope->loop().resumed_at();
+  if (services_.election->leading() || paused || services_.formats->change_pending()) {
     return std::nullopt;
   }
   const blocks::CopyState copy = {services_.cache->revision(), services_.cache->fencing_token()};
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -2,7 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 #include "wire/peer_codec.h"
 
 namespace hallpier::controller {
@@ -17,7 +18,7 @@
 
 std::optional<wire::CancellationReportRequest> CancellationExchange::RequestFor(
     const std::string& node) {
-  watermark_.OnCopyComplete(services_.cache->complete_at());
+  watermark_.OnCopyComplete(services_.cache->current_as_of());
   const double now = services_.scope->loop().Now();
   const bool out_of_touch = services_.client->down() || watermark_.CopyIsStale(now);
   if (!services_.election->leading() || !out_of_touch) return std::nullopt;
@@ -61,7 +62,7 @@
 }
 
 bool CancellationExchange::MayRenewWorkerLeases() {
-  watermark_.OnCopyComplete(services_.cache->complete_at());
+  watermark_.OnCopyComplete(services_.cache->current_as_of());
   return watermark_.MayRenew(services_.scope->loop().Now());
 }
 
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <optional>
 
-#include "wire/worker_codec.h"
 #include "fleet/reconciliation.h"
+#include "wire/worker_codec.h"
 
 namespace hallpier::controller {
 namespace {
@@ -74,7 +74,8 @@
   auto commands = commands_.CommandsFor(*worker, true);
   // Its heartbeat has fetched them meanwhile, or they have to wait for the copy. A worker that does
   // not know our token yet is sent it all the same.
-  if (commands.empty() && (worker->agent.token == token || !commands_.CopyIsCurrent())) co_return false;
+  if (commands.empty() && (worker->agent.token == token || !commands_.CopyIsCurrent()))
+    co_return false;
   wire::HttpRequest request{.method = "POST",
                             .target = "/commands",
                             .body = wire::WriteCommands(token, worker->agent.epoch, commands)};
--- a/src/controller/command_source.cc
+++ b/src/controller/command_source.cc
@@ -8,7 +8,7 @@
 
 bool CommandSource::CopyIsCurrent() const {
   return services_.cache->revision() >= term_revision_ &&
-         services_.cache->complete_at() >= services_.scope->loop().resumed_at();
+         services_.cache->current_as_of() >= services_.scope->loop().resumed_at();
 }
 
 std::vector<model::WorkerCommand> CommandSource::CommandsFor(fleet::Machine& machine, bool direct) {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -47,7 +47,7 @@
   return options;
 }
 
-// What this node records that it understands (store::Formats).
+// What this node records that it understands (store::RecordFormats).
 uint64_t NodeFormatOf(const config::OperatorOptions& operators) {
   if (operators.blocks.enabled) return store::kBlocksFormat;
   return operators.membership.enabled ? store::kMembershipFormat : store::kCancellationReportFormat;
@@ -84,7 +84,7 @@
       operators_(operators),
       root_(loop),
       shutdown_(root_),
-      job_table_(store::TasksPerGroup(settings_.value_kb)),
+      job_table_(store::TasksPerTextGroup(settings_.value_kb)),
       client_(root_, StateOptions(settings_)),
       cache_(root_, client_, settings_.heartbeat_interval_s,
              [this](const std::string& key, const std::string& value) {
@@ -169,7 +169,9 @@
 net::PeerMesh::Hooks Controller::PeerHooks() {
   net::PeerMesh::Hooks hooks;
   hooks.status = [this] { return Status(); };
-  hooks.execute = [this](wire::HttpRequest request) { return client_.Direct(std::move(request)); };
+  hooks.execute = [this](wire::HttpRequest request) {
+    return client_.ExecuteForPeer(std::move(request));
+  };
   hooks.on_status = [this](const wire::PeerStatus& status) { election_.OnTokenSeen(status.token); };
   hooks.on_refused = [this](const std::string& node) {
     election_.OnNodeFailed(node);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -26,8 +26,8 @@
 #include "net/http_server.h"
 #include "net/peer_mesh.h"
 #include "store/client.h"
-#include "store/formats.h"
 #include "store/linearizable_read.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 
 namespace hallpier::controller {
@@ -60,7 +60,7 @@
   std::vector<model::MachineType> machine_types_;
   store::Client client_;
   store::WatchCache cache_;
-  store::Formats formats_;
+  store::RecordFormats formats_;
   blocks::BlockRecords block_records_;
   DependencyOutcomes dependency_outcomes_;
   NodeElectionPolicy election_policy_;
--- a/src/controller/copy_confirmation.cc
+++ b/src/controller/copy_confirmation.cc
@@ -14,8 +14,8 @@
   while (!scope.cancelled()) {
     async::Sleep pause(scope, services.election->MaxUnverifiedS() / kPauseChecks);
     co_await pause;
-    while (!scope.cancelled() && services.cache->complete_at() < scope.loop().resumed_at()) {
-      const bool confirmed = co_await linearizable_read.Reached();
+    while (!scope.cancelled() && services.cache->current_as_of() < scope.loop().resumed_at()) {
+      const bool confirmed = co_await linearizable_read.CatchUp();
       if (confirmed) break;
       async::Sleep retry(scope, retry_s);
       co_await retry;
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -1,6 +1,7 @@
 #include "controller/dependency_outcomes.h"
 
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::controller {
 namespace {
@@ -47,7 +48,7 @@
 
 async::Task<> DependencyOutcomes::Read(std::string job) {
   auto entry = co_await client_.Get(store::FinalKey(job));
-  auto record = entry.ok() ? store::ReadFinal(entry.value.value) : std::nullopt;
+  auto record = entry.ok() ? store::ReadFinal(entry.value.value).ToOptional() : std::nullopt;
   if (record) {
     job_table_.RecordFinal(job, *record);
     on_outcome_();
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -84,12 +84,12 @@
   trigger_.Request();
 }
 
-void Leader::OnTasksChanged(const store::ParsedKey& key) {
+void Leader::OnTasksChanged(const store::TaskGroupKeyName& key) {
   if (!blocks_ || !InTerm()) return;
   const jobs::Job* job = services_.job_table->Find(key.job);
   if (job == nullptr) return;
   // The key names one part of a group, or all of them.
-  const uint32_t parts = job->groups.layout().parts;
+  const uint32_t parts = job->groups.layout().parts_per_whole;
   const uint32_t first = key.task_group * parts + key.part.value_or(0);
   const uint32_t end = key.part ? first + 1 : first + parts;
   for (auto it = job->task_groups().lower_bound(first);
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -17,7 +17,8 @@
 #include "fleet/worker_registry.h"
 #include "model/heartbeat.h"
 #include "plan/round.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 #include "wire/http.h"
 
 namespace hallpier::controller {
@@ -33,7 +34,7 @@
   void OnJobChanged(const std::string& id);
   // The records of a group of tasks have changed. Where others place, this is how the leader learns
   // which machines have tasks to start.
-  void OnTasksChanged(const store::ParsedKey& key);
+  void OnTasksChanged(const store::TaskGroupKeyName& key);
   // Something happened that a round should consider: room, or the end of an awaited job.
   void RequestRound() { trigger_.Request(); }
   // A worker's heartbeat, and the answer to it (HeartbeatHandler::OnHeartbeat).
--- a/src/controller/node_services.h
+++ b/src/controller/node_services.h
@@ -14,7 +14,7 @@
 #include "jobs/job_table.h"
 #include "model/machine_type.h"
 #include "store/client.h"
-#include "store/formats.h"
+#include "store/record_formats.h"
 #include "store/watch_cache.h"
 #include "wire/peer_messages.h"
 
@@ -27,7 +27,7 @@
   const config::OperatorOptions* operators;
   store::Client* client;
   store::WatchCache* cache;
-  store::Formats* formats;
+  store::RecordFormats* formats;
   jobs::JobTable* job_table;
   // As recorded in the key-value store; empty: not known yet.
   std::vector<model::MachineType>* machine_types;
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -13,7 +13,8 @@
 #include "fleet/reconciliation.h"
 #include "fleet/task_outcomes.h"
 #include "model/task.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::controller {
 namespace {
@@ -199,7 +200,7 @@
 
 async::Task<> RoundRunner::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                                   std::vector<model::Precondition> preconditions) {
-  if (services_.formats->changing()) {
+  if (services_.formats->change_pending()) {
     parts_.trigger.Request();
     co_return;
   }
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -10,8 +10,9 @@
 #include <tuple>
 
 #include "model/key_value.h"
+#include "store/keys.h"
 #include "store/machine_type_pages.h"
-#include "store/schema.h"
+#include "store/records.h"
 #include "wire/cloud_codec.h"
 #include "wire/json.h"
 #include "wire/url_query.h"
@@ -66,7 +67,7 @@
 async::Task<std::optional<wire::HttpResponse>> ScalingLoop::Call(async::Scope& term,
                                                                  wire::HttpRequest request) {
   const double wait_s =
-      rate_limiter_.Take(term.loop().Now(), 1, store::Urgent::kYes, kCloudTimeoutS);
+      rate_limiter_.Acquire(term.loop().Now(), 1, store::RequestPriority::kUrgent, kCloudTimeoutS);
   if (wait_s < 0) co_return std::nullopt;
   if (wait_s > 0) {
     async::Sleep pause(term, wait_s);
@@ -107,7 +108,7 @@
 
 async::Task<> ScalingLoop::RecordMachineTypes(async::Scope& term,
                                               std::vector<model::MachineType> types) {
-  auto pages = store::WriteMachineTypePages(types, services_.formats->value_bytes());
+  auto pages = store::WriteMachineTypePages(types, services_.formats->max_value_bytes());
   const auto page_count = static_cast<uint32_t>(pages.size());
   // Versions without pipelines know one page only, and the pages that are left of a longer list
   // would be taken for a part of this one.
--- a/src/controller/state_dispatcher.cc
+++ b/src/controller/state_dispatcher.cc
@@ -7,45 +7,32 @@
 namespace hallpier::controller {
 
 void StateDispatcher::OnRecord(const std::string& key, const std::string& value) {
-  const store::ParsedKey parsed = store::ParseKey(key);
-  switch (parsed.kind) {
-    case store::KeyKind::kLeader:
-      OnLeader(value);
-      break;
-    case store::KeyKind::kMember:
-      OnMember(parsed.job, value);
-      break;
-    case store::KeyKind::kDivision:
-      OnDivision(key, value);
-      break;
-    case store::KeyKind::kShare:
-      OnShare(parsed.job, key, value);
-      break;
-    case store::KeyKind::kMachineTypes:
-      OnMachineTypes(parsed.task_group, value);
-      break;
-    case store::KeyKind::kFormat:
-      services_.job_table->Apply(parsed, value);
-      services_.formats->OnRecord(value);
-      break;
-    case store::KeyKind::kNodeFormat:
-      services_.formats->OnNodeFormat(parsed.job, value);
-      break;
-    case store::KeyKind::kJob:
-      OnJob(parsed, value);
-      break;
-    case store::KeyKind::kTaskGroup:
-      OnTaskGroup(parsed, value);
-      break;
-    case store::KeyKind::kFencingToken:
-      // A node without peers can learn of it in no other way: a new token of its own whose write
-      // got no answer and was carried out late makes every commit fail.
-      services_.election->OnTokenSeen(services_.cache->fencing_token());
-      break;
-    case store::KeyKind::kFinal:
-    case store::KeyKind::kOther:
-      break;
-  }
+  std::visit(store::Overloaded{
+                 [&](const store::LeaderKeyName&) { OnLeader(value); },
+                 [&](const store::MemberKeyName& name) { OnMember(name.node, value); },
+                 [&](const store::DivisionKeyName&) { OnDivision(key, value); },
+                 [&](const store::ShareKeyName& name) { OnShare(name.node, key, value); },
+                 [&](const store::MachineTypesKeyName& name) { OnMachineTypes(name.page, value); },
+                 [&](const store::FormatKeyName& name) {
+                   services_.job_table->Apply(name, value);
+                   services_.formats->OnFormatRecord(value);
+                 },
+                 [&](const store::NodeFormatKeyName& name) {
+                   services_.formats->OnNodeFormat(name.node, value);
+                 },
+                 [&](const store::JobKeyName& name) { OnJob(name, value); },
+                 [&](const store::TaskGroupKeyName& name) { OnTaskGroup(name, value); },
+                 [&](const store::FencingTokenKeyName&) {
+                   // A node without peers can learn of it in no other way: a new token of its own
+                   // whose write got no answer and was carried out late makes every commit fail.
+                   services_.election->OnTokenSeen(services_.cache->fencing_token());
+                 },
+                 // Final records are not watched.
+                 [](const store::FinalKeyName&) {},
+                 // A key of a newer version.
+                 [](const store::UnknownKeyName&) {},
+             },
+             store::ParseKey(key));
 }
 
 void StateDispatcher::OnLeader(const std::string& value) {
@@ -62,7 +49,8 @@
 void StateDispatcher::OnDivision(const std::string& key, const std::string& value) {
   blocks::BlockRecords& records = *services_.block_records;
   records.PutDivision(value, services_.cache->Version(key));
-  services_.client->SetDivided(services_.operators->blocks.enabled && records.division().divided());
+  services_.client->SetOthersPlace(services_.operators->blocks.enabled &&
+                                   records.division().divided());
   RequestHolderRound();
 }
 
@@ -77,14 +65,14 @@
   if (auto all = machine_type_pages_.All()) *services_.machine_types = std::move(*all);
 }
 
-void StateDispatcher::OnJob(const store::ParsedKey& key, const std::string& value) {
+void StateDispatcher::OnJob(const store::JobKeyName& key, const std::string& value) {
   services_.job_table->Apply(key, value);
   dependency_outcomes_.OnJobsChanged();
   leader_.OnJobChanged(key.job);
   RequestHolderRound();
 }
 
-void StateDispatcher::OnTaskGroup(const store::ParsedKey& key, const std::string& value) {
+void StateDispatcher::OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value) {
   services_.job_table->Apply(key, value);
   leader_.OnTasksChanged(key);
   RequestHolderRound();
--- a/src/controller/state_dispatcher.h
+++ b/src/controller/state_dispatcher.h
@@ -10,8 +10,9 @@
 #include "controller/leader.h"
 #include "controller/node_services.h"
 #include "membership/service.h"
+#include "store/keys.h"
 #include "store/machine_type_pages.h"
-#include "store/schema.h"
+#include "store/records.h"
 
 namespace hallpier::controller {
 
@@ -38,8 +39,8 @@
   void OnDivision(const std::string& key, const std::string& value);
   void OnShare(const std::string& node, const std::string& key, const std::string& value);
   void OnMachineTypes(uint32_t page, const std::string& value);
-  void OnJob(const store::ParsedKey& key, const std::string& value);
-  void OnTaskGroup(const store::ParsedKey& key, const std::string& value);
+  void OnJob(const store::JobKeyName& key, const std::string& value);
+  void OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value);
   // Something changed that the round of a block's holder should consider.
   void RequestHolderRound();
 
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -4,7 +4,8 @@
 
 #include <set>
 
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::controller {
 
@@ -19,11 +20,11 @@
 jobs::TransactionLimits TransactionCommitter::Limits(
     std::vector<model::Precondition> preconditions) const {
   jobs::TransactionLimits limits;
-  limits.max_writes = services_.formats->txn_ops();
+  limits.max_writes = services_.formats->max_transaction_writes();
   limits.preconditions = std::move(preconditions);
-  limits.value_bytes = services_.formats->value_bytes();
+  limits.value_bytes = services_.formats->max_value_bytes();
   limits.task_end_max_wait_s = services_.settings->heartbeat_interval_s;
-  limits.packed_groups = services_.formats->packed();
+  limits.packed_groups = services_.formats->packed_groups_enabled();
   limits.time_of_day = services_.time_of_day();
   limits.sent_alone = &oversized_.alone();
   return limits;
@@ -55,8 +56,9 @@
     async::Scope& scope, const jobs::Transaction& transaction, double patience_s) {
   std::vector<std::string> lines;
   if (hooks_.describe) lines = hooks_.describe(transaction);
-  const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd ? store::Urgent::kYes
-                                                                           : store::Urgent::kNo;
+  const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd
+                          ? store::RequestPriority::kUrgent
+                          : store::RequestPriority::kNormal;
   auto result = co_await services_.client->Commit(transaction.preconditions, transaction.writes,
                                                   urgent, patience_s);
   if (scope.cancelled()) co_return Outcome::kNoAnswer;
@@ -88,8 +90,8 @@
 }
 
 void TransactionCommitter::OnMalformed(const std::vector<model::KeyWrite>& writes) {
-  if (!services_.formats->packed() && services_.settings->state_next) {
-    services_.formats->Prove("the limits are lower");
+  if (!services_.formats->packed_groups_enabled() && services_.settings->state_next) {
+    services_.formats->ProveAllUpgraded("the limits are lower");
     return;
   }
   if (oversized_.OnRejected(writes)) {
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -75,7 +75,8 @@
 }
 
 void LeaderElection::OnLeaderRecord(const std::string& value) {
-  record_ = value.empty() ? std::nullopt : store::ReadLeader(value);
+  record_.reset();
+  if (!value.empty()) record_ = store::ReadLeader(value).ToOptionalOrLog(store::LeaderKey());
   if (leading() && (!record_ || record_->lease_id != lease_id_)) {
     spdlog::warn("failover: lead lost token={} reason=leader record replaced", token_.value());
     lost_ = true;
@@ -105,7 +106,8 @@
   std::vector<model::KeyWrite> writes = {
       {store::FencingTokenKey(), store::WriteFencingTokenRecord(settings_.node), 0}};
   raising_token_ = true;
-  auto result = co_await client_.Commit(std::move(preconditions), writes, store::Urgent::kYes);
+  auto result =
+      co_await client_.Commit(std::move(preconditions), writes, store::RequestPriority::kUrgent);
   raising_token_ = false;
   if (!result.ok()) {
     // It may have been carried out all the same, and then our token is void.
@@ -120,7 +122,7 @@
 
 async::Task<bool> LeaderElection::Acquire() {
   const double asked = scope_.loop().Now();
-  auto lease_id = co_await client_.Grant(LeaseTtlS());
+  auto lease_id = co_await client_.GrantLease(LeaseTtlS());
   if (!lease_id.ok()) co_return false;
   std::vector<model::Precondition> preconditions = {
       {store::LeaderKey(), 0}, store::TokenPrecondition(cache_.fencing_token())};
@@ -131,11 +133,11 @@
   const std::string token_record = store::WriteFencingTokenRecord(settings_.node);
   std::vector<model::KeyWrite> writes = {{store::LeaderKey(), leader, lease_id.value},
                                          {store::FencingTokenKey(), token_record, 0}};
-  auto result =
-      co_await client_.Commit(std::move(preconditions), std::move(writes), store::Urgent::kYes);
+  auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
+                                        store::RequestPriority::kUrgent);
   if (!result.ok()) {
     // With no answer it may have been, or may yet be, applied; without the lease it can't be.
-    auto revoked = co_await client_.End(lease_id.value);
+    auto revoked = co_await client_.RevokeLease(lease_id.value);
     (void)revoked;
     co_return false;
   }
@@ -163,7 +165,7 @@
   const double asked = scope_.loop().Now();
   const bool by_peer = asked - last_renewed_directly_ < kRelayedRatio * settings_.lease_s;
   const auto route = by_peer ? store::Client::Route::kAny : store::Client::Route::kDirect;
-  auto result = co_await client_.Extend(lease_id_, route);
+  auto result = co_await client_.RenewLease(lease_id_, route);
   renewal_failing_ = !result.ok();
   if (result.ok()) {
     last_renewed_ = asked;
@@ -203,7 +205,7 @@
   lease_id_ = 0;
   const auto route =
       policy_.MayRevokeByPeer() ? store::Client::Route::kAny : store::Client::Route::kDirect;
-  auto revoked = co_await client_.End(lease_id, route);
+  auto revoked = co_await client_.RevokeLease(lease_id, route);
   (void)revoked;
   holds_lease_ = false;
 }
@@ -225,7 +227,7 @@
 }
 
 async::Task<> LeaderElection::RevokeOrphanedLease(uint64_t lease_id) {
-  auto revoked = co_await client_.End(lease_id);
+  auto revoked = co_await client_.RevokeLease(lease_id);
   co_await AwaitRecordGone(lease_id, revoked.ok());
 }
 
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -6,7 +6,8 @@
 #include <random>
 
 #include "config/operator_options.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::membership {
 namespace {
@@ -240,8 +241,8 @@
   const std::string value = WriteMember(proposal.record);
   std::vector<model::KeyWrite> writes = {{key, value, 0}};
   const double asked = Now();
-  auto r =
-      co_await deps_.client->Commit(proposal.preconditions, std::move(writes), store::Urgent::kYes);
+  auto r = co_await deps_.client->Commit(proposal.preconditions, std::move(writes),
+                                         store::RequestPriority::kUrgent);
   if (r.ok()) {
     table_.OnStateRoundTrip(Now() - asked);
     deps_.cache->Apply(key, value, r.value.revision);
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -171,7 +171,7 @@
 size_t MaxTasksPerRound(const config::Settings& settings) {
   constexpr size_t kLeastTasks = 500;
   const size_t writes = static_cast<size_t>(std::max(settings.txn_ops, 1));
-  return std::max(kLeastTasks, store::TasksPerGroup(settings.value_kb) * writes);
+  return std::max(kLeastTasks, store::TasksPerTextGroup(settings.value_kb) * writes);
 }
 
 RoundResult PlanRound(Context& context, const jobs::JobTable& job_table,
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -26,6 +26,9 @@
   EndToEnd() : scope_(loop_), client_(4, 1 << 20), state_client_(scope_, StateOptions()) {}
 
   ~EndToEnd() override {
+    // What a derived fixture watches with is gone by now.
+    if (state_) state_->Watch({});
+    if (cloud_) cloud_->WatchStarts({});
     // Everything ends in order; whatever kept a routine from that would hang here.
     size_t left = nodes_.size() - ended_.size();
     auto ended = [&] {
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -3,7 +3,8 @@
 #include <algorithm>
 
 #include "model/key_value.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::testing_support {
 namespace {
--- a/tests/task_classes_test.cc
+++ b/tests/task_classes_test.cc
@@ -10,7 +10,8 @@
 #include "model/ids.h"
 #include "plan/round.h"
 #include "round_fixture.h"
-#include "store/schema.h"
+#include "store/keys.h"
+#include "store/records.h"
 
 namespace hallpier::plan {
 namespace {
