--- a/src/async/task.h
+++ b/src/async/task.h
@@ -17,8 +17,8 @@
 struct FinalAwaiter {
   bool await_ready() const noexcept { return false; }
   template <class P>
-  std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) const noexcept {
-    auto next = h.promise().continuation;
+  std::coroutine_handle<> await_suspend(std::coroutine_handle<P> finished) const noexcept {
+    auto next = finished.promise().continuation;
     return next ? next : std::noop_coroutine();
   }
   void await_resume() const noexcept {}
@@ -36,7 +36,7 @@
 struct Promise : PromiseBase {
   std::optional<T> value;
   Task<T> get_return_object();
-  void return_value(T v) { value.emplace(std::move(v)); }
+  void return_value(T returned) { value.emplace(std::move(returned)); }
   T Take() { return std::move(*value); }
 };
 
@@ -55,8 +55,8 @@
   using promise_type = internal::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  explicit Task(Handle h) : handle_(h) {}
-  Task(Task&& o) noexcept : handle_(std::exchange(o.handle_, {})) {}
+  explicit Task(Handle handle) : handle_(handle) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&&) = delete;
   ~Task() {
     if (handle_) handle_.destroy();
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -2,44 +2,43 @@
 // that is needed here, which the linter's standard library does not have yet.
 #pragma once
 
+#include <optional>
 #include <utility>
 #include <variant>
 
 namespace hallpier {
 
-// Returned in place of a value: `return Error(ListenError{...});`
-template <class E>
-struct Error {
-  explicit Error(E e) : error(std::move(e)) {}
-  E error;
-};
-
-template <class T, class E>
+// `Value` and `Failure` must be different types.
+template <class Value, class Failure>
 class [[nodiscard]] Result {
  public:
-  // Both are converted implicitly, so that functions return what they have.
-  // NOLINTNEXTLINE(google-explicit-constructor)
-  Result(T value) : state_(std::in_place_index<0>, std::move(value)) {}
-  // NOLINTNEXTLINE(google-explicit-constructor)
-  Result(Error<E> error) : state_(std::in_place_index<1>, std::move(error.error)) {}
+  // Both are implicit, so that functions return either.
+  Result(Value value) : outcome_(std::move(value)) {}
+  Result(Failure error) : outcome_(std::move(error)) {}
 
-  bool has_value() const { return state_.index() == 0; }
+  bool has_value() const { return std::holds_alternative<Value>(outcome_); }
   explicit operator bool() const { return has_value(); }
 
-  // Only where there is a value.
-  const T& operator*() const { return *std::get_if<0>(&state_); }
-  T& operator*() { return *std::get_if<0>(&state_); }
-  const T* operator->() const { return std::get_if<0>(&state_); }
-  T* operator->() { return std::get_if<0>(&state_); }
+  // Only if there is a value.
+  Value& operator*() { return std::get<Value>(outcome_); }
+  const Value& operator*() const { return std::get<Value>(outcome_); }
+  Value* operator->() { return &std::get<Value>(outcome_); }
+  const Value* operator->() const { return &std::get<Value>(outcome_); }
 
-  // Only where there is none.
-  const E& error() const { return *std::get_if<1>(&state_); }
+  // Only if there is none.
+  const Failure& error() const { return std::get<Failure>(outcome_); }
+
+  Value value_or(Value fallback) && {
+    return has_value() ? std::move(**this) : std::move(fallback);
+  }
+  // The value, or nothing, for callers that treat every error alike.
+  std::optional<Value> ToOptional() && {
+    if (!has_value()) return std::nullopt;
+    return std::move(**this);
+  }
 
  private:
-  std::variant<T, E> state_;
+  std::variant<Value, Failure> outcome_;
 };
 
-// Of what gives no value if it succeeds.
-struct Done {};
-
 }  // namespace hallpier
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -76,7 +76,7 @@
 
 void LeaderElection::OnLeaderRecord(const std::string& value) {
   record_.reset();
-  if (!value.empty()) record_ = store::ReadLeader(value).ToOptionalOrLog(store::LeaderKey());
+  if (!value.empty()) record_ = store::RecordOrLog(store::LeaderKey(), store::ReadLeader(value));
   if (leading() && (!record_ || record_->lease_id != lease_id_)) {
     spdlog::warn("failover: lead lost token={} reason=leader record replaced", token_.value());
     lost_ = true;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -134,7 +134,7 @@
     RemoveJob(id);
     return;
   }
-  auto record = store::ReadJob(value).ToOptionalOrLog(store::JobKey(id));
+  auto record = store::RecordOrLog(store::JobKey(id), store::ReadJob(value));
   if (!record) return;
   if (record->spec.id != id) {
     store::LogUnreadable(store::JobKey(id), {"spec.id", "names another job: " + record->spec.id});
@@ -179,7 +179,7 @@
 void JobTable::ApplyTaskGroup(const store::TaskGroupKeyName& key, const std::string& value) {
   std::optional<store::TaskGroup> task_group;
   if (!value.empty()) {
-    task_group = store::ReadTaskGroup(value).ToOptionalOrLog(KeyOf(key));
+    task_group = store::RecordOrLog(KeyOf(key), store::ReadTaskGroup(value));
     if (!task_group) return;
   }
   TaskGroups* groups = FindGroups(key.job);
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -67,13 +67,13 @@
 }
 
 template <class T>
-Result<T> Failed(const std::optional<wire::HttpResponse>& response) {
+CallResult<T> Failed(const std::optional<wire::HttpResponse>& response) {
   return {FailureOf(response), {}};
 }
 
 // An answer that can't be read says nothing of what was executed.
 template <class T>
-Result<T> OkIfRead(std::optional<T> value) {
+CallResult<T> OkIfRead(std::optional<T> value) {
   if (!value) return {Status::kUnknown, {}};
   return {Status::kOk, std::move(*value)};
 }
@@ -219,7 +219,7 @@
   return options;
 }
 
-async::Task<Result<model::KeyValue>> Client::Get(std::string key, RequestPriority priority) {
+async::Task<CallResult<model::KeyValue>> Client::Get(std::string key, RequestPriority priority) {
   wire::HttpRequest request{.method = "GET", .target = std::string(kValuePath) + key, .body = {}};
   CallOptions options;
   options.priority = priority;
@@ -229,7 +229,7 @@
   co_return OkIfRead(wire::ReadKeyValue(response->body));
 }
 
-async::Task<Result<model::KeyValueList>> Client::List(std::string prefix, std::string after) {
+async::Task<CallResult<model::KeyValueList>> Client::List(std::string prefix, std::string after) {
   std::string target = "/store?starts=" + wire::EscapeQuery(prefix) + "&limit=1000";
   if (!after.empty()) target += "&from=" + wire::EscapeQuery(after);
   wire::HttpRequest request{.method = "GET", .target = std::move(target), .body = {}};
@@ -240,7 +240,7 @@
   co_return OkIfRead(wire::ReadKeyValueList(response->body));
 }
 
-async::Task<Result<uint64_t>> Client::Revision(double timeout_s) {
+async::Task<CallResult<uint64_t>> Client::Revision(double timeout_s) {
   wire::HttpRequest request{
       .method = "GET",
       .target = "/store?starts=" + wire::EscapeQuery(kEmptyPrefix) + "&limit=1",
@@ -252,7 +252,7 @@
   co_return OkIfRead(wire::ReadRevision(response->body));
 }
 
-async::Task<Result<Client::CommitResult>> Client::Commit(
+async::Task<CallResult<Client::CommitResult>> Client::Commit(
     std::vector<model::Precondition> preconditions, std::vector<model::KeyWrite> writes,
     RequestPriority priority, double max_wait_s) {
   wire::HttpRequest request{.method = "POST",
@@ -265,16 +265,16 @@
   options.max_wait_s = max_wait_s;
   auto response = co_await Call(std::move(request), options);
   if (response && response->status == kHttpConflict) {
-    co_return Result<CommitResult>{Status::kConflict,
-                                   {0, wire::ReadFailedPreconditions(response->body)}};
+    co_return CallResult<CommitResult>{Status::kConflict,
+                                       {0, wire::ReadFailedPreconditions(response->body)}};
   }
   if (!IsOk(response)) co_return Failed<CommitResult>(response);
   auto revision = wire::ReadRevision(response->body);
-  if (!revision) co_return Result<CommitResult>{Status::kUnknown, {}};
-  co_return Result<CommitResult>{Status::kOk, {*revision, {}}};
+  if (!revision) co_return CallResult<CommitResult>{Status::kUnknown, {}};
+  co_return CallResult<CommitResult>{Status::kOk, {*revision, {}}};
 }
 
-async::Task<Result<uint64_t>> Client::GrantLease(double ttl_s) {
+async::Task<CallResult<uint64_t>> Client::GrantLease(double ttl_s) {
   wire::HttpRequest request{
       .method = "POST", .target = "/holds", .body = wire::WriteLeaseRequest(ttl_s)};
   auto response = co_await Call(std::move(request), UrgentCall());
@@ -282,17 +282,17 @@
   co_return OkIfRead(wire::ReadLeaseId(response->body));
 }
 
-async::Task<Result<bool>> Client::RenewLease(uint64_t lease_id, Route route) {
+async::Task<CallResult<bool>> Client::RenewLease(uint64_t lease_id, Route route) {
   wire::HttpRequest request{
       .method = "POST", .target = "/holds/" + std::to_string(lease_id) + "/extend", .body = "{}"};
   CallOptions options = UrgentCall();
   options.route = route;
   auto response = co_await Call(std::move(request), options);
   if (!IsOk(response)) co_return Failed<bool>(response);
-  co_return Result<bool>{Status::kOk, true};
+  co_return CallResult<bool>{Status::kOk, true};
 }
 
-async::Task<Result<bool>> Client::RevokeLease(uint64_t lease_id, Route route) {
+async::Task<CallResult<bool>> Client::RevokeLease(uint64_t lease_id, Route route) {
   wire::HttpRequest request{
       .method = "DELETE", .target = "/holds/" + std::to_string(lease_id), .body = {}};
   CallOptions options = UrgentCall();
@@ -302,11 +302,11 @@
       response && (response->status == kHttpOk || response->status == kHttpNoContent ||
                    response->status == kHttpNotFound);
   if (!ended) co_return Failed<bool>(response);
-  co_return Result<bool>{Status::kOk, true};
+  co_return CallResult<bool>{Status::kOk, true};
 }
 
-async::Task<Result<model::WatchResponse>> Client::Watch(std::string prefix, uint64_t revision,
-                                                        double block_s) {
+async::Task<CallResult<model::WatchResponse>> Client::Watch(std::string prefix, uint64_t revision,
+                                                            double block_s) {
   const int block_ms = static_cast<int>(block_s * kMsPerS);
   wire::HttpRequest request{.method = "GET",
                             .target = "/follow?starts=" + wire::EscapeQuery(prefix) +
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -29,7 +29,7 @@
 };
 
 template <class T>
-struct Result {
+struct CallResult {
   Status status = Status::kUnknown;
   T value = {};
   bool ok() const { return status == Status::kOk; }
@@ -64,12 +64,12 @@
   // as the sign that they have been, and the lower ones are kept to from then on.
   void ExpectLoweredLimits() { may_be_lowered_ = true; }
 
-  async::Task<Result<model::KeyValue>> Get(std::string key,
-                                           RequestPriority priority = RequestPriority::kNormal);
+  async::Task<CallResult<model::KeyValue>> Get(std::string key,
+                                               RequestPriority priority = RequestPriority::kNormal);
   // One page of the keys with a prefix, in their order, beginning behind `after`.
-  async::Task<Result<model::KeyValueList>> List(std::string prefix, std::string after);
+  async::Task<CallResult<model::KeyValueList>> List(std::string prefix, std::string after);
   // The revision of the service's last change.
-  async::Task<Result<uint64_t>> Revision(double timeout_s);
+  async::Task<CallResult<uint64_t>> Revision(double timeout_s);
 
   struct CommitResult {
     uint64_t revision = 0;
@@ -77,23 +77,23 @@
   };
   // Executes a transaction. `max_wait_s`: how long it may wait for the rate limiter; negative: for
   // the part of the time limit of a call that all other calls may wait.
-  async::Task<Result<CommitResult>> Commit(std::vector<model::Precondition> preconditions,
-                                           std::vector<model::KeyWrite> writes,
-                                           RequestPriority priority = RequestPriority::kNormal,
-                                           double max_wait_s = kDefaultMaxWait);
+  async::Task<CallResult<CommitResult>> Commit(std::vector<model::Precondition> preconditions,
+                                               std::vector<model::KeyWrite> writes,
+                                               RequestPriority priority = RequestPriority::kNormal,
+                                               double max_wait_s = kDefaultMaxWait);
 
   // Grants a lease and returns its id.
-  async::Task<Result<uint64_t>> GrantLease(double ttl_s);
+  async::Task<CallResult<uint64_t>> GrantLease(double ttl_s);
   // Whether a call may go by way of a peer while the service refuses this node alone.
   enum class Route { kDirect, kAny };
-  async::Task<Result<bool>> RenewLease(uint64_t lease_id, Route route);
+  async::Task<CallResult<bool>> RenewLease(uint64_t lease_id, Route route);
   // Ends a lease, and drops the keys attached to it. A lease that is gone already counts as ended.
-  async::Task<Result<bool>> RevokeLease(uint64_t lease_id, Route route = Route::kDirect);
+  async::Task<CallResult<bool>> RevokeLease(uint64_t lease_id, Route route = Route::kDirect);
 
   // Changes of keys with a prefix after `revision`. Without any, the service answers after
   // `block_s` seconds.
-  async::Task<Result<model::WatchResponse>> Watch(std::string prefix, uint64_t revision,
-                                                  double block_s);
+  async::Task<CallResult<model::WatchResponse>> Watch(std::string prefix, uint64_t revision,
+                                                      double block_s);
 
   // True once the service has refused what only the lowered limits forbid.
   bool limits_lowered() const { return limits_lowered_; }
--- a/src/store/decode_result.h
+++ b/src/store/decode_result.h
@@ -5,7 +5,8 @@
 #include <string>
 #include <string_view>
 #include <utility>
-#include <variant>
+
+#include "base/result.h"
 
 namespace hallpier::store {
 
@@ -15,42 +16,17 @@
   std::string reason;  // what is wrong with it
 };
 
+template <class Record>
+using DecodeResult = hallpier::Result<Record, DecodeError>;
+
 // Logs, at level error, that the record under `key` can't be read.
 void LogUnreadable(std::string_view key, const DecodeError& error);
 
+// The record, or nothing, for callers that apply it: one that can't be read is logged.
 template <class Record>
-class [[nodiscard]] DecodeResult {
- public:
-  // Implicit both, so that a decoder returns either.
-  DecodeResult(Record record) : outcome_(std::move(record)) {}
-  DecodeResult(DecodeError error) : outcome_(std::move(error)) {}
-
-  bool has_value() const { return std::holds_alternative<Record>(outcome_); }
-  explicit operator bool() const { return has_value(); }
-  // Only if there is a record.
-  Record& operator*() { return std::get<Record>(outcome_); }
-  const Record& operator*() const { return std::get<Record>(outcome_); }
-  Record* operator->() { return &std::get<Record>(outcome_); }
-  const Record* operator->() const { return &std::get<Record>(outcome_); }
-  // Only if there is none.
-  const DecodeError& error() const { return std::get<DecodeError>(outcome_); }
-
-  Record value_or(Record fallback) && {
-    return has_value() ? std::move(**this) : std::move(fallback);
-  }
-  // The record, or nothing, for callers that treat every unreadable record alike.
-  std::optional<Record> ToOptional() && {
-    if (!has_value()) return std::nullopt;
-    return std::move(**this);
-  }
-  // The same for callers that apply the record: one that can't be read is logged with its key.
-  std::optional<Record> ToOptionalOrLog(std::string_view key) && {
-    if (!has_value()) LogUnreadable(key, error());
-    return std::move(*this).ToOptional();
-  }
-
- private:
-  std::variant<Record, DecodeError> outcome_;
-};
+std::optional<Record> RecordOrLog(std::string_view key, DecodeResult<Record> result) {
+  if (!result) LogUnreadable(key, result.error());
+  return std::move(result).ToOptional();
+}
 
 }  // namespace hallpier::store
--- a/src/store/record_formats.cc
+++ b/src/store/record_formats.cc
@@ -49,7 +49,7 @@
 void RecordFormats::OnNodeFormat(const std::string& node, const std::string& value) {
   uint64_t format = 0;
   if (!value.empty()) {
-    format = ReadNodeFormat(value).ToOptionalOrLog(NodeFormatKey(node)).value_or(0);
+    format = RecordOrLog(NodeFormatKey(node), ReadNodeFormat(value)).value_or(0);
   }
   node_formats_[node] = format;
   wake_.Notify();
@@ -57,7 +57,7 @@
 
 void RecordFormats::OnFormatRecord(const std::string& value) {
   if (value.empty() || format_record_) return;
-  auto record = ReadFormat(value).ToOptionalOrLog(FormatKey());
+  auto record = RecordOrLog(FormatKey(), ReadFormat(value));
   if (!record) return;
   format_record_ = record;
   client_.ExpectLoweredLimits();
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -89,8 +89,8 @@
 inline std::vector<std::string> GetTexts(const JsonValue* list) {
   std::vector<std::string> out;
   if (list == nullptr || !list->IsArray()) return out;
-  for (const auto& v : list->GetArray()) {
-    if (v.IsString()) out.emplace_back(v.GetString(), v.GetStringLength());
+  for (const JsonValue& item : list->GetArray()) {
+    if (item.IsString()) out.emplace_back(item.GetString(), item.GetStringLength());
   }
   return out;
 }
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -236,7 +236,7 @@
   PeerMessage message = ReadBody(type, reader);
   if (reader.Finished()) return message;
   const std::string fault = reader.ok() ? "more than it should be" : reader.fault();
-  return Error(MalformedMessage{std::string(TypeName(type)) + ": " + fault});
+  return MalformedMessage{std::string(TypeName(type)) + ": " + fault};
 }
 
 std::string_view PeerMessageName(const PeerMessage& message) {
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -132,7 +132,7 @@
   spec.checkpoint_s = reader.Amount("snapshotS");
   if (reader.Has("dueS")) spec.due_s = reader.Amount("dueS");
   spec.awaits = reader.Dependencies();
-  if (reader.error()) return Error(*reader.error());
+  if (reader.error()) return *reader.error();
   return spec;
 }
 
