--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -35,7 +35,7 @@
 std::vector<char> HoldersAble(const jobs::Job& job, const fleet::WorkerRegistry& registry,
                               const plan::Context& context, const plan::PlacementScope& scope) {
   std::vector<char> able(scope.holder_count, 0);
-  for (const auto& [name, machine] : registry.all()) {
+  for (const auto& [name, machine] : registry.machines()) {
     const std::optional<size_t> holder = scope.holder_of(name);
     if (!holder || able[*holder] != 0 || !machine.has_reported() || machine.cloud.terminating)
       continue;
--- a/src/blocks/machine_mirror.cc
+++ b/src/blocks/machine_mirror.cc
@@ -7,7 +7,7 @@
 
 void MachineMirror::Forget() {
   std::vector<std::string> names;
-  for (const auto& [name, machine] : registry_.all()) names.push_back(name);
+  for (const auto& [name, machine] : registry_.machines()) names.push_back(name);
   for (const std::string& name : names) registry_.Remove(name);
 }
 
@@ -25,8 +25,8 @@
   for (const std::string& machine : view.gone) registry_.Remove(machine);
   for (const model::MachineView& machine : view.changed)
     fleet::ApplyMachineView(registry_, machine, now);
-  registry_.failures().ApplyView(view.failures, now);
-  fleet::ConfirmMachineViews(registry_, now);
+  registry_.failure_tracker().ApplyFailures(view.failures, now);
+  fleet::MarkMachinesFresh(registry_, now);
   return view.sequence;
 }
 
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -43,8 +43,8 @@
                                                  const jobs::JobTable& job_table, double now) {
   const std::vector<std::string> images = ImagesNeeded(job_table);
   std::vector<model::MachineView> views;
-  views.reserve(registry.all().size());
-  for (const auto& [name, machine] : registry.all()) {
+  views.reserve(registry.machines().size());
+  for (const auto& [name, machine] : registry.machines()) {
     if (machine.has_reported())
       views.push_back(fleet::DescribeMachine(registry, machine, images, now));
   }
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -190,7 +190,7 @@
     if (!services_.formats->UnderstandsBlocks(node)) continue;
     const std::optional<size_t> holder = division.IndexOf(node);
     std::vector<model::JobFailures> failures;
-    if (holder) failures = registry_.failures().View(RetriesGrantedTo(*holder));
+    if (holder) failures = registry_.failure_tracker().DescribeFailures(RetriesGrantedTo(*holder));
     for (const wire::BlockView& view : link.sender.Next(services_.election->token(), division,
                                                         holder, machines, std::move(failures))) {
       link.unacknowledged[view.sequence] = Now();
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -110,7 +110,7 @@
   if (!holder) co_return;
   plan::RoundResult plan = Plan(*holder);
   for (const std::string& job : plan.retried_jobs) {
-    machines_.registry().failures().OnRetry(job, Now());
+    machines_.registry().failure_tracker().OnRetry(job, Now());
   }
   if (plan.placements.empty()) co_return;
   spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *holder, plan.waiting_tasks,
--- a/src/controller/heartbeat_handler.cc
+++ b/src/controller/heartbeat_handler.cc
@@ -23,7 +23,7 @@
   const bool newest = machine->IsNewestStatus(report);
   if (newest) commands = commands_.CommandsFor(*machine, false);
   // Noted before the answer goes out: the worker may count its lease as renewed from here on.
-  registry_.OnAnswerSent(report, commands, now);
+  registry_.OnResponseSent(report, commands, now);
   return {.status = kOk, .body = wire::WriteHeartbeatResponse(registry_.token(), commands)};
 }
 
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -104,7 +104,7 @@
 }
 
 size_t Leader::ReportingMachines() const {
-  const auto& machines = registry_.all();
+  const auto& machines = registry_.machines();
   return static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second.has_reported() && !entry.second.cloud.terminating;
   }));
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -140,7 +140,7 @@
   if (term.cancelled()) co_return;
   for (const std::string& job : plan.retried_jobs) {
     spdlog::info("retry: one task of a job that fails on every machine job={}", job);
-    parts_.registry.failures().OnRetry(job, began);
+    parts_.registry.failure_tracker().OnRetry(job, began);
   }
   LogRound(plan, decision.placements);
   // One write for all that a group of tasks has to say: the store takes few of them.
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -204,7 +204,7 @@
 
 async::Task<> ScalingLoop::ScaleIn(async::Scope& term) {
   std::vector<std::string> names;
-  for (const auto& [name, machine] : registry_.all()) {
+  for (const auto& [name, machine] : registry_.machines()) {
     if (!machine.cloud.terminating || names.size() >= kReturnsPerCall) continue;
     names.push_back(name);
   }
@@ -246,8 +246,8 @@
     }
     if (term.cancelled()) break;
     const double now = term.loop().Now();
-    const bool enough_report = autoscaler_.ReviewMachines(registry_, *services_.job_table, context_,
-                                                          !demands_.empty(), now);
+    const bool enough_report = autoscaler_.MarkMachinesForTermination(
+        registry_, *services_.job_table, context_, !demands_.empty(), now);
     if (!enough_report && !JustResumed(now, term.loop().resumed_at())) {
       services_.election->Resign(kResignRatio * services_.settings->lease_s,
                                  "most workers are silent");
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -139,7 +139,7 @@
 Autoscaler::FleetSummary Autoscaler::Summarize(WorkerRegistry& registry,
                                                const jobs::JobTable& job_table, double now) {
   FleetSummary summary;
-  for (auto& [name, machine] : registry.all()) {
+  for (auto& [name, machine] : registry.machines()) {
     if (machine.cloud.terminating) continue;
     if (!machine.has_reported() && machine.cloud.booting) continue;
     FleetSummary::Zone& zone = summary.zones[machine.zone];
@@ -150,7 +150,7 @@
     ++summary.reported;
     if (is_silent) ++summary.silent;
     if (registry.MissedHeartbeats(machine, now) > kOverdueIntervals) ++summary.overdue;
-    if (registry.AnswersLost(machine, now)) ++summary.answers_lost;
+    if (registry.AreResponsesLost(machine, now)) ++summary.answers_lost;
     const bool has_work = !job_table.PlacementsOn(name).empty() || !machine.reported_tasks.empty();
     if (has_work) {
       machine.cloud.idle_since = now;
@@ -206,7 +206,7 @@
   }
   // Where the answers to many are lost at once, they are more likely to be late than lost.
   const double many_answers_lost = kMaxAnswersLostShare * static_cast<double>(summary.reported) + 1;
-  if (registry.AnswersLost(machine, now) &&
+  if (registry.AreResponsesLost(machine, now) &&
       static_cast<double>(summary.answers_lost) < many_answers_lost) {
     return "our answers don't reach it";
   }
@@ -214,13 +214,15 @@
   return std::nullopt;
 }
 
-bool Autoscaler::ReviewMachines(WorkerRegistry& registry, const jobs::JobTable& job_table,
-                                const plan::Context& context, bool has_demand, double now) const {
+bool Autoscaler::MarkMachinesForTermination(WorkerRegistry& registry,
+                                            const jobs::JobTable& job_table,
+                                            const plan::Context& context, bool has_demand,
+                                            double now) const {
   FleetSummary summary = Summarize(registry, job_table, now);
   std::map<std::string, double> boot_deadlines = BootDeadlines(registry, context, now);
   const auto idle_kept =
       static_cast<size_t>(std::ceil(kIdleShare * static_cast<double>(summary.reported)));
-  for (auto& [name, machine] : registry.all()) {
+  for (auto& [name, machine] : registry.machines()) {
     if (machine.cloud.terminating) continue;
     const model::MachineType* type = context.FindMachineType(machine.machine_type);
     if (type == nullptr) continue;
--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -49,8 +49,8 @@
   // Marks machines to be terminated that never came up, went silent, don't get our answers, are
   // slow or are idle. `has_demand`: the last round wants more machines, so that idle ones are kept.
   // False if so many machines are silent that the fault is more likely ours.
-  bool ReviewMachines(WorkerRegistry& registry, const jobs::JobTable& job_table,
-                      const plan::Context& context, bool has_demand, double now) const;
+  bool MarkMachinesForTermination(WorkerRegistry& registry, const jobs::JobTable& job_table,
+                                  const plan::Context& context, bool has_demand, double now) const;
 
  private:
   // A kind of machine that the cloud may have or lack.
--- a/src/fleet/boot_times.cc
+++ b/src/fleet/boot_times.cc
@@ -70,7 +70,7 @@
   return observed == nullptr ? nominal_s : observed->median_s;
 }
 
-double BootTimes::LateAfter(const std::string& machine_type, double nominal_s) const {
+double BootTimes::LateThreshold(const std::string& machine_type, double nominal_s) const {
   // Boots that were quick for a while don't prove that slower ones fail: the cloud states its own.
   const double nominal = kNominalLateRatio * nominal_s;
   const Observed* observed = FindObserved(machine_type);
@@ -79,8 +79,8 @@
 
 double BootTimes::Deadline(const std::string& machine_type, double nominal_s, size_t late,
                            double now) const {
-  const double deadline =
-      std::max(kMinDeadlineRatio * nominal_s, kDeadlineRatio * LateAfter(machine_type, nominal_s));
+  const double deadline = std::max(kMinDeadlineRatio * nominal_s,
+                                   kDeadlineRatio * LateThreshold(machine_type, nominal_s));
   const double slow = kSlowBootsRatio * nominal_s;
   const bool boots_are_slow =
       late >= kMinLateForSlowBoots && late > CountRecent(machine_type, slow, now);
--- a/src/fleet/boot_times.h
+++ b/src/fleet/boot_times.h
@@ -20,7 +20,7 @@
   // or `nominal_s`, the boot time that the cloud states, until a few have been observed.
   double Expected(const std::string& machine_type, double nominal_s) const;
   // Seconds within which nearly all machines of the type are up. One that takes longer is late.
-  double LateAfter(const std::string& machine_type, double nominal_s) const;
+  double LateThreshold(const std::string& machine_type, double nominal_s) const;
   // Age in seconds at which a machine that is not up is given up. `late`: how many machines of the
   // type are late now. If these are more than have come up lately, boots are slow rather than the
   // machines dead: to terminate them would only start the same wait over.
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -92,7 +92,8 @@
   return succeeded_on.size() > 1 || !succeeded_on.contains(except_machine);
 }
 
-std::vector<model::JobFailures> FailureTracker::View(const std::set<std::string>& retried) const {
+std::vector<model::JobFailures> FailureTracker::DescribeFailures(
+    const std::set<std::string>& retried) const {
   std::vector<model::JobFailures> view;
   for (const auto& [id, history] : jobs_) {
     if (!history.suspected && history.failed_on.empty()) continue;
@@ -104,7 +105,7 @@
   return view;
 }
 
-void FailureTracker::ApplyView(const std::vector<model::JobFailures>& failures, double now) {
+void FailureTracker::ApplyFailures(const std::vector<model::JobFailures>& failures, double now) {
   jobs_.clear();
   for (const model::JobFailures& job : failures) {
     JobHistory& history = jobs_[job.job];
@@ -134,22 +135,22 @@
     return false;
   const auto& failures = entry->second.failures;
   const auto sound_jobs = std::count_if(failures.begin(), failures.end(), [&](const auto& failure) {
-    return !Suspected(failure.first);
+    return !IsSuspected(failure.first);
   });
   return static_cast<size_t>(sound_jobs) >= kMinJobsForQuarantine;
 }
 
-bool FailureTracker::Suspected(const std::string& job) const {
+bool FailureTracker::IsSuspected(const std::string& job) const {
   auto entry = jobs_.find(job);
   return entry != jobs_.end() && entry->second.suspected;
 }
 
-bool FailureTracker::RetryDue(const std::string& job, double now) const {
+bool FailureTracker::IsRetryDue(const std::string& job, double now) const {
   auto entry = jobs_.find(job);
   return entry == jobs_.end() || now >= entry->second.retry_not_before;
 }
 
-size_t FailureTracker::RetryBudget(double now) const {
+size_t FailureTracker::AvailableRetries(double now) const {
   const double interval = 1 / options_.retries_per_s;
   const double available = (now - next_retry_at_) / interval + 1;
   return static_cast<size_t>(std::clamp(available, 0.0, kRetryBurst));
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -49,20 +49,20 @@
 
   // Describes all jobs with failures for a controller that plans without receiving heartbeats.
   // `retried`: jobs of which the holder of their shard is to start one more task now.
-  std::vector<model::JobFailures> View(const std::set<std::string>& retried) const;
+  std::vector<model::JobFailures> DescribeFailures(const std::set<std::string>& retried) const;
   // On such a controller: replaces all that was known by the leader's description.
-  void ApplyView(const std::vector<model::JobFailures>& failures, double now);
+  void ApplyFailures(const std::vector<model::JobFailures>& failures, double now);
 
   // Machines that fail tasks of jobs which succeed elsewhere, by name.
   std::vector<std::string> FaultyMachines() const;
   // True if a machine may be faulty: it gets no new tasks until that is known.
   bool IsQuarantined(const std::string& machine, double now) const;
   // True if a job seems to fail because of itself, wherever it runs.
-  bool Suspected(const std::string& job) const;
+  bool IsSuspected(const std::string& job) const;
   // True if the backoff of a suspected job allows one more task to be started.
-  bool RetryDue(const std::string& job, double now) const;
+  bool IsRetryDue(const std::string& job, double now) const;
   // How many retries all suspected jobs together may start now.
-  size_t RetryBudget(double now) const;
+  size_t AvailableRetries(double now) const;
   // Machines on which a task of the job has failed, and none succeeded since; null: none.
   const std::set<std::string>* FailedOn(const std::string& job) const;
 
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -67,7 +67,7 @@
 };
 
 // Whether our answers to heartbeats reach the agent, judged by what its next heartbeat shows.
-struct AnswerState {
+struct ResponseState {
   // What the last answer should have changed.
   model::FencingToken token;
   model::AgentEpoch agent_epoch;
@@ -105,7 +105,7 @@
   bool spot = false;
 
   AgentState agent;
-  AnswerState answers;
+  ResponseState answers;
   CloudState cloud;
   PerformanceState performance;
   std::map<model::TaskId, ReportedTask> reported_tasks;
--- a/src/fleet/machine_views.cc
+++ b/src/fleet/machine_views.cc
@@ -76,8 +76,8 @@
   }
 }
 
-void ConfirmMachineViews(WorkerRegistry& registry, double now) {
-  for (auto& [name, machine] : registry.all()) machine.agent.last_heartbeat = now;
+void MarkMachinesFresh(WorkerRegistry& registry, double now) {
+  for (auto& [name, machine] : registry.machines()) machine.agent.last_heartbeat = now;
 }
 
 }  // namespace hallpier::fleet
--- a/src/fleet/machine_views.h
+++ b/src/fleet/machine_views.h
@@ -23,6 +23,6 @@
 
 // The other side: a message of the leader has been applied, and whatever the message left out has
 // not changed. All machines are as fresh as the message.
-void ConfirmMachineViews(WorkerRegistry& registry, double now);
+void MarkMachinesFresh(WorkerRegistry& registry, double now);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -49,7 +49,7 @@
                                                    const StopRequests& stop_requests) {
   if (reported.state == model::TaskPhase::kExited) return std::nullopt;
   if (!cancelled && !stop_requests.Contains(task, reported.attempt)) return std::nullopt;
-  const double grace_s = cancelled ? 0 : stop_requests.GraceOf(task);
+  const double grace_s = cancelled ? 0 : stop_requests.GraceSeconds(task);
   // A task that writes its checkpoint already needs no second command.
   if (grace_s > 0 && reported.state == model::TaskPhase::kSaving) return std::nullopt;
   return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, grace_s};
@@ -161,7 +161,7 @@
 
 bool NeedsHigherToken(const WorkerRegistry& registry, const jobs::JobTable& job_table) {
   const model::FencingToken token = registry.token();
-  for (const auto& [name, machine] : registry.all()) {
+  for (const auto& [name, machine] : registry.machines()) {
     if (machine.agent.token != token || machine.cloud.terminating) continue;
     const Placements& placements = job_table.PlacementsOn(name);
     for (const auto& [task, start] : machine.sent_starts) {
--- a/src/fleet/answer_acknowledgement.cc
+++ b/src/fleet/response_acknowledgement.cc
@@ -1,4 +1,4 @@
-#include "fleet/answer_acknowledgement.h"
+#include "fleet/response_acknowledgement.h"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 // the lease divided by this.
 constexpr double kLeaseDivisor = 3;
 
-void CountUnacknowledged(AnswerState& answers, int count, double now) {
+void CountUnacknowledged(ResponseState& answers, int count, double now) {
   if (answers.unacknowledged == 0) answers.unacknowledged_since = now;
   answers.unacknowledged += count;
 }
@@ -28,7 +28,7 @@
 
 void CheckAcknowledgement(Machine& machine, const model::Heartbeat& report,
                           model::FencingToken token, double lease_s, double now) {
-  AnswerState& answers = machine.answers;
+  ResponseState& answers = machine.answers;
   if (!machine.has_reported() || answers.token != token) return;
   if (report.agent_epoch > answers.agent_epoch) {
     // Its lease ran out although we had answered within it.
@@ -51,7 +51,7 @@
 
 void ExpectAcknowledgement(Machine& machine, const std::vector<model::WorkerCommand>& commands,
                            model::FencingToken token) {
-  AnswerState& answers = machine.answers;
+  ResponseState& answers = machine.answers;
   answers.token = token;
   answers.agent_epoch = machine.agent.epoch;
   answers.starts.clear();
@@ -61,7 +61,7 @@
 }
 
 bool AreAnswersLost(const Machine& machine, double lease_s, double now) {
-  const AnswerState& answers = machine.answers;
+  const ResponseState& answers = machine.answers;
   if (answers.unacknowledged < kLostAnswers) return false;
   return answers.unacknowledged > kLostAnswers ||
          now - answers.unacknowledged_since > lease_s / kLeaseDivisor;
--- a/src/fleet/answer_acknowledgement.h
+++ b/src/fleet/response_acknowledgement.h
@@ -2,7 +2,7 @@
 // partition).
 //
 // An answer should have an effect that the next heartbeat shows: the agent has seen our token, and
-// lists the tasks that it had to start. Works on AnswerState of a Machine; does no I/O.
+// lists the tasks that it had to start. Works on ResponseState of a Machine; does no I/O.
 #pragma once
 
 #include <vector>
--- a/src/fleet/stop_requests.h
+++ b/src/fleet/stop_requests.h
@@ -23,7 +23,7 @@
   // True if this attempt is to be stopped.
   bool Contains(const model::TaskId& task, uint64_t attempt) const;
   // Seconds to write a checkpoint. The task must have a request.
-  double GraceOf(const model::TaskId& task) const { return requests_.at(task).grace_s; }
+  double GraceSeconds(const model::TaskId& task) const { return requests_.at(task).grace_s; }
   // Drops requests for attempts that are not recorded as placed any more: they are fulfilled.
   void DropFulfilled(const jobs::JobTable& job_table);
 
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -7,7 +7,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "fleet/answer_acknowledgement.h"
+#include "fleet/response_acknowledgement.h"
 #include "fleet/slowness_estimate.h"
 
 namespace hallpier::fleet {
@@ -237,8 +237,8 @@
   }
 }
 
-void WorkerRegistry::OnAnswerSent(const model::Heartbeat& report,
-                                  const std::vector<model::WorkerCommand>& commands, double now) {
+void WorkerRegistry::OnResponseSent(const model::Heartbeat& report,
+                                    const std::vector<model::WorkerCommand>& commands, double now) {
   Machine* machine = Find(report.machine);
   if (machine == nullptr) return;
   AgentState& agent = machine->agent;
@@ -362,10 +362,10 @@
   machine.images[number] = true;
 }
 
-bool WorkerRegistry::IsLate(const Machine& machine, const model::MachineType& type,
-                            double now) const {
+bool WorkerRegistry::IsBootLate(const Machine& machine, const model::MachineType& type,
+                                double now) const {
   return !machine.has_reported() && machine.cloud.booting &&
-         now - machine.cloud.requested_at > boot_times_.LateAfter(type.name, type.boot_s);
+         now - machine.cloud.requested_at > boot_times_.LateThreshold(type.name, type.boot_s);
 }
 
 WorkerRegistry::BootingMachines WorkerRegistry::CountBooting(const model::MachineType& type,
@@ -374,7 +374,7 @@
   for (const auto& [name, machine] : machines_) {
     if (machine.has_reported() || !machine.cloud.booting || machine.cloud.terminating) continue;
     if (machine.machine_type != type.name) continue;
-    ++(IsLate(machine, type, now) ? booting.late : booting.on_time);
+    ++(IsBootLate(machine, type, now) ? booting.late : booting.on_time);
   }
   return booting;
 }
@@ -404,7 +404,7 @@
   return MissedHeartbeats(machine, now) > options_.silent_ratio;
 }
 
-bool WorkerRegistry::AnswersLost(const Machine& machine, double now) const {
+bool WorkerRegistry::AreResponsesLost(const Machine& machine, double now) const {
   return AreAnswersLost(machine, options_.lease_s, now);
 }
 
--- a/src/fleet/worker_registry.h
+++ b/src/fleet/worker_registry.h
@@ -71,8 +71,8 @@
   bool OnHeartbeat(const model::Heartbeat& report, double now, bool direct);
   // The answer to a heartbeat is about to be sent, with these commands: the agent's lease may be
   // renewed from here on.
-  void OnAnswerSent(const model::Heartbeat& report,
-                    const std::vector<model::WorkerCommand>& commands, double now);
+  void OnResponseSent(const model::Heartbeat& report,
+                      const std::vector<model::WorkerCommand>& commands, double now);
   // Takes in the complete list of the cloud, which was requested at `asked_at`. Machines that are
   // proven to have left the list are removed as terminated.
   void OnCloudList(const std::vector<model::CloudMachine>& listed, double asked_at, double now);
@@ -96,9 +96,9 @@
   // one that boots.
   double MissedHeartbeats(const Machine& machine, double now) const;
   // True if a machine's heartbeats come, but show that our answers don't reach it.
-  bool AnswersLost(const Machine& machine, double now) const;
+  bool AreResponsesLost(const Machine& machine, double now) const;
   // True if a machine is not up although nearly all others of its type would be.
-  bool IsLate(const Machine& machine, const model::MachineType& type, double now) const;
+  bool IsBootLate(const Machine& machine, const model::MachineType& type, double now) const;
   // Counts the machines of a type that are yet to come up and are to be kept.
   BootingMachines CountBooting(const model::MachineType& type, double now) const;
   // When the lease of everything that was started on a machine up to now will have expired. Null: a
@@ -110,8 +110,8 @@
   }
 
   // By name, which is the order that plans go through them in.
-  std::map<std::string, Machine>& all() { return machines_; }
-  const std::map<std::string, Machine>& all() const { return machines_; }
+  std::map<std::string, Machine>& machines() { return machines_; }
+  const std::map<std::string, Machine>& machines() const { return machines_; }
   // Null if unknown.
   Machine* Find(const std::string& name);
   const Machine* Find(const std::string& name) const;
@@ -123,8 +123,8 @@
   StopRequests& stop_requests() { return stop_requests_; }
   const StopRequests& stop_requests() const { return stop_requests_; }
   // Which job or machine is to blame for failures, and when a job that fails everywhere is retried.
-  FailureTracker& failures() { return failures_; }
-  const FailureTracker& failures() const { return failures_; }
+  FailureTracker& failure_tracker() { return failures_; }
+  const FailureTracker& failure_tracker() const { return failures_; }
   const BootTimes& boot_times() const { return boot_times_; }
   // The numbers of images in Machine::images.
   const ImageIndex& image_index() const { return image_index_; }
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -23,7 +23,7 @@
                                        : TeamQuotas::OfLimits(input.context.settings->teams, jobs,
                                                               machines.ended_by_team)),
         starvation_(input, machines.total_cpus),
-        retries_(input.registry.failures(), input.now, machines.total_cpus) {
+        retries_(input.registry.failure_tracker(), input.now, machines.total_cpus) {
     for (const jobs::Job* job : jobs) {
       // A blocked job takes no part of its team's guarantee, and creates no demand for machines.
       if (!job->cancelled && !job->blocked) Add(*job);
@@ -46,7 +46,7 @@
     if (job.waiting() == 0 || !MayPlaceHere(job)) return;
     const int rank = tier * kBands + order_.RemainingWorkBand(job);
     QueuedJob queued{&job, within_guarantee, rank, job.waiting()};
-    if (input_.registry.failures().Suspected(job.spec.id)) {
+    if (input_.registry.failure_tracker().IsSuspected(job.spec.id)) {
       // The last of its tier: no other job waits for what most likely fails again.
       queued.retry = true;
       queued.rank = tier * kBands + kBands - 1;
--- a/src/plan/retry_budget.cc
+++ b/src/plan/retry_budget.cc
@@ -9,8 +9,8 @@
 }  // namespace
 
 bool RetryBudget::TryRetry(const jobs::Job& job) {
-  if (!failures_.RetryDue(job.spec.id, now_)) return false;
-  if (retries_ >= failures_.RetryBudget(now_)) return false;
+  if (!failures_.IsRetryDue(job.spec.id, now_)) return false;
+  if (retries_ >= failures_.AvailableRetries(now_)) return false;
   const double limit = kRetryShare * total_cpus_;
   const double in_use = used_cpus_ + static_cast<double>(job.placed()) * job.spec.cpus;
   // While no such job has anything running, one is granted however small the site is.
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -136,7 +136,7 @@
   // True if a placement is a retry that delays the next ones.
   bool IsRetry(const QueuedJob& queued, const std::string& machine) const {
     const std::set<std::string>* failed_on =
-        input_.registry.failures().FailedOn(queued.job->spec.id);
+        input_.registry.failure_tracker().FailedOn(queued.job->spec.id);
     return queued.retry || (failed_on != nullptr && failed_on->contains(machine));
   }
 
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -96,7 +96,7 @@
   const bool usable = input.registry.AcceptsTasks(machine, input.now);
   const bool coming = !machine.has_reported() && machine.cloud.booting &&
                       !machine.cloud.terminating &&
-                      !input.registry.IsLate(machine, machine_type, input.now);
+                      !input.registry.IsBootLate(machine, machine_type, input.now);
   if (!usable && !coming) return;
   round.total_cpus += machine_type.cpus;
   const Resources capacity = CapacityOf(machine_type);
@@ -114,7 +114,7 @@
 
 RoundMachines CollectMachines(const RoundInput& input) {
   RoundMachines round;
-  for (const auto& [name, machine] : input.registry.all()) {
+  for (const auto& [name, machine] : input.registry.machines()) {
     const model::MachineType* machine_type = input.context.FindMachineType(machine.machine_type);
     if (machine_type == nullptr) continue;
     const std::optional<size_t> holder = HolderInScope(input.scope, name);
--- a/src/plan/spot_eviction.cc
+++ b/src/plan/spot_eviction.cc
@@ -7,7 +7,7 @@
 std::vector<Preemption> EvictFromReclaimedMachines(const RoundInput& input) {
   const double stop_s = kStopReactions * ReactionTime(input.context);
   std::vector<Preemption> preemptions;
-  for (const auto& [name, machine] : input.registry.all()) {
+  for (const auto& [name, machine] : input.registry.machines()) {
     if (!machine.HasSpotNotice()) continue;
     const double time_left = machine.agent.reclaim_at - input.now;
     for (const auto& [task, attempt] : input.job_table.PlacementsOn(name)) {
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -21,8 +21,8 @@
   for (const auto& [number, task_group] : job.task_groups()) {
     for (const auto& [index, task] : task_group.open) {
       if (task.machine.empty()) continue;
-      const auto machine = registry.all().find(task.machine);
-      if (machine == registry.all().end()) {
+      const auto machine = registry.machines().find(task.machine);
+      if (machine == registry.machines().end()) {
         placed.unknown = true;
       } else {
         ++placed.tasks[machine->second.zone];
@@ -51,12 +51,12 @@
   // Whole machines stay free for large tasks. Urgent tasks start faster where little else starts.
   task_class.pack = queued.job->priority > model::Priority::kUrgent;
   task_class.one_zone = spec.one_zone;
-  const fleet::FailureTracker& failures = input_.registry.failures();
+  const fleet::FailureTracker& failures = input_.registry.failure_tracker();
   const std::set<std::string>* failed_on = failures.FailedOn(spec.id);
   if (failed_on != nullptr && FailedOnAllMachines(spec, *failed_on)) {
     // There is no machine that it has not failed on: it is retried there, but not at once.
     failed_on = nullptr;
-    if (!queued.retry) task_class.count = failures.RetryDue(spec.id, input_.now) ? 1 : 0;
+    if (!queued.retry) task_class.count = failures.IsRetryDue(spec.id, input_.now) ? 1 : 0;
   }
   task_class.run_s = RunTimes(*queued.job, failed_on);
   if (spec.one_zone || spec.spread) ConstrainZones(*queued.job, task_class);
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -26,11 +26,12 @@
                           false);
   }
   bool Review(double now) {
-    return autoscaler_.ReviewMachines(registry_, job_table_, context_, true, now);
+    return autoscaler_.MarkMachinesForTermination(registry_, job_table_, context_, true, now);
   }
   int Terminating() {
     int count = 0;
-    for (const auto& [name, machine] : registry_.all()) count += machine.cloud.terminating ? 1 : 0;
+    for (const auto& [name, machine] : registry_.machines())
+      count += machine.cloud.terminating ? 1 : 0;
     return count;
   }
 
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -287,14 +287,14 @@
   Report(4, 2, true);
   EXPECT_EQ(Take(Next()), 1U);
   int own = 0;
-  for (const auto& [name, machine] : mirror_.registry().all()) {
+  for (const auto& [name, machine] : mirror_.registry().machines()) {
     EXPECT_EQ(machine.zone, "a");
     const bool mine = division_.HolderOf(name) == 1U;
     EXPECT_EQ(mirror_.registry().AcceptsTasks(machine, 51), mine);
     EXPECT_EQ(machine.machine_type, mine ? "c4" : "");
     if (mine) ++own;
   }
-  EXPECT_EQ(mirror_.registry().all().size(), 30U);
+  EXPECT_EQ(mirror_.registry().machines().size(), 30U);
   EXPECT_GT(own, 3);
 }
 
@@ -316,12 +316,12 @@
   Take(Next(6));
   ViewSender former;
   EXPECT_EQ(Take(former.Next(Token(5), division_, 1, {}, {})), std::nullopt);
-  EXPECT_EQ(mirror_.registry().all().size(), 30U);
+  EXPECT_EQ(mirror_.registry().machines().size(), 30U);
 }
 
 TEST_F(ViewTest, WithoutTheLeaderMachinesAreNotUsedForLong) {
   Take(Next());
-  for (const auto& [name, machine] : mirror_.registry().all()) {
+  for (const auto& [name, machine] : mirror_.registry().machines()) {
     EXPECT_FALSE(mirror_.registry().AcceptsTasks(machine, 50 + 2 * options_.heartbeat_interval_s));
   }
 }
@@ -334,7 +334,7 @@
     EXPECT_LE(wire::WritePeerMessage(view).size(), wire::kMaxPeerFrame);
   }
   EXPECT_EQ(Take(views), views.size());
-  EXPECT_EQ(mirror_.registry().all().size(), 4000U);
+  EXPECT_EQ(mirror_.registry().machines().size(), 4000U);
 }
 
 }  // namespace
--- a/tests/boot_times_test.cc
+++ b/tests/boot_times_test.cc
@@ -11,7 +11,7 @@
 TEST(BootTimes, TheNominalTimeCountsUntilBootsWereObserved) {
   BootTimes boots;
   EXPECT_EQ(boots.Expected("c4", kNominal), kNominal);
-  EXPECT_EQ(boots.LateAfter("c4", kNominal), 2 * kNominal);
+  EXPECT_EQ(boots.LateThreshold("c4", kNominal), 2 * kNominal);
   EXPECT_DOUBLE_EQ(boots.Deadline("c4", kNominal, 1, 0), 4 * kNominal);
   for (int i = 0; i < 4; ++i) boots.OnBooted("c4", 100, 0);
   EXPECT_EQ(boots.Expected("c4", kNominal), kNominal) << "too few";
@@ -21,16 +21,16 @@
   BootTimes boots;
   for (int i = 1; i <= 100; ++i) boots.OnBooted("c4", 2 * i, 0);
   EXPECT_EQ(boots.Expected("c4", kNominal), 100);
-  EXPECT_EQ(boots.LateAfter("c4", kNominal), 180);
+  EXPECT_EQ(boots.LateThreshold("c4", kNominal), 180);
   EXPECT_DOUBLE_EQ(boots.Deadline("c4", kNominal, 1, 0), 1.3 * 180);
-  EXPECT_EQ(boots.LateAfter("c8", kNominal), 2 * kNominal);
+  EXPECT_EQ(boots.LateThreshold("c8", kNominal), 2 * kNominal);
 }
 
 TEST(BootTimes, QuickBootsDontLowerTheDeadline) {
   BootTimes boots;
   for (int i = 0; i < 100; ++i) boots.OnBooted("c4", 1, 0);
   EXPECT_EQ(boots.Expected("c4", kNominal), 1);
-  EXPECT_EQ(boots.LateAfter("c4", kNominal), 2 * kNominal);
+  EXPECT_EQ(boots.LateThreshold("c4", kNominal), 2 * kNominal);
 }
 
 // A thousand machines that took four times as long were all returned just before they came up, and
@@ -50,7 +50,7 @@
   BootTimes boots;
   for (int i = 0; i < 1000; ++i) boots.OnBooted("c4", 400, 0);
   for (int i = 0; i < 1000; ++i) boots.OnBooted("c4", kNominal, 1);
-  EXPECT_EQ(boots.LateAfter("c4", kNominal), 2 * kNominal);
+  EXPECT_EQ(boots.LateThreshold("c4", kNominal), 2 * kNominal);
 }
 
 }  // namespace
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -32,9 +32,9 @@
 
 TEST_F(FailureTrackerTest, AJobThatFailsEverywhereIsSuspectedAndItsMachinesAreNot) {
   FailOn("run-1", 2, 1);
-  EXPECT_FALSE(tracker_.Suspected("run-1")) << "two machines may both be faulty";
+  EXPECT_FALSE(tracker_.IsSuspected("run-1")) << "two machines may both be faulty";
   FailOn("run-1", 3, 1);
-  EXPECT_TRUE(tracker_.Suspected("run-1"));
+  EXPECT_TRUE(tracker_.IsSuspected("run-1"));
   EXPECT_TRUE(tracker_.FaultyMachines().empty());
   EXPECT_FALSE(tracker_.IsQuarantined("vm-0", 1));
 }
@@ -42,7 +42,7 @@
 TEST_F(FailureTrackerTest, OnASmallSiteAllMachinesAreEnough) {
   tracker_.OnFailure("run-1", "vm-0", 1);
   tracker_.Reconcile(job_table_, 1);
-  EXPECT_TRUE(tracker_.Suspected("run-1"));
+  EXPECT_TRUE(tracker_.IsSuspected("run-1"));
 }
 
 // A sound job whose tasks were spread over many machines must not be held back by the few of them
@@ -50,10 +50,10 @@
 TEST_F(FailureTrackerTest, AJobThatRunsOnMoreMachinesThanItFailedOnIsNotSuspected) {
   for (uint32_t i = 0; i < 4; ++i) Place(job_table_, "run-1", i, 1, "vm-" + std::to_string(5 + i));
   FailOn("run-1", 3, 1);
-  EXPECT_FALSE(tracker_.Suspected("run-1"));
+  EXPECT_FALSE(tracker_.IsSuspected("run-1"));
   for (int i = 5; i < 9; ++i) tracker_.OnFailure("run-1", "vm-" + std::to_string(i), 2);
   tracker_.Reconcile(job_table_, kMachines);
-  EXPECT_TRUE(tracker_.Suspected("run-1"));
+  EXPECT_TRUE(tracker_.IsSuspected("run-1"));
 }
 
 TEST_F(FailureTrackerTest, JobsThatSucceedElsewhereCondemnTheMachine) {
@@ -94,21 +94,21 @@
   EXPECT_EQ(tracker_.FaultyMachines(), std::vector<std::string>{"vm-0"});
   for (int i = 1; i < 5; ++i)
     EXPECT_FALSE(tracker_.IsQuarantined("vm-" + std::to_string(i), 1)) << i;
-  EXPECT_TRUE(tracker_.Suspected("run-1"));
-  EXPECT_TRUE(tracker_.Suspected("run-2"));
-  EXPECT_FALSE(tracker_.Suspected("run-3"));
+  EXPECT_TRUE(tracker_.IsSuspected("run-1"));
+  EXPECT_TRUE(tracker_.IsSuspected("run-2"));
+  EXPECT_FALSE(tracker_.IsSuspected("run-3"));
 }
 
 TEST_F(FailureTrackerTest, RetriesBackOffUpToTheBound) {
   FailOn("run-1", 3, 0);
-  EXPECT_FALSE(tracker_.RetryDue("run-1", 0.9 * kBackoff));
+  EXPECT_FALSE(tracker_.IsRetryDue("run-1", 0.9 * kBackoff));
   double now = kBackoff;
   for (double expected : {6.0, 12.0, 24.0, kMaxBackoff, kMaxBackoff}) {
-    ASSERT_TRUE(tracker_.RetryDue("run-1", now));
+    ASSERT_TRUE(tracker_.IsRetryDue("run-1", now));
     tracker_.OnRetry("run-1", now);
     tracker_.OnFailure("run-1", "vm-0", now + 1);
-    EXPECT_FALSE(tracker_.RetryDue("run-1", now + 0.99 * expected));
-    EXPECT_TRUE(tracker_.RetryDue("run-1", now + 1 + expected)) << "counted from the failure";
+    EXPECT_FALSE(tracker_.IsRetryDue("run-1", now + 0.99 * expected));
+    EXPECT_TRUE(tracker_.IsRetryDue("run-1", now + 1 + expected)) << "counted from the failure";
     now += 1 + expected;
   }
 }
@@ -118,8 +118,8 @@
   FailOn("run-2", 3, 0);
   tracker_.OnRetry("run-1", 3);
   tracker_.OnSuccess("run-1", "vm-7");
-  EXPECT_FALSE(tracker_.Suspected("run-1"));
-  EXPECT_TRUE(tracker_.RetryDue("run-1", 3));
+  EXPECT_FALSE(tracker_.IsSuspected("run-1"));
+  EXPECT_TRUE(tracker_.IsRetryDue("run-1", 3));
   EXPECT_TRUE(tracker_.FaultyMachines().empty()) << "one failure each so far";
   tracker_.OnSuccess("run-2", "vm-7");
   EXPECT_EQ(tracker_.FaultyMachines().size(), 3U);
@@ -131,14 +131,14 @@
   task_group.done.Insert(0);
   PutTaskGroup(job_table_, "run-1", 0, task_group);
   FailOn("run-1", 4, 1);
-  EXPECT_FALSE(tracker_.Suspected("run-1"));
+  EXPECT_FALSE(tracker_.IsSuspected("run-1"));
 }
 
 TEST_F(FailureTrackerTest, AllRetriesTogetherAreBounded) {
   for (const char* id : {"run-1", "run-2", "run-3"}) FailOn(id, 3, 0);
   size_t started = 0;
   for (double now = 100; now < 200; now += 0.5) {
-    for (size_t n = tracker_.RetryBudget(now); n > 0; --n, ++started)
+    for (size_t n = tracker_.AvailableRetries(now); n > 0; --n, ++started)
       tracker_.OnRetry("run-1", now);
   }
   EXPECT_GE(started, 50U);
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -59,7 +59,8 @@
       }
       registry_.OnHeartbeat(report, now, false);
       fleet::Machine* machine = registry_.Find(report.machine);
-      registry_.OnAnswerSent(report, fleet::Reconcile(registry_, *machine, job_table_, false), now);
+      registry_.OnResponseSent(report, fleet::Reconcile(registry_, *machine, job_table_, false),
+                               now);
     }
   }
 
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -20,7 +20,7 @@
   fleet.PutRecords();
   fleet.TakeOver(LargeFleet::kStart);
   fleet.registry().OnCloudList(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
-  EXPECT_EQ(fleet.registry().all().size(), kMachines);
+  EXPECT_EQ(fleet.registry().machines().size(), kMachines);
   EXPECT_TRUE(
       fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), LargeFleet::kStart + 1)
           .empty())
@@ -41,7 +41,7 @@
   const std::vector<model::CloudMachine> late = fleet.Listing();
   for (size_t i = 0; i < kWave; ++i) fleet.registry().OnTerminated(LargeFleet::MachineName(i));
   fleet.registry().OnCloudList(late, LargeFleet::kStart, LargeFleet::kStart + 1);
-  EXPECT_EQ(fleet.registry().all().size(), 0U);
+  EXPECT_EQ(fleet.registry().machines().size(), 0U);
 }
 
 TEST(LargeFleet, ANodeHandsOverAsManyCancellationsAsAFrameMayHave) {
--- a/tests/answer_acknowledgement_test.cc
+++ b/tests/response_acknowledgement_test.cc
@@ -1,5 +1,5 @@
 // Machines whose heartbeats arrive while our answers to them get lost.
-#include "fleet/answer_acknowledgement.h"
+#include "fleet/response_acknowledgement.h"
 
 #include <gtest/gtest.h>
 
@@ -12,12 +12,12 @@
 
 using namespace testing_support;
 
-class AnswerAcknowledgementTest : public WorkerRegistryFixture {};
+class ResponseAcknowledgementTest : public WorkerRegistryFixture {};
 
 // Seen from heartbeats alone: they never show the token that every answer carries.
-TEST_F(AnswerAcknowledgementTest, AMachineThatHearsNothingGetsNoWorkAndItsTasksStayCounted) {
+TEST_F(ResponseAcknowledgementTest, AMachineThatHearsNothingGetsNoWorkAndItsTasksStayCounted) {
   for (int i = 1; i <= 5; ++i) Heartbeat(1, static_cast<uint64_t>(i), {}, 3 * i);
-  EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 15));
+  EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 15));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 15));
   EXPECT_FALSE(IsRequeued(15))
       << "nothing proves that the former leader's start command was not executed";
@@ -25,20 +25,20 @@
   EXPECT_TRUE(IsRequeued(16));
 }
 
-TEST_F(AnswerAcknowledgementTest, AMachineThatNeverShowsItsCommandsLosesOurAnswers) {
+TEST_F(ResponseAcknowledgementTest, AMachineThatNeverShowsItsCommandsLosesOurAnswers) {
   Heartbeat(1, 1, kToken, 3);
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 3));
   for (int i = 2; i <= 6; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i);
-  EXPECT_TRUE(registry_.AnswersLost(*registry_.Find("vm-1"), 18));
+  EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 18));
   // They arrive at one that shows the commands late.
   Heartbeat(1, 7, kToken, 21, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kFetching)});
-  EXPECT_FALSE(registry_.AnswersLost(*registry_.Find("vm-1"), 21));
+  EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 21));
 }
 
-TEST_F(AnswerAcknowledgementTest, AMachineWhoseLeaseEndsThoughItWasAnsweredLosesOurAnswers) {
+TEST_F(ResponseAcknowledgementTest, AMachineWhoseLeaseEndsThoughItWasAnsweredLosesOurAnswers) {
   const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
   for (int i = 1; i <= 10; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {runs});
-  EXPECT_FALSE(registry_.AnswersLost(*registry_.Find("vm-1"), 30));
+  EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 30));
   Heartbeat(2, 11, kToken, 33);
   Heartbeat(2, 12, kToken, 36);
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 36));
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -24,7 +24,7 @@
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
-    registry_.failures().OnFailure("run-1", name, 90);
+    registry_.failure_tracker().OnFailure("run-1", name, 90);
   registry_.UpdateObservations(job_table_);
   RoundResult alone = Plan();
   EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
@@ -41,10 +41,10 @@
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
-    registry_.failures().OnFailure("run-1", name, 99);
+    registry_.failure_tracker().OnFailure("run-1", name, 99);
   registry_.UpdateObservations(job_table_);
   EXPECT_TRUE(Plan().placements.empty());
-  registry_.failures().OnSuccess("run-1", "vm-1");
+  registry_.failure_tracker().OnSuccess("run-1", "vm-1");
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
 }
 
@@ -59,7 +59,7 @@
   model::JobSpec bound = Spec("run-1", 8);
   bound.zone = "a";
   PutJob(job_table_, bound, 1);
-  registry_.failures().OnFailure("run-1", "vm-1", 99);
+  registry_.failure_tracker().OnFailure("run-1", "vm-1", 99);
   registry_.UpdateObservations(job_table_);
   EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
   RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
@@ -73,7 +73,8 @@
   for (int j = 0; j < 10; ++j) {
     const std::string id = "run-" + std::to_string(j);
     PutJob(job_table_, Spec(id, 20), 1);
-    for (int i = 0; i < 3; ++i) registry_.failures().OnFailure(id, "vm-" + std::to_string(i), 90);
+    for (int i = 0; i < 3; ++i)
+      registry_.failure_tracker().OnFailure(id, "vm-" + std::to_string(i), 90);
   }
   registry_.UpdateObservations(job_table_);
   EXPECT_EQ(Plan().placements.size(), 2U) << "2 of 120 processors";
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -126,7 +126,7 @@
   }
   transitions.insert(transitions.end(), own.places.begin(), own.places.end());
   Send(node, transitions, own.preconditions, false);
-  for (const auto& [name, machine] : node.registry->all()) RequestHeartbeat(node, name);
+  for (const auto& [name, machine] : node.registry->machines()) RequestHeartbeat(node, name);
 }
 
 BlocksCluster::OwnPlacements BlocksCluster::PlanOwnPlacements(Node& node, bool divided) {
@@ -223,7 +223,7 @@
   if (leader.revision >= leader.token.value()) {
     commands = fleet::Reconcile(*leader.registry, *machine, leader.job_table, false);
   }
-  leader.registry->OnAnswerSent(heartbeat, commands, now());
+  leader.registry->OnResponseSent(heartbeat, commands, now());
   At(options_.delay_s, [this, heartbeat, token = leader.token, commands, sent] {
     workers_.OnAnswer(heartbeat, token, commands, sent);
   });
--- a/tests/stop_requests_test.cc
+++ b/tests/stop_requests_test.cc
@@ -20,16 +20,16 @@
   requests.Add(kTask, 3, 8);
   EXPECT_FALSE(requests.Contains(kTask, 2));
   EXPECT_TRUE(requests.Contains(kTask, 3));
-  EXPECT_EQ(requests.GraceOf(kTask), 8) << "another attempt has a grace of its own";
+  EXPECT_EQ(requests.GraceSeconds(kTask), 8) << "another attempt has a grace of its own";
 }
 
 TEST(StopRequests, GraceIsOnlyShortened) {
   StopRequests requests;
   requests.Add(kTask, 2, 5);
   requests.Add(kTask, 2, 9);
-  EXPECT_EQ(requests.GraceOf(kTask), 5);
+  EXPECT_EQ(requests.GraceSeconds(kTask), 5);
   requests.Add(kTask, 2, 0);
-  EXPECT_EQ(requests.GraceOf(kTask), 0);
+  EXPECT_EQ(requests.GraceSeconds(kTask), 0);
 }
 
 TEST(StopRequests, AreFulfilledOnceTheAttemptIsNotRecordedAnyMore) {
--- a/tests/worker_registry_fixture.h
+++ b/tests/worker_registry_fixture.h
@@ -37,7 +37,7 @@
         machine.agent.sequence == sequence) {
       commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, false);
     }
-    registry_.OnAnswerSent(report, commands, now);
+    registry_.OnResponseSent(report, commands, now);
     return commands;
   }
 
--- a/tests/worker_registry_test.cc
+++ b/tests/worker_registry_test.cc
@@ -41,7 +41,7 @@
         TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)};
     registry_.OnHeartbeat(report, 2, false);
   }
-  for (const auto& [name, machine] : registry_.all())
+  for (const auto& [name, machine] : registry_.machines())
     EXPECT_FALSE(machine.cloud.terminating) << name;
 }
 
@@ -50,8 +50,8 @@
 TEST_F(WorkerRegistryTest, FailuresCountEvenIfTheTaskWasNeverSeenAlive) {
   Heartbeat(1, 1, kToken, 1,
             {TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
-  ASSERT_NE(registry_.failures().FailedOn("run-2"), nullptr);
-  EXPECT_TRUE(registry_.failures().FailedOn("run-2")->contains("vm-1"));
+  ASSERT_NE(registry_.failure_tracker().FailedOn("run-2"), nullptr);
+  EXPECT_TRUE(registry_.failure_tracker().FailedOn("run-2")->contains("vm-1"));
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 1));
   Heartbeat(1, 2, kToken, 2,
             {TaskReportOf("run-3", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
