--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -11,20 +11,22 @@
 namespace {
 
 constexpr int kMaxMachinesPerRequest = 50;
-// An offer that ran dry is asked again after this many heartbeat intervals.
-constexpr double kDryOfferIntervals = 5;
-// Machines that are not up, late ones included, are at most so many times those that are needed.
+// An offer that ran out of capacity is requested again after this many heartbeat intervals.
+constexpr double kCapacityRetryIntervals = 5;
+// Maximum ratio of booting machines, including late ones, to the number needed.
 constexpr double kMaxBootingRatio = 2;
-// Machines that don't get our answers are terminated while they are fewer than this part of all.
-constexpr double kMaxAnswersLostShare = 0.25;
-// A machine is overdue that has not been heard for this many heartbeat intervals: a heartbeat may
-// be late by a quarter of an interval, and an answer slow.
+// Machines that don't receive our responses are terminated only while they are less than about this
+// fraction of all machines.
+constexpr double kMaxResponsesLostShare = 0.25;
+// A machine is overdue after this many heartbeat intervals without a heartbeat. This allows for
+// heartbeats that are a quarter of an interval late and for slow responses.
 constexpr double kOverdueIntervals = 1.5;
-// Where most machines of a zone fall silent the zone is partitioned rather than they are dead: they
-// are terminated only after so many leases, since they may be back at any moment.
+// If most machines of a zone are silent, the zone is probably partitioned and its machines are
+// alive. They may reconnect at any time, so they are terminated only after this many lease
+// durations.
 constexpr double kPartitionLeases = 3;
-// Idle machines that are kept, as a part of all that report.
-constexpr double kIdleShare = 0.25;
+// Fraction of the machines that have reported that is kept idle.
+constexpr double kIdleReserveShare = 0.25;
 
 }  // namespace
 
@@ -37,7 +39,7 @@
       key.choices += choice.machine_type + "*" + std::to_string(choice.fit) + " ";
     }
     auto [entry, is_new] = pools.try_emplace(std::move(key), DemandPool{&demand, 0});
-    entry->second.tasks += static_cast<double>(demand.tasks) * (1 + operators_.headroom);
+    entry->second.tasks += static_cast<double>(demand.tasks) * (1 + operator_options_.headroom);
   }
   std::vector<DemandPool> out;
   out.reserve(pools.size());
@@ -45,31 +47,34 @@
   return out;
 }
 
-std::vector<Autoscaler::Offer> Autoscaler::OpenOffers(const model::MachineType& type,
-                                                      const plan::CapacityDemand& demand, bool spot,
-                                                      const std::set<Offer>& requested,
-                                                      double now) const {
+std::vector<Autoscaler::Offer> Autoscaler::AvailableOffers(const model::MachineType& type,
+                                                           const plan::CapacityDemand& demand,
+                                                           bool spot,
+                                                           const std::set<Offer>& requested,
+                                                           double now) const {
   std::vector<Offer> offers;
   for (const std::string& zone : type.zones) {
     if (!demand.zone.empty() && zone != demand.zone) continue;
     Offer offer{type.name, zone, spot};
     auto retry_at = retry_at_.find(offer);
-    const bool is_dry = retry_at != retry_at_.end() && retry_at->second > now;
-    if (!is_dry && !requested.contains(offer)) offers.push_back(std::move(offer));
+    const bool is_exhausted = retry_at != retry_at_.end() && retry_at->second > now;
+    if (!is_exhausted && !requested.contains(offer)) offers.push_back(std::move(offer));
   }
   return offers;
 }
 
-std::vector<model::ScaleOutRequest> Autoscaler::RequestFrom(const std::vector<Offer>& offers,
-                                                            double tasks_per_machine,
-                                                            model::FencingToken token,
-                                                            size_t max_requests, DemandPool& pool) {
+std::vector<model::ScaleOutRequest> Autoscaler::BuildRequests(const std::vector<Offer>& offers,
+                                                              double tasks_per_machine,
+                                                              model::FencingToken token,
+                                                              size_t max_requests,
+                                                              DemandPool& pool) {
   std::vector<model::ScaleOutRequest> requests;
   while (!offers.empty() && pool.tasks > 0 && requests.size() < max_requests) {
     auto machines_left = static_cast<int>(std::ceil(pool.tasks / tasks_per_machine));
     for (size_t i = 0; i < offers.size(); ++i) {
       if (machines_left <= 0 || requests.size() >= max_requests) break;
-      // Spread over the zones, so that no single one takes everything with it.
+      // Spread the machines over the zones, so that the failure of one zone does not affect all of
+      // them.
       const auto zones_left = static_cast<int>(offers.size() - i);
       const int share = (machines_left + zones_left - 1) / zones_left;
       model::ScaleOutRequest request;
@@ -99,9 +104,10 @@
       for (const auto& choice : pool.example->choices) {
         const model::MachineType* type = model::FindMachineType(machine_types, choice.machine_type);
         if (type == nullptr) continue;
-        const std::vector<Offer> offers = OpenOffers(*type, *pool.example, spot, requested, now);
-        auto requests = RequestFrom(offers, static_cast<double>(choice.fit), token,
-                                    max_requests - out.size(), pool);
+        const std::vector<Offer> offers =
+            AvailableOffers(*type, *pool.example, spot, requested, now);
+        auto requests = BuildRequests(offers, static_cast<double>(choice.fit), token,
+                                      max_requests - out.size(), pool);
         std::move(requests.begin(), requests.end(), std::back_inserter(out));
         requested.insert(offers.begin(), offers.end());
       }
@@ -133,7 +139,7 @@
 
 void Autoscaler::OnCapacityShortage(const model::ScaleOutRequest& request, double now) {
   const Offer offer{request.machine_type, request.zone, request.spot};
-  retry_at_[offer] = now + kDryOfferIntervals * settings_.heartbeat_interval_s;
+  retry_at_[offer] = now + kCapacityRetryIntervals * settings_.heartbeat_interval_s;
 }
 
 Autoscaler::FleetSummary Autoscaler::Summarize(WorkerRegistry& registry,
@@ -150,7 +156,7 @@
     ++summary.reported;
     if (is_silent) ++summary.silent;
     if (registry.MissedHeartbeats(machine, now) > kOverdueIntervals) ++summary.overdue;
-    if (registry.AreResponsesLost(machine, now)) ++summary.answers_lost;
+    if (registry.AreResponsesLost(machine, now)) ++summary.responses_lost;
     const bool has_work = !job_table.PlacementsOn(name).empty() || !machine.reported_tasks.empty();
     if (has_work) {
       machine.cloud.idle_since = now;
@@ -171,26 +177,27 @@
   return deadlines;
 }
 
-bool Autoscaler::IsGivenUp(const WorkerRegistry& registry, const Machine& machine,
-                           const FleetSummary& summary, double now) const {
-  // The first to be silent are not terminated while most others have missed a heartbeat as well: it
-  // takes a few heartbeats more until it is plain that the fault is ours.
+bool Autoscaler::IsPresumedDead(const WorkerRegistry& registry, const Machine& machine,
+                                const FleetSummary& summary, double now) const {
+  // The first silent machines are not terminated while most others have missed a heartbeat as well.
+  // It takes a few more heartbeats until it is clear that this controller is cut off.
   if (summary.IsMajority(summary.overdue) || !registry.IsSilent(machine, now)) return false;
   if (!summary.zones.at(machine.zone).IsPartitioned()) return true;
-  const double unheard_s = registry.MissedHeartbeats(machine, now) * settings_.heartbeat_interval_s;
-  return unheard_s > kPartitionLeases * settings_.lease_s;
+  const double silent_s = registry.MissedHeartbeats(machine, now) * settings_.heartbeat_interval_s;
+  return silent_s > kPartitionLeases * settings_.lease_s;
 }
 
-std::optional<std::string_view> Autoscaler::TerminationReasonUnreported(
+std::optional<std::string_view> Autoscaler::UnreportedTerminationReason(
     const WorkerRegistry& registry, const Machine& machine, const FleetSummary& summary,
     double boot_deadline_s, double now) const {
   if (machine.cloud.booting) {
     const double age_s = now - machine.cloud.requested_at;
-    if (age_s > boot_deadline_s + settings_.list_lag_s) return "never came up";
+    if (age_s > boot_deadline_s + settings_.list_lag_s) return "boot timeout";
     return std::nullopt;
   }
-  // Once it is up its age says nothing: a machine that reported to an earlier leader is old, too.
-  if (IsGivenUp(registry, machine, summary, now)) return "up, but never reported";
+  // Once it is up, its age is no evidence: a machine that reported to an earlier leader is old,
+  // too.
+  if (IsPresumedDead(registry, machine, summary, now)) return "no heartbeat since boot";
   return std::nullopt;
 }
 
@@ -198,17 +205,18 @@
     const WorkerRegistry& registry, const jobs::JobTable& job_table, const Machine& machine,
     const FleetSummary& summary, double boot_deadline_s, double now) const {
   if (!machine.has_reported()) {
-    return TerminationReasonUnreported(registry, machine, summary, boot_deadline_s, now);
+    return UnreportedTerminationReason(registry, machine, summary, boot_deadline_s, now);
   }
   if (registry.IsSilent(machine, now)) {
-    if (IsGivenUp(registry, machine, summary, now)) return "silent";
+    if (IsPresumedDead(registry, machine, summary, now)) return "silent";
     return std::nullopt;
   }
-  // Where the answers to many are lost at once, they are more likely to be late than lost.
-  const double many_answers_lost = kMaxAnswersLostShare * static_cast<double>(summary.reported) + 1;
+  // If many machines show lost responses at once, the responses are more likely delayed than lost.
+  const double many_responses_lost =
+      kMaxResponsesLostShare * static_cast<double>(summary.reported) + 1;
   if (registry.AreResponsesLost(machine, now) &&
-      static_cast<double>(summary.answers_lost) < many_answers_lost) {
-    return "our answers don't reach it";
+      static_cast<double>(summary.responses_lost) < many_responses_lost) {
+    return "heartbeat responses lost";
   }
   if (IsSlow(machine) && job_table.PlacementsOn(machine.name).empty()) return "slow";
   return std::nullopt;
@@ -220,8 +228,8 @@
                                             double now) const {
   FleetSummary summary = Summarize(registry, job_table, now);
   std::map<std::string, double> boot_deadlines = BootDeadlines(registry, context, now);
-  const auto idle_kept =
-      static_cast<size_t>(std::ceil(kIdleShare * static_cast<double>(summary.reported)));
+  const auto idle_reserve =
+      static_cast<size_t>(std::ceil(kIdleReserveShare * static_cast<double>(summary.reported)));
   for (auto& [name, machine] : registry.machines()) {
     if (machine.cloud.terminating) continue;
     const model::MachineType* type = context.FindMachineType(machine.machine_type);
@@ -233,8 +241,8 @@
     }
     const double idle_s = now - machine.cloud.idle_since;
     const bool is_idle = machine.has_reported() && !registry.IsSilent(machine, now) &&
-                         idle_s > operators_.idle_ratio * type->boot_s;
-    if (!has_demand && is_idle && summary.idle > idle_kept) {
+                         idle_s > operator_options_.idle_ratio * type->boot_s;
+    if (!has_demand && is_idle && summary.idle > idle_reserve) {
       --summary.idle;
       registry.RequestTermination(machine, "idle");
     }
--- a/src/fleet/boot_times.cc
+++ b/src/fleet/boot_times.cc
@@ -7,25 +7,27 @@
 namespace hallpier::fleet {
 namespace {
 
-// Boots remembered for each type. Must be more than come in one wave: the last to come are the
-// slowest, and would be all that is remembered.
+// Boots kept per type. Must exceed the number of machines that are requested at once: the slowest
+// boot last, and would otherwise displace all others.
 constexpr size_t kMaxBoots = 1000;
-// From this many boots on, their quantiles are better than the nominal time.
+// With fewer boots than this, the nominal time is a better estimate than their quantiles.
 constexpr size_t kMinBoots = 5;
 constexpr double kMedian = 0.5;
-constexpr double kNearlyAll = 0.9;
-// Without observations, nearly all machines are up within this many nominal boot times.
+constexpr double kLateQuantile = 0.9;
+// Lower bound of the late threshold, in nominal boot times. It is the threshold itself while there
+// are too few observations.
 constexpr double kNominalLateRatio = 2;
-// A machine is given up at this many times the age at which it is late, and not before this many
-// nominal boot times: it has been replaced by then, and most late machines do come up...
+// Deadline of a booting machine, in multiples of the late threshold, and its minimum in nominal
+// boot times. Waiting beyond the late threshold is cheap: a replacement has been requested by then,
+// and most late machines do boot in the end.
 constexpr double kDeadlineRatio = 1.3;
 constexpr double kMinDeadlineRatio = 4;
-// ...unless boots are slow: then it is given this many nominal boot times.
+// Minimum deadline in nominal boot times while boots are slow.
 constexpr double kSlowBootsRatio = 8;
-// Fewer late machines than this say nothing of the others.
+// Fewer late machines than this don't show that boots are slow.
 constexpr size_t kMinLateForSlowBoots = 3;
 
-// The value that the given part of the sorted ones does not exceed.
+// Returns the smallest value that at least the fraction `share` of the values don't exceed.
 double Quantile(const std::vector<double>& sorted, double share) {
   const auto rank = std::ceil(share * static_cast<double>(sorted.size())) - 1;
   return sorted[static_cast<size_t>(rank)];
@@ -34,30 +36,30 @@
 }  // namespace
 
 void BootTimes::OnBooted(const std::string& machine_type, double seconds, double now) {
-  Observed& observed = observed_[machine_type];
-  observed.boots.push_back({seconds, now});
-  if (observed.boots.size() > kMaxBoots) observed.boots.pop_front();
-  observed.stale = true;
+  TypeHistory& history = histories_[machine_type];
+  history.boots.push_back({seconds, now});
+  if (history.boots.size() > kMaxBoots) history.boots.pop_front();
+  history.quantiles_stale = true;
 }
 
-const BootTimes::Observed* BootTimes::FindObserved(const std::string& machine_type) const {
-  auto entry = observed_.find(machine_type);
-  if (entry == observed_.end() || entry->second.boots.size() < kMinBoots) return nullptr;
-  Observed& observed = entry->second;
-  if (!observed.stale) return &observed;
+const BootTimes::TypeHistory* BootTimes::FindHistory(const std::string& machine_type) const {
+  auto entry = histories_.find(machine_type);
+  if (entry == histories_.end() || entry->second.boots.size() < kMinBoots) return nullptr;
+  TypeHistory& history = entry->second;
+  if (!history.quantiles_stale) return &history;
   std::vector<double> seconds;
-  seconds.reserve(observed.boots.size());
-  for (const Boot& boot : observed.boots) seconds.push_back(boot.seconds);
+  seconds.reserve(history.boots.size());
+  for (const Boot& boot : history.boots) seconds.push_back(boot.seconds);
   std::sort(seconds.begin(), seconds.end());
-  observed.median_s = Quantile(seconds, kMedian);
-  observed.nearly_all_s = Quantile(seconds, kNearlyAll);
-  observed.stale = false;
-  return &observed;
+  history.median_s = Quantile(seconds, kMedian);
+  history.late_s = Quantile(seconds, kLateQuantile);
+  history.quantiles_stale = false;
+  return &history;
 }
 
 size_t BootTimes::CountRecent(const std::string& machine_type, double seconds, double now) const {
-  auto entry = observed_.find(machine_type);
-  if (entry == observed_.end()) return 0;
+  auto entry = histories_.find(machine_type);
+  if (entry == histories_.end()) return 0;
   const std::deque<Boot>& boots = entry->second.boots;
   const auto recent = std::count_if(boots.begin(), boots.end(), [&](const Boot& boot) {
     return now - boot.observed_at <= seconds;
@@ -66,15 +68,16 @@
 }
 
 double BootTimes::Expected(const std::string& machine_type, double nominal_s) const {
-  const Observed* observed = FindObserved(machine_type);
-  return observed == nullptr ? nominal_s : observed->median_s;
+  const TypeHistory* history = FindHistory(machine_type);
+  return history == nullptr ? nominal_s : history->median_s;
 }
 
 double BootTimes::LateThreshold(const std::string& machine_type, double nominal_s) const {
-  // Boots that were quick for a while don't prove that slower ones fail: the cloud states its own.
+  // The threshold never drops below the nominal one: a period of fast boots does not prove that a
+  // boot as slow as the cloud states has failed.
   const double nominal = kNominalLateRatio * nominal_s;
-  const Observed* observed = FindObserved(machine_type);
-  return observed == nullptr ? nominal : std::max(nominal, observed->nearly_all_s);
+  const TypeHistory* history = FindHistory(machine_type);
+  return history == nullptr ? nominal : std::max(nominal, history->late_s);
 }
 
 double BootTimes::Deadline(const std::string& machine_type, double nominal_s, size_t late,
--- a/src/fleet/boot_times.h
+++ b/src/fleet/boot_times.h
@@ -1,7 +1,8 @@
-// Observed boot times by machine type, and how long to wait for a machine that is not up yet.
+// Records observed boot times per machine type, and derives from them how long to wait for a
+// booting machine.
 //
-// Owned by WorkerRegistry; lives on the event loop's thread. Does no I/O and takes the time as an
-// argument, in seconds of the steady clock.
+// Owned by WorkerRegistry; used on the event loop's thread. Does no I/O. Times are passed in, in
+// seconds of the steady clock.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +14,19 @@
 
 class BootTimes {
  public:
-  // A machine has reported for the first time, `seconds` after it was requested.
+  // Records the boot of a machine that first reported `seconds` after it was requested.
   void OnBooted(const std::string& machine_type, double seconds, double now);
 
-  // Seconds after which a machine of the type is most likely up: the median of the observed boots,
-  // or `nominal_s`, the boot time that the cloud states, until a few have been observed.
+  // Returns the expected boot time in seconds: the median of the observed boots. Until enough boots
+  // have been observed, returns `nominal_s`, the boot time stated by the cloud.
   double Expected(const std::string& machine_type, double nominal_s) const;
-  // Seconds within which nearly all machines of the type are up. One that takes longer is late.
+  // Returns the boot time in seconds above which a machine counts as late. Nearly all machines of
+  // the type boot faster.
   double LateThreshold(const std::string& machine_type, double nominal_s) const;
-  // Age in seconds at which a machine that is not up is given up. `late`: how many machines of the
-  // type are late now. If these are more than have come up lately, boots are slow rather than the
-  // machines dead: to terminate them would only start the same wait over.
+  // Returns the age in seconds at which to give up on a booting machine. `late`: number of machines
+  // of the type that are late now. If more machines are late than have booted recently, boots are
+  // slow and the machines are probably not dead. The deadline is longer then, as terminating the
+  // machines would only restart the same wait.
   double Deadline(const std::string& machine_type, double nominal_s, size_t late, double now) const;
 
  private:
@@ -31,19 +34,20 @@
     double seconds = 0;
     double observed_at = 0;
   };
-  // Rounds ask for every machine that is not up: quantiles are computed once for each new boot.
-  struct Observed {
+  // Quantiles are cached until the next boot is recorded, because every round queries them for each
+  // booting machine.
+  struct TypeHistory {
     std::deque<Boot> boots;
     double median_s = 0;
-    double nearly_all_s = 0;
-    bool stale = true;
+    double late_s = 0;
+    bool quantiles_stale = true;
   };
-  // The observed boots of a type with their quantiles; null while there are too few.
-  const Observed* FindObserved(const std::string& machine_type) const;
-  // The number of boots that were observed within the last `seconds`.
+  // Returns the history of a type with current quantiles; null if it has too few boots.
+  const TypeHistory* FindHistory(const std::string& machine_type) const;
+  // Returns the number of boots that were observed within the last `seconds`.
   size_t CountRecent(const std::string& machine_type, double seconds, double now) const;
 
-  mutable std::map<std::string, Observed> observed_;
+  mutable std::map<std::string, TypeHistory> histories_;
 };
 
 }  // namespace hallpier::fleet
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -6,14 +6,14 @@
 namespace hallpier::fleet {
 namespace {
 
-// A job is suspected once it has failed on this many machines, or on all if there are fewer.
+// A job is suspected only if it has failed on this many machines, or on all if there are fewer.
 constexpr size_t kMinMachinesForSuspicion = 3;
-// A machine is quarantined once this many jobs that are not suspected have failed on it.
+// A machine is quarantined if this many jobs that are not suspected have failed on it.
 constexpr size_t kMinJobsForQuarantine = 2;
 // A machine is faulty after this many failures of jobs that have succeeded elsewhere.
 constexpr int kMinFailuresForFaulty = 2;
 constexpr double kBackoffFactor = 2;
-// Retries that may be started at once if none was for a while.
+// Maximum retries in a burst after a period without retries.
 constexpr double kRetryBurst = 4;
 
 }  // namespace
@@ -26,24 +26,24 @@
   history.succeeded = true;
   history.suspected = false;
   history.backoff_s = 0;
-  history.retry_not_before = 0;
+  history.earliest_retry = 0;
 }
 
 void FailureTracker::OnFailure(const std::string& job, const std::string& machine, double now) {
   JobHistory& history = jobs_[job];
   history.failed_on.insert(machine);
   history.backoff_s = std::max(history.backoff_s, options_.initial_backoff_s);
-  history.retry_not_before = std::max(history.retry_not_before, now + history.backoff_s);
-  MachineHistory& there = machines_[machine];
-  ++there.failures[job];
-  there.last_failure = now;
+  history.earliest_retry = std::max(history.earliest_retry, now + history.backoff_s);
+  MachineHistory& machine_history = machines_[machine];
+  ++machine_history.failures[job];
+  machine_history.last_failure = now;
 }
 
 void FailureTracker::OnRetry(const std::string& job, double now) {
   JobHistory& history = jobs_[job];
   history.backoff_s = std::clamp(kBackoffFactor * history.backoff_s, options_.initial_backoff_s,
                                  options_.max_backoff_s);
-  history.retry_not_before = now + history.backoff_s;
+  history.earliest_retry = now + history.backoff_s;
   const double interval = 1 / options_.retries_per_s;
   next_retry_at_ = std::max(next_retry_at_, now - (kRetryBurst - 1) * interval) + interval;
 }
@@ -61,8 +61,8 @@
       }
     }
   }
-  // A sound job whose first tasks were spread over many machines, some of them faulty, is not
-  // suspected: most of them have not failed it.
+  // A sound job whose first tasks ran on many machines, a few of them faulty, is not suspected: it
+  // has not failed on most of its machines.
   const size_t failed = history.failed_on.size();
   history.suspected = !history.succeeded &&
                       failed >= std::min(kMinMachinesForSuspicion, machine_count) &&
@@ -74,7 +74,7 @@
   for (auto& [id, history] : jobs_) {
     if (!history.failed_on.empty()) UpdateSuspicion(*job_table.Find(id), machine_count, history);
   }
-  // Whether a job that has ended was sound will not become known any more.
+  // Failures of jobs that have ended are discarded: whether such a job was sound stays unknown.
   for (auto& [name, machine] : machines_) {
     std::erase_if(machine.failures,
                   [&](const auto& failure) { return !jobs_.contains(failure.first); });
@@ -87,7 +87,7 @@
   auto entry = jobs_.find(job);
   if (entry == jobs_.end() || !entry->second.succeeded) return false;
   const std::set<std::string>& succeeded_on = entry->second.succeeded_on;
-  // By the records only: on a machine that is not known.
+  // Only the records show the success, so the machine is unknown and counts as another one.
   if (succeeded_on.empty()) return true;
   return succeeded_on.size() > 1 || !succeeded_on.contains(except_machine);
 }
@@ -111,22 +111,22 @@
     JobHistory& history = jobs_[job.job];
     history.failed_on.insert(job.failed_on.begin(), job.failed_on.end());
     history.suspected = job.suspected;
-    history.retry_not_before = job.retry_due ? now : std::numeric_limits<double>::infinity();
+    history.earliest_retry = job.retry_due ? now : std::numeric_limits<double>::infinity();
   }
-  // The leader paces retries: each that it asks for may start at once.
+  // The leader limits the rate of retries: each one that it grants may start immediately.
   next_retry_at_ = now - kRetryBurst / options_.retries_per_s;
 }
 
 std::vector<std::string> FailureTracker::FaultyMachines() const {
-  std::vector<std::string> out;
+  std::vector<std::string> faulty;
   for (const auto& [name, machine] : machines_) {
     int failures = 0;
     for (const auto& [job, count] : machine.failures) {
       if (HasSucceededElsewhere(job, name)) failures += count;
     }
-    if (failures >= kMinFailuresForFaulty) out.push_back(name);
+    if (failures >= kMinFailuresForFaulty) faulty.push_back(name);
   }
-  return out;
+  return faulty;
 }
 
 bool FailureTracker::IsQuarantined(const std::string& machine, double now) const {
@@ -147,7 +147,7 @@
 
 bool FailureTracker::IsRetryDue(const std::string& job, double now) const {
   auto entry = jobs_.find(job);
-  return entry == jobs_.end() || now >= entry->second.retry_not_before;
+  return entry == jobs_.end() || now >= entry->second.earliest_retry;
 }
 
 size_t FailureTracker::AvailableRetries(double now) const {
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -1,13 +1,13 @@
-// Attributes failed tasks to their job or to their machine, and paces the retries of jobs that fail
-// wherever they run.
+// Attributes task failures either to the job or to the machine, and limits the rate at which jobs
+// that fail everywhere are retried.
 //
-// Evidence: a job that has succeeded on some machine is sound, so that its failures are blamed on
-// the machines where they happened. A job that has never succeeded, and has failed on most machines
-// that it was started on, is suspected itself. Until one of the two is known, a machine on which
-// several such jobs have failed is quarantined rather than replaced.
+// A job that has succeeded on some machine is sound, and its failures are attributed to the
+// machines where they occurred. A job that has never succeeded, and has failed on most machines
+// where it was started, is suspected of being the cause. While neither is established, a machine on
+// which several such jobs have failed is quarantined but not replaced.
 //
-// Owned by WorkerRegistry; lives on the event loop's thread. Does no I/O and takes the time as an
-// argument, in seconds of the steady clock.
+// Owned by WorkerRegistry; used on the event loop's thread. Does no I/O. Times are passed in, in
+// seconds of the steady clock.
 #pragma once
 
 #include <cstddef>
@@ -24,63 +24,65 @@
 class FailureTracker {
  public:
   struct Options {
-    // Delay before the first retry of a suspected job; each further retry doubles it...
+    // Delay before the first retry of a suspected job. Each further retry doubles it.
     double initial_backoff_s = 0;
-    // ...up to this bound.
+    // Upper bound of the delay.
     double max_backoff_s = 0;
-    // A machine is quarantined for this long after its last failure.
+    // Duration of a machine's quarantine, counted from its last failure.
     double quarantine_s = 0;
-    // Retries of all suspected jobs together, a second.
+    // Maximum retries per second of all suspected jobs together.
     double retries_per_s = 0;
   };
   explicit FailureTracker(const Options& options) : options_(options) {}
 
-  // A task of the job has completed on the machine: neither is to blame any more.
+  // Records that a task of the job completed on the machine, which clears both of suspicion.
   void OnSuccess(const std::string& job, const std::string& machine);
-  // A task of the job has failed on the machine.
+  // Records that a task of the job failed on the machine.
   void OnFailure(const std::string& job, const std::string& machine, double now);
-  // The round starts one more task of a suspected job.
+  // Records that a round starts one more task of a suspected job.
   void OnRetry(const std::string& job, double now);
-  // The machine is gone: its failures count no more.
+  // Discards the failures of a machine that is gone.
   void ForgetMachine(const std::string& machine);
-  // Compares with the records: forgets jobs that have ended, and decides from the machines that the
-  // others are placed on whether they are suspected. `machine_count`: of the whole cluster.
+  // Updates the histories from the job table: discards jobs that have ended, and decides whether
+  // the others are suspected, based on the machines where they are placed. `machine_count`: number
+  // of machines in the cluster.
   void Reconcile(const jobs::JobTable& job_table, size_t machine_count);
 
-  // Describes all jobs with failures for a controller that plans without receiving heartbeats.
-  // `retried`: jobs of which the holder of their shard is to start one more task now.
+  // Returns the failures of all jobs, for a controller that plans without receiving heartbeats.
+  // `retried`: jobs that this controller, the holder of the shard, may retry with one task now.
   std::vector<model::JobFailures> DescribeFailures(const std::set<std::string>& retried) const;
-  // On such a controller: replaces all that was known by the leader's description.
+  // On such a controller: replaces all job histories by the leader's description.
   void ApplyFailures(const std::vector<model::JobFailures>& failures, double now);
 
-  // Machines that fail tasks of jobs which succeed elsewhere, by name.
+  // Returns the names of machines that fail tasks of jobs which succeed on other machines.
   std::vector<std::string> FaultyMachines() const;
-  // True if a machine may be faulty: it gets no new tasks until that is known.
+  // True if a machine may be faulty and gets no new tasks until the cause of its failures is known.
   bool IsQuarantined(const std::string& machine, double now) const;
-  // True if a job seems to fail because of itself, wherever it runs.
+  // True if a job itself is probably the cause of its failures.
   bool IsSuspected(const std::string& job) const;
-  // True if the backoff of a suspected job allows one more task to be started.
+  // True if the job's backoff has elapsed and one more task may be started.
   bool IsRetryDue(const std::string& job, double now) const;
-  // How many retries all suspected jobs together may start now.
+  // Returns how many retries all suspected jobs together may start now.
   size_t AvailableRetries(double now) const;
-  // Machines on which a task of the job has failed, and none succeeded since; null: none.
+  // Returns the machines where a task of the job has failed and none has succeeded since; null if
+  // there are none.
   const std::set<std::string>* FailedOn(const std::string& job) const;
 
  private:
   struct JobHistory {
     std::set<std::string> failed_on;
     std::set<std::string> succeeded_on;
-    bool succeeded = false;  // on some machine, as it was reported or recorded
+    bool succeeded = false;  // on any machine, according to a report or to the records
     bool suspected = false;
     double backoff_s = 0;
-    double retry_not_before = 0;
+    double earliest_retry = 0;
   };
   struct MachineHistory {
-    std::map<std::string, int> failures;  // by job, since the last success on the machine
+    std::map<std::string, int> failures;  // count by job since the last success on the machine
     double last_failure = 0;
   };
 
-  // True if the job has succeeded on another machine than `except_machine`.
+  // True if the job has succeeded on a machine other than `except_machine`.
   bool HasSucceededElsewhere(const std::string& job, const std::string& except_machine) const;
   static void UpdateSuspicion(const jobs::Job& job, size_t machine_count, JobHistory& history);
 
--- a/src/fleet/image_index.h
+++ b/src/fleet/image_index.h
@@ -1,6 +1,7 @@
-// Numbers for container images, so that a machine can note the images that it has as a bit set.
+// Assigns consecutive numbers to container images, so that the images on a machine can be stored as
+// a bit set.
 //
-// Owned by WorkerRegistry; lives on the event loop's thread. Does no I/O.
+// Owned by WorkerRegistry; used on the event loop's thread. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +13,13 @@
 
 class ImageIndex {
  public:
-  // The number of an image; nothing if it has none yet.
+  // Returns the number of an image; std::nullopt if it has none.
   std::optional<size_t> Find(const std::string& image) const;
-  // The number of an image, which gets the next one if it has none yet.
+  // Returns the number of an image. Assigns the next free number if it has none.
   size_t FindOrAdd(const std::string& image);
-  // True if there is no number left for an image that has none.
+  // True if the image has no number and none is left to assign.
   bool IsFullFor(const std::string& image) const;
-  // Takes back all numbers. Whoever noted images by number must forget them.
+  // Removes all numbers. The caller must also clear every bit set that uses them.
   void Clear() { numbers_.clear(); }
 
  private:
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -1,8 +1,9 @@
-// The state that a leader keeps for each machine: plain data, grouped by where it comes from.
+// Plain structs with the state that a leader keeps for each worker machine, grouped by the source
+// of the data.
 //
-// Owned by WorkerRegistry, and changed only by it and by the modules that work on it
-// (reconciliation, answer acknowledgement, slowness estimate, machine views). Lives on the event
-// loop's thread. All times are in seconds of the steady clock unless a comment says otherwise.
+// WorkerRegistry owns the machines. Only the registry and the modules that operate on it
+// (reconciliation, response acknowledgement, slowness estimate, machine views) modify them. Used on
+// the event loop's thread. Times are seconds of the steady clock unless noted otherwise.
 #pragma once
 
 #include <cstdint>
@@ -17,107 +18,110 @@
 
 namespace hallpier::fleet {
 
-// What a worker last reported about a task.
+// The last state that a worker reported for a task.
 struct ReportedTask {
   uint64_t attempt = 0;
   model::TaskPhase state = model::TaskPhase::kFetching;
   model::ExitCause cause = model::ExitCause::kNone;
-  double since = 0;             // when this state was first reported
-  bool start_observed = false;  // this leader saw it start to run: `since` gives the run time
-  double run_s = 0;             // run time of an exited task; 0 if unknown
-  bool run_time_used = false;   // its run time has entered the machine's slowness estimate
+  double since = 0;               // time of the first report of this state
+  bool start_observed = false;    // this leader observed the start, so `since` gives the run time
+  double run_s = 0;               // run time of an exited task; 0 if unknown
+  bool run_time_sampled = false;  // the slowness estimate already includes its run time
 };
 
-// The newest start command for a task that was sent to a machine.
+// The last start command that was sent to a machine for a task.
 struct SentStart {
   uint64_t attempt = 0;
   model::FencingToken token;
   model::AgentEpoch agent_epoch;
-  // Sequence of the status that the command answered, or of the newest status that was known when
-  // the direct command finished.
+  // Sequence number of the newest status report when the command was sent; raised to the newest one
+  // when a direct command finishes.
   uint64_t sequence = 0;
-  int open_direct_commands = 0;  // requests with this command whose answers are awaited
-  bool lost = false;             // a request got no answer: it may be executed at any time
+  int open_direct_commands = 0;  // direct commands without a response so far
+  // A direct command with this start got no response and may still be executed at any time.
+  bool outcome_unknown = false;
 
-  // True while the command may still arrive at the worker.
-  bool in_flight() const { return lost || open_direct_commands > 0; }
-  // False if the worker has to refuse the command, or has forgotten it with its former epoch.
+  // True while the worker may still receive the command.
+  bool in_flight() const { return outcome_unknown || open_direct_commands > 0; }
+  // True if the command was sent under the current token to the agent's current epoch. Otherwise
+  // the worker rejects the command, or has discarded it with the previous epoch.
   bool IssuedUnder(model::FencingToken current_token, model::AgentEpoch current_epoch) const {
     return token == current_token && agent_epoch == current_epoch;
   }
 };
 
-// What the status reports of a machine's agent say of the agent itself, and of its lease.
+// State of a machine's agent and of its lease, taken from the agent's status reports.
 //
-// A status is a heartbeat, which the agent sends by itself and which renews its lease once it is
-// answered, or the answer to a direct command, which renews nothing.
+// A status report is either a heartbeat or the response to a direct command. The agent initiates
+// heartbeats, and the response to a heartbeat renews its lease. Direct commands never renew it.
 struct AgentState {
   model::AgentEpoch epoch;          // of the newest status
   uint64_t sequence = 0;            // of the newest status
-  uint64_t heartbeat_sequence = 0;  // of the newest heartbeat of this epoch; 0: none yet
-  model::FencingToken token;        // the highest that the agent has reported
+  uint64_t heartbeat_sequence = 0;  // of the newest heartbeat of this epoch; 0 if none
+  model::FencingToken token;        // highest token that the agent has reported
   double last_heartbeat = -std::numeric_limits<double>::infinity();
   double last_status = -std::numeric_limits<double>::infinity();
-  // The last time at which an answer may have renewed the lease.
-  double last_answer = -std::numeric_limits<double>::infinity();
-  // When the cloud takes the machine back; infinity: no spot notice was given.
+  // Time of the last response that may have renewed the lease.
+  double last_response = -std::numeric_limits<double>::infinity();
+  // When the cloud reclaims the machine; infinity without a spot notice.
   double reclaim_at = std::numeric_limits<double>::infinity();
-  // It did not answer the last direct command, and has not reported since.
+  // True if the last direct command got no response and no status report has arrived since.
   bool unreachable = false;
 };
 
-// Whether our answers to heartbeats reach the agent, judged by what its next heartbeat shows.
+// Tracks whether our heartbeat responses reach the agent, which shows in its next heartbeat; see
+// response_acknowledgement.h.
 struct ResponseState {
-  // What the last answer should have changed.
+  // The state that the next heartbeat should show after the last response.
   model::FencingToken token;
   model::AgentEpoch agent_epoch;
-  std::vector<model::TaskId> starts;
-  // For how many answers in a row no such change was seen, and since when.
+  std::vector<model::TaskId> expected_starts;
+  // Number of consecutive responses without the expected effect, and when the first was detected.
   int unacknowledged = 0;
   double unacknowledged_since = 0;
 };
 
-// The machine as the cloud sees it, from its request to its termination.
+// The machine's state at the cloud, from the scale-out request to the termination.
 struct CloudState {
-  bool listed = false;      // it has been in a list of the cloud
-  double first_listed = 0;  // when that list came
+  bool listed = false;      // the cloud has listed it at least once
+  double first_listed = 0;  // time of the first list that contained it
   double requested_at = 0;
   bool booting = true;
-  double up_since = 0;    // when it was first listed as running; 0: never
-  double idle_since = 0;  // when it last had work
-  // It is to be terminated, or its termination has been requested: it gets no work any more.
+  double up_since = 0;    // when the list first showed that it had booted; 0 if never
+  double idle_since = 0;  // when it last had a task
+  // Marked for termination, possibly requested from the cloud already. Gets no new tasks.
   bool terminating = false;
   std::string termination_reason;
 };
 
-// How fast tasks run on the machine; see slowness_estimate.h.
+// Speed of the machine relative to others; see slowness_estimate.h.
 struct PerformanceState {
-  double slowness = 1;  // observed run times divided by expected ones, averaged
+  double slowness = 1;  // moving average of observed / expected run time
   int samples = 0;
 };
 
 // A worker machine.
 struct Machine {
   std::string name;
-  std::string endpoint;  // "host:port" of its agent; empty while unknown
+  std::string endpoint;  // "host:port" of the agent; empty while unknown
   std::string machine_type;
   std::string zone;
   bool spot = false;
 
   AgentState agent;
-  ResponseState answers;
+  ResponseState responses;
   CloudState cloud;
   PerformanceState performance;
   std::map<model::TaskId, ReportedTask> reported_tasks;
   std::map<model::TaskId, SentStart> sent_starts;
-  // Images that were seen to be there, by their numbers in WorkerRegistry::image_index().
+  // Set of images known to be on the machine; indexed by WorkerRegistry::image_index().
   std::vector<bool> images;
 
-  // False for a machine that is known from the cloud only.
+  // False for a machine that is known only from the cloud.
   bool has_reported() const { return agent.epoch.known(); }
-  // True if the cloud has announced that it takes the machine back.
+  // True if the cloud has announced that it will reclaim the machine.
   bool HasSpotNotice() const { return agent.reclaim_at < std::numeric_limits<double>::infinity(); }
-  // True if `report` is the newest status that is known of the machine.
+  // True if `report` is the newest known status of the machine.
   bool IsNewestStatus(const model::Heartbeat& report) const {
     return report.agent_epoch == agent.epoch && report.sequence == agent.sequence;
   }
--- a/src/fleet/machine_views.cc
+++ b/src/fleet/machine_views.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// Stands for the agent's epoch, which the receiver of a view does not need: the machine has
-// reported to the leader.
-constexpr model::AgentEpoch kSomeEpoch{1};
+// A view carries no agent epoch. Any known epoch marks the machine as having reported, which it has
+// (to the leader).
+constexpr model::AgentEpoch kPlaceholderEpoch{1};
 
 model::TaskView DescribeTask(const model::TaskId& task, const ReportedTask& reported, double now) {
   model::TaskView view;
@@ -63,13 +63,13 @@
   machine.machine_type = view.machine_type;
   machine.zone = view.zone;
   machine.spot = view.spot;
-  machine.agent.epoch = kSomeEpoch;
+  machine.agent.epoch = kPlaceholderEpoch;
   machine.agent.last_heartbeat = now;
   machine.agent.last_status = now;
   machine.cloud.booting = false;
   machine.cloud.terminating = !view.usable;
   std::fill(machine.images.begin(), machine.images.end(), false);
-  for (const std::string& image : view.images) registry.NoteImage(machine, image);
+  for (const std::string& image : view.images) registry.RecordImage(machine, image);
   machine.reported_tasks.clear();
   for (const model::TaskView& task : view.tasks) {
     machine.reported_tasks[task.task] = TaskFromView(task, now);
--- a/src/fleet/machine_views.h
+++ b/src/fleet/machine_views.h
@@ -1,8 +1,9 @@
-// Descriptions of machines by which the leader lets another controller plan for a shard of the
-// machines whose heartbeats that controller does not receive.
+// Conversion between machines in a WorkerRegistry and the machine views that the leader sends to
+// other controllers. Heartbeats arrive at the leader only. The views let another controller plan
+// for a shard of the machines.
 //
-// The leader describes its machines; the other controller applies the descriptions to a
-// WorkerRegistry of its own. Both run on the event loop's thread. No I/O.
+// The leader describes its machines; the receiving controller applies the views to a separate
+// WorkerRegistry. Both run on the event loop's thread. No I/O.
 #pragma once
 
 #include <string>
@@ -13,16 +14,16 @@
 
 namespace hallpier::fleet {
 
-// The leader's side: describes a machine as of `now`. `images`: those worth mentioning if the
-// machine has them.
+// Leader: returns the view of a machine at time `now`. Of the machine's images, the view names only
+// those in `images`.
 model::MachineView DescribeMachine(const WorkerRegistry& registry, const Machine& machine,
                                    const std::vector<std::string>& images, double now);
 
-// The other side: replaces what is known of a machine, or adds it.
+// Receiver: replaces the state of a machine by the view, or adds the machine.
 void ApplyMachineView(WorkerRegistry& registry, const model::MachineView& view, double now);
 
-// The other side: a message of the leader has been applied, and whatever the message left out has
-// not changed. All machines are as fresh as the message.
+// Receiver: marks all machines as heard from at `now`. Called after a message of the leader has
+// been applied: machines that the message leaves out have not changed.
 void MarkMachinesFresh(WorkerRegistry& registry, double now);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/placement_proof.h
+++ b/src/fleet/placement_proof.h
@@ -1,12 +1,13 @@
-// Proofs that a recorded placement is gone, on which the safety of the scheduler rests: a recorded
-// placement counts as alive until one of these proves the opposite. Otherwise a task could run
-// twice.
+// Proofs that the attempt of a recorded placement is gone. The safety of the scheduler depends on
+// them: a recorded placement counts as alive until one of the proofs holds. Otherwise a task could
+// run twice.
 //
 // There are four proofs:
-//   1. the cloud has confirmed the machine's termination (WorkerRegistry::IsConfirmedGone);
-//   2. the lease of whatever may run there has expired (WorkerRegistry::LeaseExpiry);
-//   3. the machine reports that the attempt has exited (task_outcomes.h);
-//   4. the machine reports without the task, and no start command can arrive any more
+//   1. the cloud has confirmed the machine's termination (WorkerRegistry::IsTerminationConfirmed);
+//   2. the lease of everything that may run on the machine has expired
+//      (WorkerRegistry::LeaseExpiry);
+//   3. the machine has reported that the attempt exited (task_outcomes.h);
+//   4. the machine's report does not list the task, and no start command for it can still arrive
 //      (IsProvenAbsent).
 // Pure functions of a machine's state; no I/O.
 #pragma once
@@ -21,14 +22,14 @@
 
 namespace hallpier::fleet {
 
-// True if the task does not run on the machine and can't be started there by any command that was
-// ever sent. Says nothing of commands that are yet to be sent: the caller must make sure that none
-// is (see IsStartBarred). `token`: ours, the highest that this leader commands under.
+// True if the task does not run on the machine and no command sent so far can start it there. Does
+// not cover future commands: the caller must ensure that none is sent (see IsStartForbidden).
+// `token`: this leader's token, the highest under which it sends commands.
 bool IsProvenAbsent(const Machine& machine, const model::TaskId& task, model::FencingToken token);
 
-// True if an attempt must not be started on a machine even though it is recorded there: the machine
-// goes away, or the attempt is to be stopped, or its job is cancelled or unknown.
-bool IsStartBarred(const Machine& machine, const model::TaskId& task, uint64_t attempt,
-                   const jobs::JobTable& job_table, const StopRequests& stop_requests);
+// True if an attempt must not be started on the machine where it is recorded: the machine is to be
+// terminated or reclaimed, a stop of the attempt is requested, or the job is cancelled or unknown.
+bool IsStartForbidden(const Machine& machine, const model::TaskId& task, uint64_t attempt,
+                      const jobs::JobTable& job_table, const StopRequests& stop_requests);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -14,8 +14,8 @@
   return start.in_flight() && start.IssuedUnder(token, machine.agent.epoch);
 }
 
-// Start commands for tasks that are neither recorded nor reported any more have had their effect,
-// unless they may still arrive.
+// Drops the start commands of tasks that are neither recorded nor reported any more, except those
+// that the worker may still receive.
 void DropSettledStarts(Machine& machine, const Placements& placements, model::FencingToken token) {
   std::erase_if(machine.sent_starts, [&](const auto& entry) {
     const auto& [task, start] = entry;
@@ -24,8 +24,8 @@
   });
 }
 
-// The command for an attempt that is reported without being recorded there; nothing if it has to
-// stay as it is.
+// Returns the command for an attempt that a machine reports although it is not recorded there;
+// std::nullopt if the attempt must be left alone.
 std::optional<model::WorkerCommand> CommandForUnrecorded(const Machine& machine,
                                                          const model::TaskId& task,
                                                          const ReportedTask& reported,
@@ -33,8 +33,9 @@
   if (reported.state != model::TaskPhase::kExited) {
     return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, 0};
   }
-  // While a lost start command may still arrive, the agent's entry of the exited attempt is what
-  // makes it void: once the agent has forgotten it, the command would start the attempt anew.
+  // While a start command may still arrive, the agent ignores it only because it still has the
+  // entry of the exited attempt. Once the agent forgets the entry, the command would restart the
+  // attempt.
   auto sent = machine.sent_starts.find(task);
   if (sent != machine.sent_starts.end() && MayStillArrive(sent->second, machine, token)) {
     return std::nullopt;
@@ -42,21 +43,21 @@
   return model::WorkerCommand{model::CommandKind::kForget, task, reported.attempt, 0};
 }
 
-// The stop command for a recorded attempt that its machine reports; nothing if it is to go on, or
-// is about to end anyway.
+// Returns the stop command for a recorded attempt that its machine reports; std::nullopt if the
+// attempt should continue or is already stopping.
 std::optional<model::WorkerCommand> StopCommandFor(const model::TaskId& task,
                                                    const ReportedTask& reported, bool cancelled,
                                                    const StopRequests& stop_requests) {
   if (reported.state == model::TaskPhase::kExited) return std::nullopt;
   if (!cancelled && !stop_requests.Contains(task, reported.attempt)) return std::nullopt;
   const double grace_s = cancelled ? 0 : stop_requests.GraceSeconds(task);
-  // A task that writes its checkpoint already needs no second command.
+  // A task that is already writing its checkpoint needs no second command.
   if (grace_s > 0 && reported.state == model::TaskPhase::kSaving) return std::nullopt;
   return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, grace_s};
 }
 
-void NoteSentStart(Machine& machine, const model::TaskId& task, uint64_t attempt,
-                   model::FencingToken token, bool direct) {
+void RecordSentStart(Machine& machine, const model::TaskId& task, uint64_t attempt,
+                     model::FencingToken token, bool direct) {
   SentStart& start = machine.sent_starts[task];
   if (!start.IssuedUnder(token, machine.agent.epoch)) start = {};
   start.attempt = attempt;
@@ -80,10 +81,10 @@
   return job == nullptr || job->cancelled;
 }
 
-// True if the lost start command is all that stands against a proof of absence.
-bool OnlyHigherTokenVoids(const Machine& machine, const model::TaskId& task, const SentStart& start,
-                          model::FencingToken token) {
-  return start.lost && start.IssuedUnder(token, machine.agent.epoch) &&
+// True if a start command without a response is the only obstacle to a proof of absence.
+bool IsOnlyLostStartBlocking(const Machine& machine, const model::TaskId& task,
+                             const SentStart& start, model::FencingToken token) {
+  return start.outcome_unknown && start.IssuedUnder(token, machine.agent.epoch) &&
          machine.agent.heartbeat_sequence > start.sequence &&
          !machine.reported_tasks.contains(task);
 }
@@ -110,11 +111,11 @@
       if (command) commands.push_back(*command);
       continue;
     }
-    if (IsStartBarred(machine, task, attempt, job_table, stop_requests)) continue;
-    // The worker knows a higher token: another leader commands it, and it would refuse us.
+    if (IsStartForbidden(machine, task, attempt, job_table, stop_requests)) continue;
+    // The worker has seen a higher token: another leader commands it, and it would reject ours.
     if (machine.agent.token > token) continue;
     commands.push_back({model::CommandKind::kRun, task, attempt, 0});
-    NoteSentStart(machine, task, attempt, token, direct);
+    RecordSentStart(machine, task, attempt, token, direct);
   }
   return commands;
 }
@@ -125,7 +126,7 @@
   for (const auto& [task, reported] : machine.reported_tasks) {
     if (reported.state == model::TaskPhase::kExited) continue;
     const jobs::Job* job = job_table.Find(task.job);
-    // A job that is unknown here may have been submitted since the table was read.
+    // An unknown job may have been submitted after the table was read.
     if (job == nullptr || !job->cancelled) continue;
     commands.push_back({model::CommandKind::kStop, task, reported.attempt, 0});
   }
@@ -134,17 +135,17 @@
 
 void OnDirectCommandFinished(WorkerRegistry& registry, const std::string& machine_name,
                              const std::vector<model::WorkerCommand>& commands,
-                             model::FencingToken token, bool answered) {
+                             model::FencingToken token, bool responded) {
   Machine* machine = registry.Find(machine_name);
   if (machine == nullptr) return;
-  machine->agent.unreachable = !answered;
+  machine->agent.unreachable = !responded;
   for (const model::WorkerCommand& command : commands) {
     if (command.kind != model::CommandKind::kRun) continue;
     auto sent = machine->sent_starts.find(command.task);
     if (sent == machine->sent_starts.end() || sent->second.token != token) continue;
     SentStart& start = sent->second;
     if (start.open_direct_commands > 0) --start.open_direct_commands;
-    if (!answered) start.lost = true;
+    if (!responded) start.outcome_unknown = true;
     start.sequence = std::max(start.sequence, machine->agent.sequence);
   }
 }
@@ -165,10 +166,10 @@
     if (machine.agent.token != token || machine.cloud.terminating) continue;
     const Placements& placements = job_table.PlacementsOn(name);
     for (const auto& [task, start] : machine.sent_starts) {
-      if (!OnlyHigherTokenVoids(machine, task, start, token)) continue;
+      if (!IsOnlyLostStartBlocking(machine, task, start, token)) continue;
       auto recorded = placements.find(task);
       if (recorded != placements.end() &&
-          IsStartBarred(machine, task, recorded->second, job_table, registry.stop_requests())) {
+          IsStartForbidden(machine, task, recorded->second, job_table, registry.stop_requests())) {
         return true;
       }
     }
--- a/src/fleet/reconciliation.h
+++ b/src/fleet/reconciliation.h
@@ -1,8 +1,8 @@
-// Compares what is recorded for a machine with what the machine reports, and derives the commands
-// that bring the machine in line with the records.
+// Compares the recorded placements of a machine with the tasks that it reports, and derives the
+// commands that bring the machine in line with the records.
 //
-// Works on the leader's WorkerRegistry, on the event loop's thread. Does no I/O: the caller sends
-// the commands, in the answer to a heartbeat or in a request of its own (a direct command).
+// Operates on the leader's WorkerRegistry, on the event loop's thread. Does no I/O: the caller
+// sends the commands, either in a heartbeat response or in a separate request (a direct command).
 #pragma once
 
 #include <string>
@@ -16,30 +16,31 @@
 
 namespace hallpier::fleet {
 
-// The commands for a machine. Start commands among them are noted as sent. `direct`: they go out as
-// a direct command, whose end must be passed to OnDirectCommandFinished(); otherwise they go out in
-// the answer to the machine's newest heartbeat.
+// Returns the commands for a machine, and records the start commands among them as sent. If
+// `direct`, the caller sends them as a direct command and must call OnDirectCommandFinished() when
+// it ends. Otherwise the caller sends them in the response to the machine's newest heartbeat.
 std::vector<model::WorkerCommand> Reconcile(WorkerRegistry& registry, Machine& machine,
                                             const jobs::JobTable& job_table, bool direct);
 
-// The stop commands among them that hold whatever has been recorded since `job_table` was read:
-// those for tasks of jobs that are known to be cancelled, as a cancellation is never taken back.
+// Returns only the stop commands for tasks of jobs that are known to be cancelled. These are
+// correct even if `job_table` is out of date, because a cancellation is never reverted.
 std::vector<model::WorkerCommand> CancellationCommands(const Machine& machine,
                                                        const jobs::JobTable& job_table);
 
-// A direct command has ended. `token`: the one that it was sent under. `answered`: the worker has
-// answered it, and will not execute it later.
+// Handles the end of a direct command. `token`: the token under which it was sent. `responded`: the
+// worker has responded, and will not execute the command later.
 void OnDirectCommandFinished(WorkerRegistry& registry, const std::string& machine_name,
                              const std::vector<model::WorkerCommand>& commands,
-                             model::FencingToken token, bool answered);
+                             model::FencingToken token, bool responded);
 
-// True if a recorded attempt is not reported by its machine, and its start has not been sent there
-// in the agent's present epoch under our token. False for a machine that has never reported.
+// True if a machine does not report an attempt that is recorded on it, and no start command for the
+// attempt has been sent to the agent's current epoch under our token. False if the machine has
+// never reported.
 bool IsStartDue(const WorkerRegistry& registry, const std::string& machine_name,
                 const model::TaskId& task, uint64_t attempt);
 
-// True if a lost start command keeps an attempt that is to be stopped from being proven absent:
-// only a higher token makes the command void.
+// True if an attempt that must not be started cannot be proven absent because a start command for
+// it got no response: only a higher token makes the worker reject the command.
 bool NeedsHigherToken(const WorkerRegistry& registry, const jobs::JobTable& job_table);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/response_acknowledgement.h
+++ b/src/fleet/response_acknowledgement.h
@@ -1,8 +1,8 @@
-// Detects machines whose heartbeats arrive although our answers to them get lost (an asymmetric
-// partition).
+// Detects asymmetric partitions: machines whose heartbeats arrive while our responses are lost.
 //
-// An answer should have an effect that the next heartbeat shows: the agent has seen our token, and
-// lists the tasks that it had to start. Works on ResponseState of a Machine; does no I/O.
+// The next heartbeat after a response should show that the agent received it: it carries our token
+// and lists the tasks that the response told the agent to start. Operates on Machine::responses;
+// does no I/O.
 #pragma once
 
 #include <vector>
@@ -13,19 +13,21 @@
 
 namespace hallpier::fleet {
 
-// A machine with this many answers without effect gets no new tasks.
-inline constexpr int kMinUnacknowledgedToBarTasks = 2;
+// A machine with this many unacknowledged responses gets no new tasks.
+inline constexpr int kMinUnacknowledgedToExclude = 2;
 
-// Compares a heartbeat with the answer to the one before it. Must be called before the heartbeat is
-// taken into the machine's state. `token`: ours. `lease_s`: length of an agent's lease in seconds.
+// Checks whether a heartbeat acknowledges the response to the previous heartbeat. Must be called
+// before the machine's state is updated from the heartbeat. `token`: this leader's token.
+// `lease_s`: duration of an agent's lease in seconds.
 void CheckAcknowledgement(Machine& machine, const model::Heartbeat& report,
                           model::FencingToken token, double lease_s, double now);
 
-// Notes what the answer to the machine's newest heartbeat should change there.
+// Stores the effect that the response to the machine's newest heartbeat should have. `commands`:
+// those in the response.
 void ExpectAcknowledgement(Machine& machine, const std::vector<model::WorkerCommand>& commands,
                            model::FencingToken token);
 
-// True if so many answers in a row had no effect that they most likely get lost.
-bool AreAnswersLost(const Machine& machine, double lease_s, double now);
+// True if enough consecutive responses are unacknowledged that they are probably lost.
+bool HasLostResponses(const Machine& machine, double lease_s, double now);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/slowness_estimate.h
+++ b/src/fleet/slowness_estimate.h
@@ -1,7 +1,7 @@
-// Estimates how much slower a machine runs tasks than other machines do.
+// Estimates how much slower a machine runs tasks than other machines.
 //
-// Each task of a job with a known mean run time gives at most one sample: its run time divided by
-// the mean. Works on PerformanceState of a Machine; does no I/O.
+// Each task of a job with a known mean run time contributes at most one sample: its run time
+// divided by the mean. Operates on Machine::performance; does no I/O.
 #pragma once
 
 #include "fleet/machine.h"
@@ -9,10 +9,10 @@
 
 namespace hallpier::fleet {
 
-// Takes in the run times of the tasks that the machine has reported.
+// Updates the estimate with the run times of the machine's reported tasks.
 void UpdateSlowness(Machine& machine, const jobs::JobTable& job_table);
 
-// True if the machine takes so much longer than others that it is better replaced.
+// True if the machine is so much slower than others that it should be replaced.
 bool IsSlow(const Machine& machine);
 
 }  // namespace hallpier::fleet
--- a/src/fleet/stop_requests.h
+++ b/src/fleet/stop_requests.h
@@ -1,9 +1,8 @@
-// Requests to stop placed attempts: of tasks that are preempted, that have to leave a machine which
-// the cloud takes back, or whose requeueing is being written.
+// Requests to stop placed attempts. An attempt is stopped because its task is preempted, because
+// the cloud reclaims its machine, or because its requeue is being written.
 //
-// An attempt that is to be stopped stays recorded as placed until it is proven gone; meanwhile its
-// machine is commanded to stop it, never to start it. Owned by WorkerRegistry; lives on the event
-// loop's thread. Does no I/O.
+// Until the attempt is proven gone it stays recorded as placed, and its machine is told to stop it
+// but never to start it. Owned by WorkerRegistry; used on the event loop's thread. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +15,15 @@
 
 class StopRequests {
  public:
-  // Requests that an attempt be stopped. `grace_s`: seconds that it gets to write a checkpoint; a
-  // second request for the same attempt can only shorten them. A request for another attempt of the
-  // task replaces the earlier one.
+  // Requests the stop of an attempt. `grace_s`: grace period in seconds for writing a checkpoint. A
+  // further request for the same attempt can only shorten the grace period. A request for a
+  // different attempt replaces the earlier request for the task.
   void Add(const model::TaskId& task, uint64_t attempt, double grace_s);
-  // True if this attempt is to be stopped.
+  // True if a stop of this attempt is requested.
   bool Contains(const model::TaskId& task, uint64_t attempt) const;
-  // Seconds to write a checkpoint. The task must have a request.
+  // Returns the grace period in seconds. Requires a request for the task.
   double GraceSeconds(const model::TaskId& task) const { return requests_.at(task).grace_s; }
-  // Drops requests for attempts that are not recorded as placed any more: they are fulfilled.
+  // Drops the requests for attempts that are no longer recorded as placed.
   void DropFulfilled(const jobs::JobTable& job_table);
 
  private:
--- a/src/fleet/task_outcomes.cc
+++ b/src/fleet/task_outcomes.cc
@@ -11,7 +11,7 @@
 namespace hallpier::fleet {
 namespace {
 
-// An attempt of a task that is recorded as placed on a machine.
+// A task attempt that is recorded as placed on a machine.
 struct Placement {
   model::TaskId task;
   uint64_t attempt = 0;
@@ -41,58 +41,58 @@
   return transition;
 }
 
-// Decides what has become of each placement; holds nothing beyond one call of
-// CollectTaskTransitions().
+// Determines the outcome of each placement. Lives for one call of CollectTaskTransitions().
 class OutcomeFinder {
  public:
   OutcomeFinder(const WorkerRegistry& registry, const jobs::JobTable& job_table, double now)
       : registry_(registry), job_table_(job_table), now_(now) {}
 
-  // What has become of a placement; nothing while it may be alive. `machine`: null if unknown.
-  // `all_ended`: whatever ran on the machine has ended, whether it was reported or not.
+  // Returns the transition for a placement; std::nullopt while the attempt may be alive. `machine`:
+  // null if unknown. `all_tasks_ended`: everything that ran on the machine has ended, reported or
+  // not.
   std::optional<jobs::TaskTransition> OutcomeOf(const Placement& placement, const Machine* machine,
-                                                bool all_ended) const {
+                                                bool all_tasks_ended) const {
     if (machine == nullptr || !machine->has_reported()) {
-      if (all_ended) return Requeue(placement, "machine gone");
+      if (all_tasks_ended) return Requeue(placement, "machine gone");
       return std::nullopt;
     }
     auto reported = machine->reported_tasks.find(placement.task);
     const bool is_reported =
         reported != machine->reported_tasks.end() && reported->second.attempt == placement.attempt;
     if (is_reported && reported->second.state == model::TaskPhase::kExited) {
-      return OutcomeOfExit(placement, *machine, reported->second, all_ended);
+      return OutcomeOfExit(placement, *machine, reported->second, all_tasks_ended);
     }
     if (!is_reported && IsProvenNeverStarted(placement, *machine)) {
       return Requeue(placement, "never started");
     }
-    // The agent ends its tasks as its lease expires, whether we hear of it or not.
-    if (all_ended) return Requeue(placement, "lease expired");
+    // The agent kills its tasks when its lease expires, even if no report of that arrives here.
+    if (all_tasks_ended) return Requeue(placement, "lease expired");
     return std::nullopt;
   }
 
  private:
-  // Absence alone is no proof while the start may be sent again.
+  // Absence proves nothing while the start command may still be sent again.
   bool IsProvenNeverStarted(const Placement& placement, const Machine& machine) const {
-    return IsStartBarred(machine, placement.task, placement.attempt, job_table_,
-                         registry_.stop_requests()) &&
+    return IsStartForbidden(machine, placement.task, placement.attempt, job_table_,
+                            registry_.stop_requests()) &&
            IsProvenAbsent(machine, placement.task, registry_.token());
   }
 
   std::optional<jobs::TaskTransition> OutcomeOfExit(const Placement& placement,
                                                     const Machine& machine,
                                                     const ReportedTask& exit,
-                                                    bool all_ended) const {
+                                                    bool all_tasks_ended) const {
     const jobs::Job* job = job_table_.Find(placement.task.job);
     const bool is_service = job != nullptr && job->spec.kind == model::JobKind::kService;
-    // A completion is final, whichever leader it was reported under: the result is kept.
+    // A completion is final whichever leader it was reported to: the result is kept.
     if (exit.cause == model::ExitCause::kDone && !is_service) {
       return Complete(placement, machine, exit, now_);
     }
-    // Any other exit counts only if it was reported to a leader of this term. A report from before
-    // the term may be an old one that arrives now, ahead of newer ones: the machine may have lost
-    // its lease since, and been told to start the attempt again.
+    // Any other exit counts only if the agent had seen a token of this term when it reported the
+    // exit. A report with an older token may be a delayed one that arrives ahead of newer reports.
+    // Since then the machine may have lost its lease and been told to start the attempt again.
     if (machine.agent.token < registry_.first_token_of_term()) {
-      if (all_ended) return Requeue(placement, "lease expired");
+      if (all_tasks_ended) return Requeue(placement, "lease expired");
       return std::nullopt;
     }
     return Requeue(placement, model::ExitCauseName(exit.cause));
@@ -112,12 +112,13 @@
   std::vector<jobs::TaskTransition> transitions;
   for (const auto& [name, placements] : job_table.placements_by_machine()) {
     const Machine* machine = registry.Find(name);
-    const bool all_ended = registry.IsConfirmedGone(name) || now > registry.LeaseExpiry(machine);
+    const bool all_tasks_ended =
+        registry.IsTerminationConfirmed(name) || now > registry.LeaseExpiry(machine);
     for (const auto& [task, attempt] : placements) {
-      auto outcome = finder.OutcomeOf({task, attempt, name}, machine, all_ended);
+      auto outcome = finder.OutcomeOf({task, attempt, name}, machine, all_tasks_ended);
       if (!outcome) continue;
-      // Writing the requeueing takes time, and may succeed late without an answer. Meanwhile the
-      // worker may be back: it must not be told to start what is about to start elsewhere.
+      // Writing the requeue takes time, and may succeed late without a response. If the worker
+      // returns meanwhile, it must not be told to start a task that is about to start elsewhere.
       if (outcome->kind == jobs::TaskTransition::Kind::kRequeue) {
         registry.stop_requests().Add(task, attempt, 0);
       }
--- a/src/fleet/task_outcomes.h
+++ b/src/fleet/task_outcomes.h
@@ -1,7 +1,7 @@
-// Derives from the state of the machines what has become of recorded placements: which tasks are
-// done, and which have to be requeued because their attempt is proven to be gone.
+// Derives the outcome of recorded placements from the state of the machines: which tasks are done,
+// and which must be requeued because their attempt is proven gone.
 //
-// Runs once a round on the event loop's thread, on the leader's WorkerRegistry. Does no I/O; the
+// Runs once per round on the event loop's thread, on the leader's WorkerRegistry. Does no I/O; the
 // caller writes the transitions.
 #pragma once
 
@@ -12,8 +12,8 @@
 
 namespace hallpier::fleet {
 
-// The transitions that have to be recorded. A requeued attempt is entered into the registry's stop
-// requests, and requests that are fulfilled are dropped from them. `now`: steady seconds.
+// Returns the transitions that the caller must record. Adds a stop request to the registry for each
+// requeued attempt, and drops stop requests that are fulfilled. `now`: seconds of the steady clock.
 std::vector<jobs::TaskTransition> CollectTaskTransitions(WorkerRegistry& registry,
                                                          const jobs::JobTable& job_table,
                                                          double now);
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -13,17 +13,17 @@
 namespace hallpier::fleet {
 namespace {
 
-// Steady clocks may differ by this part; a part of a heartbeat interval covers the rest (clock
-// steps, late timers).
+// Maximum relative drift between steady clocks. A fraction of the heartbeat interval (1 divided by
+// kTimerSlackDivisor) covers clock steps and late timers.
 constexpr double kClockDrift = 0.001;
 constexpr double kTimerSlackDivisor = 3;
-// Terminated machines are remembered, so that late lists and heartbeats don't bring them back: at
-// least so many...
-constexpr size_t kMinConfirmedGone = 5000;
-// ...and all that can be terminated while a list may still name them or a heartbeat of theirs may
-// be under way. A list is behind by up to this many times the usual lag.
+// Terminated machines are remembered so that delayed lists and heartbeats don't add them again. At
+// least this many are remembered, and at least as many as can be terminated while a list may still
+// name them or a heartbeat of theirs may be in transit.
+constexpr size_t kMinConfirmedTerminations = 5000;
+// Maximum lag of a list, in multiples of the usual lag.
 constexpr double kMaxListLags = 2;
-// A machine gets new tasks up to this many heartbeat intervals after its last heartbeat.
+// A machine gets new tasks only if its last heartbeat is younger than this many intervals.
 constexpr double kMaxHeartbeatAge = 1.8;
 
 FailureTracker::Options FailureOptions(const WorkerRegistry::Options& options) {
@@ -33,20 +33,21 @@
           .retries_per_s = options.retries_per_s};
 }
 
-size_t MaxConfirmedGone(const WorkerRegistry::Options& options) {
+size_t MaxConfirmedTerminations(const WorkerRegistry::Options& options) {
   const double remembered_s = kMaxListLags * options.list_lag_s + options.lease_s;
-  return std::max(kMinConfirmedGone,
+  return std::max(kMinConfirmedTerminations,
                   static_cast<size_t>(options.terminations_per_s * remembered_s));
 }
 
-// Heartbeats may be delayed for minutes: one that is not newer proves nothing.
+// Heartbeats may be delayed for minutes. One that is not newer than the known status proves
+// nothing.
 bool IsNewer(const model::Heartbeat& report, const Machine& machine) {
   if (!machine.has_reported()) return true;
   if (report.agent_epoch != machine.agent.epoch) return report.agent_epoch > machine.agent.epoch;
   return report.sequence > machine.agent.sequence;
 }
 
-// True if the agent, its epoch or the token that it has seen is new to us.
+// True if the agent is new, has a new epoch, or has seen a higher token.
 bool IsAgentChanged(const model::Heartbeat& report, const Machine& machine) {
   return !machine.has_reported() || report.agent_epoch > machine.agent.epoch ||
          report.token > machine.agent.token;
@@ -71,9 +72,9 @@
     agent.last_heartbeat = now;
   } else if (is_new_epoch) {
     agent.heartbeat_sequence = 0;
-    // The new epoch has a lease of its own, which no answer has renewed: it began by now. What a
-    // direct command starts in it may live for as long as that.
-    agent.last_answer = std::max(agent.last_answer, now);
+    // The new epoch has a new lease that no response has renewed. It started at `now` at the
+    // latest. A task that a direct command starts in this epoch may live until that lease expires.
+    agent.last_response = std::max(agent.last_response, now);
   }
 }
 
@@ -87,7 +88,7 @@
 
 using ReportedTasks = std::map<model::TaskId, ReportedTask>;
 
-// The last report of an attempt; null if it was not reported before.
+// Returns the last report of an attempt; null if there is none.
 const ReportedTask* FindAttempt(const ReportedTasks& tasks, const model::TaskStatus& status) {
   auto entry = tasks.find(status.task);
   if (entry == tasks.end() || entry->second.attempt != status.attempt) return nullptr;
@@ -98,7 +99,7 @@
   return previous != nullptr && previous->state == status.state && previous->cause == status.cause;
 }
 
-// A task in a state that was not reported before. `previous`: the attempt's last report, or null.
+// Returns the entry for a newly reported state. `previous`: the attempt's last report, or null.
 ReportedTask DescribeNewState(const model::TaskStatus& status, const ReportedTask* previous,
                               bool start_was_sent, double now) {
   ReportedTask reported;
@@ -130,19 +131,20 @@
 
 WorkerRegistry::WorkerRegistry(Options options)
     : options_(options),
-      max_confirmed_gone_(MaxConfirmedGone(options)),
-      failures_(FailureOptions(options)) {}
+      max_confirmed_terminations_(MaxConfirmedTerminations(options)),
+      failure_tracker_(FailureOptions(options)) {}
 
-void WorkerRegistry::BeginTerm(model::FencingToken token, double now, double predecessors_until) {
+void WorkerRegistry::BeginTerm(model::FencingToken token, double now,
+                               double former_leader_deadline) {
   token_ = token;
   first_token_of_term_ = token;
   term_start_ = now;
-  predecessors_until_ = predecessors_until;
-  confirmed_gone_.clear();
+  former_leader_deadline_ = former_leader_deadline;
+  confirmed_terminations_.clear();
   for (auto& [name, machine] : machines_) {
     machine.sent_starts.clear();
-    // What ran in an earlier term of ours was observed by other leaders since: how long it has
-    // taken is not known here, and machines that are well would be taken for slow.
+    // Tasks that started in an earlier term of ours have since been observed by other leaders. This
+    // leader does not know their run times, and would count healthy machines as slow.
     for (auto& [task, reported] : machine.reported_tasks) reported.start_observed = false;
   }
 }
@@ -177,11 +179,12 @@
   if (found.is_new) OnFirstStatus(machine, now);
   if (!IsNewer(report, machine)) return false;
   if (direct) {
-    machine.answers.unacknowledged = 0;  // direct commands do reach it
+    machine.responses.unacknowledged = 0;  // the machine responds to direct commands
   } else {
     CheckAcknowledgement(machine, report, token_, options_.lease_s, now);
   }
-  // How long a machine took to boot that neither a request nor a list has named is not known.
+  // The boot time is unknown if neither a scale-out request nor a list has named the machine
+  // before.
   if (!found.is_new) ObserveBootTime(machine, report, now);
   const bool agent_changed = IsAgentChanged(report, machine);
   UpdateIdentity(machine, report);
@@ -196,8 +199,10 @@
 void WorkerRegistry::OnFirstStatus(Machine& machine, double now) {
   machine.cloud.requested_at = now;
   machine.cloud.idle_since = now;
-  // A late heartbeat, or a machine that a late scale-out request brought back: terminate it again.
-  if (IsConfirmedGone(machine.name)) RequestTermination(machine, "reports after it was gone");
+  // Either a delayed heartbeat, or a delayed scale-out request that created the machine again.
+  // Request its termination again.
+  if (IsTerminationConfirmed(machine.name))
+    RequestTermination(machine, "heartbeat after termination");
 }
 
 void WorkerRegistry::ObserveBootTime(const Machine& machine, const model::Heartbeat& report,
@@ -218,7 +223,7 @@
       const bool start_was_sent = machine.sent_starts.contains(status.task);
       reported = DescribeNewState(status, previous, start_was_sent, now);
     }
-    // One worker may have several attempts of a task; the newest is the one that matters.
+    // A worker may report several attempts of a task; keep the newest one.
     auto [entry, is_new] = updated.emplace(status.task, reported);
     if (!is_new && entry->second.attempt < reported.attempt) entry->second = reported;
   }
@@ -227,13 +232,13 @@
 
 void WorkerRegistry::CountFailure(const Machine& machine, const model::TaskStatus& status,
                                   double now) {
-  // A task may fail before any heartbeat has shown it alive: that counts like any other failure.
+  // A task that fails before any heartbeat has reported it alive counts like any other failure.
   if (status.state != model::TaskPhase::kExited) return;
   if (status.cause == model::ExitCause::kDone) {
-    failures_.OnSuccess(status.task.job, machine.name);
+    failure_tracker_.OnSuccess(status.task.job, machine.name);
   }
   if (status.cause == model::ExitCause::kError) {
-    failures_.OnFailure(status.task.job, machine.name, now);
+    failure_tracker_.OnFailure(status.task.job, machine.name, now);
   }
 }
 
@@ -243,12 +248,13 @@
   if (machine == nullptr) return;
   AgentState& agent = machine->agent;
   if (!machine->IsNewestStatus(report)) {
-    // An agent's lease counts from when the answered heartbeat was sent. This one was sent before
-    // the newest status, which was here by then: late copies renew no lease beyond that.
-    agent.last_answer = std::max(agent.last_answer, agent.last_status);
+    // An agent's lease counts from when it sent the answered heartbeat. This heartbeat was sent
+    // before the newest status, which has arrived by now, so the response to a delayed copy renews
+    // the lease no further than from last_status.
+    agent.last_response = std::max(agent.last_response, agent.last_status);
     return;
   }
-  agent.last_answer = now;
+  agent.last_response = now;
   ExpectAcknowledgement(*machine, commands, token_);
 }
 
@@ -257,16 +263,16 @@
   std::unordered_set<std::string> listed_names;
   listed_names.reserve(listed.size());
   for (const model::CloudMachine& machine : listed) {
-    // The list lags behind the confirmation of a termination.
-    if (IsConfirmedGone(machine.machine)) continue;
+    // The list may still contain machines whose termination is already confirmed.
+    if (IsTerminationConfirmed(machine.machine)) continue;
     listed_names.insert(machine.machine);
     UpdateFromList(machine, now);
   }
-  std::vector<std::string> left;
+  std::vector<std::string> unlisted;
   for (const auto& [name, machine] : machines_) {
-    if (!listed_names.contains(name) && HasLeftList(machine, asked_at)) left.push_back(name);
+    if (!listed_names.contains(name) && HasLeftList(machine, asked_at)) unlisted.push_back(name);
   }
-  for (const std::string& name : left) {
+  for (const std::string& name : unlisted) {
     spdlog::info("machine gone: machine={} reason=no longer listed", name);
     OnTerminated(name);
   }
@@ -293,13 +299,13 @@
     cloud.up_since = now;
   }
   if (listed.state == model::CloudMachineState::kFailed) {
-    RequestTermination(machine, "failed by itself");
+    RequestTermination(machine, "cloud reports failure");
   }
 }
 
 bool WorkerRegistry::HasLeftList(const Machine& machine, double asked_at) const {
-  // A list may be older than the one before it, but not by more than the longest lag: a machine
-  // that was listed earlier than that and is missing now is gone.
+  // A list may be older than the previous one, but not by more than the maximum lag. A machine that
+  // was first listed earlier than that and is missing now is gone.
   const double settled_after_s =
       kMaxListLags * options_.list_lag_s + options_.heartbeat_interval_s / kTimerSlackDivisor;
   return machine.cloud.listed && asked_at - machine.cloud.first_listed > settled_after_s;
@@ -320,11 +326,12 @@
 }
 
 void WorkerRegistry::OnTerminated(const std::string& machine_name) {
-  failures_.ForgetMachine(machine_name);
-  confirmed_gone_.insert(machine_name);
-  // Names grow with time: the first in order are the least likely to be heard of again.
-  if (confirmed_gone_.size() > max_confirmed_gone_) confirmed_gone_.erase(confirmed_gone_.begin());
-  // Last, as the name may be a part of the machine.
+  failure_tracker_.ForgetMachine(machine_name);
+  confirmed_terminations_.insert(machine_name);
+  // Names increase with time: the first in order are the least likely to be reported again.
+  if (confirmed_terminations_.size() > max_confirmed_terminations_)
+    confirmed_terminations_.erase(confirmed_terminations_.begin());
+  // Must come last, because `machine_name` may refer to the name inside the removed machine.
   Remove(machine_name);
 }
 
@@ -337,23 +344,24 @@
 }
 
 void WorkerRegistry::UpdateObservations(const jobs::JobTable& job_table) {
-  failures_.Reconcile(job_table, machines_.size());
-  for (const std::string& name : failures_.FaultyMachines()) {
-    if (Machine* machine = Find(name)) RequestTermination(*machine, "fails the tasks it starts");
+  failure_tracker_.Reconcile(job_table, machines_.size());
+  for (const std::string& name : failure_tracker_.FaultyMachines()) {
+    if (Machine* machine = Find(name)) RequestTermination(*machine, "repeated task failures");
   }
   for (auto& [name, machine] : machines_) {
     for (const auto& [task, reported] : machine.reported_tasks) {
       const jobs::Job* job = job_table.Find(task.job);
       const bool runs = reported.state == model::TaskPhase::kRunning;
-      if (job != nullptr && runs) NoteImage(machine, job->spec.image);
+      if (job != nullptr && runs) RecordImage(machine, job->spec.image);
     }
     UpdateSlowness(machine, job_table);
   }
 }
 
-void WorkerRegistry::NoteImage(Machine& machine, const std::string& image) {
+void WorkerRegistry::RecordImage(Machine& machine, const std::string& image) {
   if (image_index_.IsFullFor(image)) {
-    // Better to know nothing for a while than to keep every image there ever was.
+    // Discards all image data, which will be relearned, so that the index does not grow without
+    // bound.
     image_index_.Clear();
     for (auto& [name, other] : machines_) other.images.clear();
   }
@@ -380,21 +388,22 @@
 }
 
 double WorkerRegistry::LeaseExpiry(const Machine* machine) const {
-  // Counted from the last answer that anybody could have given: an earlier leader, which may not
-  // know yet that another has taken the lead, or we ourselves.
-  double last_answer = predecessors_until_;
-  if (machine != nullptr) last_answer = std::max(last_answer, machine->agent.last_answer);
-  return last_answer + options_.lease_s * (1 + kClockDrift) +
+  // Leases count from the last response that any leader may have sent: this one, or an earlier
+  // leader that does not yet know that it has been replaced.
+  double last_response = former_leader_deadline_;
+  if (machine != nullptr) last_response = std::max(last_response, machine->agent.last_response);
+  return last_response + options_.lease_s * (1 + kClockDrift) +
          options_.heartbeat_interval_s / kTimerSlackDivisor;
 }
 
 double WorkerRegistry::MissedHeartbeats(const Machine& machine, double now) const {
-  // A machine that boots is not expected to be heard.
+  // No heartbeats are expected from a booting machine.
   if (machine.cloud.booting) return 0;
-  // One that is up finds the leader within a few heartbeats. One that has not found us yet may be
-  // with the earlier leader, for as long as that one may answer.
+  // A machine that is up finds a new leader within a few heartbeats. A machine that has not
+  // reported yet may still send heartbeats to the earlier leader, as long as that leader may
+  // respond.
   const double expected_since =
-      machine.has_reported() ? term_start_ : std::max(term_start_, predecessors_until_);
+      machine.has_reported() ? term_start_ : std::max(term_start_, former_leader_deadline_);
   const double last_heard =
       std::max({machine.agent.last_heartbeat, expected_since, machine.cloud.up_since});
   return (now - last_heard) / options_.heartbeat_interval_s;
@@ -405,17 +414,17 @@
 }
 
 bool WorkerRegistry::AreResponsesLost(const Machine& machine, double now) const {
-  return AreAnswersLost(machine, options_.lease_s, now);
+  return HasLostResponses(machine, options_.lease_s, now);
 }
 
 bool WorkerRegistry::AcceptsTasks(const Machine& machine, double now) const {
   if (!machine.has_reported() || machine.cloud.terminating || machine.HasSpotNotice()) return false;
-  if (IsSlow(machine) || failures_.IsQuarantined(machine.name, now)) return false;
-  // Another leader commands it.
+  if (IsSlow(machine) || failure_tracker_.IsQuarantined(machine.name, now)) return false;
+  // Another leader commands this machine.
   if (machine.agent.token > token_) return false;
-  if (machine.answers.unacknowledged >= kMinUnacknowledgedToBarTasks) return false;
-  // Only heartbeats renew its lease: a machine that answers direct commands, but reaches no
-  // controller, is about to lose all that it runs.
+  if (machine.responses.unacknowledged >= kMinUnacknowledgedToExclude) return false;
+  // Only heartbeats renew the lease. A machine that responds to direct commands but whose
+  // heartbeats reach no controller is about to lose all its tasks.
   const double heartbeat_age_s = now - machine.agent.last_heartbeat;
   return heartbeat_age_s < kMaxHeartbeatAge * options_.heartbeat_interval_s;
 }
