--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -290,7 +290,7 @@
     // What was read for it just now need not be read again.
     for (const std::string& a : record.spec.awaits) {
       if (auto it = final_records_.find(a); it != final_records_.end())
-        deps_.job_table->RecordFinal(a, it->second);
+        deps_.job_table->SetFinalRecord(a, it->second);
     }
     spdlog::info("job {} accepted: {} x {} cpus, team {}, awaits {}{}", id, record.spec.tasks,
                  record.spec.cpus, record.spec.team, record.spec.awaits.size(),
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -75,7 +75,8 @@
   scope.holder_count = division_.record().holders.size();
   scope.holder_of = [this](const std::string& machine) { return division_.HolderOf(machine); };
   scope.may_place = [this, widen_s, wall_now](size_t holder, const jobs::Job& job) {
-    return division_.MayPlace(holder, job.spec, job.priority, wall_now - job.since, widen_s);
+    return division_.MayPlace(holder, job.spec, job.priority, wall_now - job.runnable_since,
+                              widen_s);
   };
   return scope;
 }
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -118,7 +118,7 @@
   jobs::TransactionLimits limits =
       committer_.Limits(services_.block_records->PlacementPreconditions(*holder));
   limits.placements_only = true;
-  limits.others_place = true;
+  limits.concurrent_placement = true;
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
   auto transactions =
       jobs::BuildTransactions(*services_.job_table, plan.placements, limits, version);
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -18,9 +18,9 @@
 
 std::optional<wire::CancellationReportRequest> CancellationExchange::RequestFor(
     const std::string& node) {
-  watermark_.OnCopyComplete(services_.cache->current_as_of());
+  watermark_.OnCacheConfirmed(services_.cache->current_as_of());
   const double now = services_.scope->loop().Now();
-  const bool out_of_touch = services_.client->down() || watermark_.CopyIsStale(now);
+  const bool out_of_touch = services_.client->down() || watermark_.CacheIsStale(now);
   if (!services_.election->leading() || !out_of_touch) return std::nullopt;
   return watermark_.RequestFor(node, services_.cache->revision());
 }
@@ -62,8 +62,8 @@
 }
 
 bool CancellationExchange::MayRenewWorkerLeases() {
-  watermark_.OnCopyComplete(services_.cache->current_as_of());
-  return watermark_.MayRenew(services_.scope->loop().Now());
+  watermark_.OnCacheConfirmed(services_.cache->current_as_of());
+  return watermark_.MayRenewLeases(services_.scope->loop().Now());
 }
 
 }  // namespace hallpier::controller
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -108,7 +108,7 @@
               [this](wire::HttpRequest request) { return router_.Handle(std::move(request)); }),
       peers_(root_, settings_, PeerHooks()),
       state_dispatcher_(services_, leader_, dependency_outcomes_, membership_, block_holder_) {
-  loop.WatchPauses(election_.MaxUnverifiedS());
+  loop.WatchPauses(election_.MaxRenewalGapS());
   client_.SetRelay([this](wire::HttpRequest request) { return peers_.Relay(std::move(request)); });
 }
 
--- a/src/controller/copy_confirmation.cc
+++ b/src/controller/copy_confirmation.cc
@@ -12,7 +12,7 @@
                                      store::LinearizableRead& linearizable_read, double retry_s) {
   async::Scope& scope = *services.scope;
   while (!scope.cancelled()) {
-    async::Sleep pause(scope, services.election->MaxUnverifiedS() / kPauseChecks);
+    async::Sleep pause(scope, services.election->MaxRenewalGapS() / kPauseChecks);
     co_await pause;
     while (!scope.cancelled() && services.cache->current_as_of() < scope.loop().resumed_at()) {
       const bool confirmed = co_await linearizable_read.CatchUp();
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -50,7 +50,7 @@
   auto entry = co_await client_.Get(store::FinalKey(job));
   auto record = entry.ok() ? store::ReadFinal(entry.value.value).ToOptional() : std::nullopt;
   if (record) {
-    job_table_.RecordFinal(job, *record);
+    job_table_.SetFinalRecord(job, *record);
     on_outcome_();
     outcome_known_.Notify();
   } else {
--- a/src/controller/finished_jobs.cc
+++ b/src/controller/finished_jobs.cc
@@ -13,7 +13,7 @@
     const auto* final_key = std::get_if<store::FinalKeyName>(&key);
     if (final_key == nullptr) continue;
     if (auto record = store::ReadFinal(write.value)) {
-      job_table.RecordFinal(final_key->job, *record);
+      job_table.SetFinalRecord(final_key->job, *record);
     }
   }
 }
@@ -30,7 +30,8 @@
     lines.push_back(fmt::format(
         "job {}: job={} class={} seconds={:.1f} tasks={} cpus={} mean_run_seconds={:.1f}",
         job->cancelled ? "cancelled" : "done", job_key->job, job->spec.job_class,
-        time_of_day - job->submitted, job->spec.tasks, job->spec.cpus, job->MeanRun().value_or(0)));
+        time_of_day - job->submitted, job->spec.tasks, job->spec.cpus,
+        job->MeanRunTimeS().value_or(0)));
   }
   return lines;
 }
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -58,7 +58,7 @@
 void Leader::Begin(async::Scope& term) {
   term_ = &term;
   const election::LeaderElection& election = *services_.election;
-  registry_.BeginTerm(election.token(), term.loop().Now(), election.predecessors_until());
+  registry_.BeginTerm(election.token(), term.loop().Now(), election.predecessor_answers_until());
   context_.machine_types = *services_.machine_types;
   commands_.BeginTerm();
   dispatcher_.BeginTerm(term);
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -21,13 +21,13 @@
                      CancellationExchange& cancellations, const net::PeerMesh& peers)
       : membership_(membership), cancellations_(cancellations), peers_(peers) {}
 
-  bool MayTakeLead() const override { return !membership_ || membership_->MayLead(); }
-  std::vector<model::Precondition> TakePreconditions() const override {
+  bool MayBecomeLeader() const override { return !membership_ || membership_->MayLead(); }
+  std::vector<model::Precondition> AcquirePreconditions() const override {
     return membership_ ? membership_->LeadPreconditions() : std::vector<model::Precondition>();
   }
-  double TakeDelayS() const override { return membership_ ? membership_->TakeDelayS() : 0; }
+  double AcquireDelayS() const override { return membership_ ? membership_->TakeDelayS() : 0; }
   // Only a member yields since it is refused alone.
-  bool MayRevokeByPeer() const override { return membership_ != nullptr; }
+  bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
   bool OutageConfirmedByAll() const override { return peers_.AllConfirmOutage(); }
 
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -36,7 +36,7 @@
   std::map<RequeueGroup, int> requeued;
   for (const jobs::TaskTransition& transition : transitions) {
     if (transition.kind == jobs::TaskTransition::Kind::kRequeue) {
-      ++requeued[{transition.machine, transition.why}];
+      ++requeued[{transition.machine, transition.reason}];
     }
   }
   for (const auto& [group, tasks] : requeued) {
@@ -51,8 +51,8 @@
     writes[transaction.priority] += transaction.writes.size();
   }
   spdlog::debug("commit: urgent_starts={} job_ends={} starts={} background={} task_ends={}",
-                writes[jobs::WritePriority::kUrgentStart], writes[jobs::WritePriority::kJobEnd],
-                writes[jobs::WritePriority::kStart], writes[jobs::WritePriority::kCleanup],
+                writes[jobs::WritePriority::kUrgentPlacement], writes[jobs::WritePriority::kJobEnd],
+                writes[jobs::WritePriority::kPlacement], writes[jobs::WritePriority::kCleanup],
                 writes[jobs::WritePriority::kTaskEnd]);
 }
 
@@ -205,7 +205,7 @@
     co_return;
   }
   jobs::TransactionLimits limits = committer_.Limits(std::move(preconditions));
-  limits.others_place = parts_.blocks != nullptr && parts_.blocks->divided();
+  limits.concurrent_placement = parts_.blocks != nullptr && parts_.blocks->divided();
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
   auto transactions = jobs::BuildTransactions(*services_.job_table, transitions, limits, version);
   LogTransactions(transactions);
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -22,11 +22,11 @@
   jobs::TransactionLimits limits;
   limits.max_writes = services_.formats->max_transaction_writes();
   limits.preconditions = std::move(preconditions);
-  limits.value_bytes = services_.formats->max_value_bytes();
+  limits.max_value_bytes = services_.formats->max_value_bytes();
   limits.task_end_max_wait_s = services_.settings->heartbeat_interval_s;
   limits.packed_groups = services_.formats->packed_groups_enabled();
   limits.time_of_day = services_.time_of_day();
-  limits.sent_alone = &oversized_.alone();
+  limits.isolated_keys = &oversized_.alone();
   return limits;
 }
 
--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -32,7 +32,7 @@
   for (std::string& node : other_nodes) reported_[std::move(node)] = {kNever, 0};
 }
 
-void CancellationWatermark::OnCopyComplete(double asked) {
+void CancellationWatermark::OnCacheConfirmed(double asked) {
   copy_complete_at_ = std::max(copy_complete_at_, asked);
 }
 
@@ -51,7 +51,7 @@
   reported.known_through = std::max(reported.known_through, cancellation_report.revision);
 }
 
-double CancellationWatermark::KnownAt(double now) const {
+double CancellationWatermark::Watermark(double now) const {
   // Only a node itself can report what it acknowledged: after it lost its links to the others and
   // the store, nobody else knows. So the node whose report is oldest decides.
   double complete_everywhere = now;  // a lone node knows all that was acknowledged
@@ -61,7 +61,7 @@
   return std::max(copy_complete_at_, complete_everywhere);
 }
 
-bool CancellationWatermark::CopyIsStale(double now) const {
+bool CancellationWatermark::CacheIsStale(double now) const {
   return now - copy_complete_at_ >
          std::min(kQuietHeartbeats * options_.heartbeat_interval_s, kAskAfter * renewal_bound_s_);
 }
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -31,7 +31,7 @@
   CancellationWatermark(Options options, std::vector<std::string> other_nodes);
 
   // This node's copy contained, at `asked`, all that had been recorded by then.
-  void OnCopyComplete(double asked);
+  void OnCacheConfirmed(double asked);
   // The request for a node, given the revision up to which this node's copy is complete.
   wire::CancellationReportRequest RequestFor(const std::string& node, uint64_t revision) const;
   // A node's answer to a request that was sent at `asked`. The caller must have applied the
@@ -40,11 +40,11 @@
                             const wire::CancellationReport& cancellation_report);
 
   // The time up to which every acknowledged cancellation is known here.
-  double KnownAt(double now) const;
+  double Watermark(double now) const;
   // True while workers' leases may be renewed.
-  bool MayRenew(double now) const { return now <= KnownAt(now) + renewal_bound_s(); }
+  bool MayRenewLeases(double now) const { return now <= Watermark(now) + renewal_bound_s(); }
   // True once this node's copy has not been confirmed for so long that the others are to be asked.
-  bool CopyIsStale(double now) const;
+  bool CacheIsStale(double now) const;
   // How long after the watermark a lease may still be renewed.
   double renewal_bound_s() const { return renewal_bound_s_; }
 
--- a/src/election/election_policy.h
+++ b/src/election/election_policy.h
@@ -19,14 +19,14 @@
   ElectionPolicy& operator=(const ElectionPolicy&) = delete;
 
   // Whether this node's standing among the members lets it take the lead now.
-  virtual bool MayTakeLead() const { return true; }
+  virtual bool MayBecomeLeader() const { return true; }
   // Preconditions that must hold in the transaction that takes the lead, beside the election's own.
-  virtual std::vector<model::Precondition> TakePreconditions() const { return {}; }
+  virtual std::vector<model::Precondition> AcquirePreconditions() const { return {}; }
   // Seconds that a better placed node is given to take the lead first; 0: none.
-  virtual double TakeDelayS() const { return 0; }
+  virtual double AcquireDelayS() const { return 0; }
   // Whether the lease of an ended term may be revoked by way of a peer. A node that yields because
   // the key-value store refuses it alone has no other way.
-  virtual bool MayRevokeByPeer() const { return false; }
+  virtual bool MayRevokeViaPeer() const { return false; }
   // Whether workers' leases may be renewed without missing an acknowledged cancellation
   // (election/cancellation_watermark.h).
   virtual bool MayRenewWorkerLeases() const { return true; }
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -38,7 +38,7 @@
   return operators_.blind_ratio * settings_.lease_s;
 }
 
-double LeaderElection::MaxUnverifiedS() const {
+double LeaderElection::MaxRenewalGapS() const {
   return std::max(LeaseTtlS(), RenewalIntervalS() + 2 * client_.timeout_s());
 }
 
@@ -47,14 +47,14 @@
   // The lease ran out though no renewal has failed: this process was paused, or is far behind.
   // Another node may have led since. The first renewal shows whether one did; until then nobody is
   // answered on the strength of what was true before.
-  if (!renewal_failing_ && scope_.loop().Now() > last_renewed_ + MaxUnverifiedS()) return false;
+  if (!renewal_failing_ && scope_.loop().Now() > last_renewed_ + MaxRenewalGapS()) return false;
   // Whoever leads: renewing a worker's lease while a cancellation may be unknown here keeps
   // cancelled tasks alive (election/cancellation_watermark.h).
   if (!policy_.MayRenewWorkerLeases()) return false;
   // Without the key-value store we can't know whether another node leads. Answers go on for a set
-  // part of the workers' lease; a successor waits that long (predecessors_until) before it relies
-  // on the end of a lease. That carries running tasks through an outage. It does not hold after a
-  // pause: the outage may have ended meanwhile.
+  // part of the workers' lease; a successor waits that long (predecessor_answers_until) before it
+  // relies on the end of a lease. That carries running tasks through an outage. It does not hold
+  // after a pause: the outage may have ended meanwhile.
   const bool paused = scope_.loop().resumed_at() > last_renewed_;
   if (!paused && scope_.loop().Now() < last_renewed_ + UnverifiedAnswersS()) return true;
   // Beyond that, only while every other node says at this moment that no successor can exist. A
@@ -126,7 +126,7 @@
   if (!lease_id.ok()) co_return false;
   std::vector<model::Precondition> preconditions = {
       {store::LeaderKey(), 0}, store::TokenPrecondition(cache_.fencing_token())};
-  for (model::Precondition& precondition : policy_.TakePreconditions()) {
+  for (model::Precondition& precondition : policy_.AcquirePreconditions()) {
     preconditions.push_back(std::move(precondition));
   }
   const std::string leader = store::WriteLeader({settings_.node, lease_id.value});
@@ -152,7 +152,7 @@
   // The length of the former leader's lease can't be counted on, since it may have been revoked a
   // moment ago (OnNodeFailed). Nor does it help if this node led before and was restarted: whoever
   // its former process had followed may still be answering.
-  predecessors_until_ = scope_.loop().Now() + UnverifiedAnswersS();
+  predecessor_answers_until_ = scope_.loop().Now() + UnverifiedAnswersS();
   lease_id_ = lease_id;
   token_ = token;
   lost_ = false;
@@ -163,7 +163,7 @@
 
 async::Task<> LeaderElection::Renew() {
   const double asked = scope_.loop().Now();
-  const bool by_peer = asked - last_renewed_directly_ < kRelayedRatio * settings_.lease_s;
+  const bool by_peer = asked - last_renewed_directly_ < kMaxRelayedRenewalRatio * settings_.lease_s;
   const auto route = by_peer ? store::Client::Route::kAny : store::Client::Route::kDirect;
   auto result = co_await client_.RenewLease(lease_id_, route);
   renewal_failing_ = !result.ok();
@@ -204,7 +204,7 @@
   token_ = {};
   lease_id_ = 0;
   const auto route =
-      policy_.MayRevokeByPeer() ? store::Client::Route::kAny : store::Client::Route::kDirect;
+      policy_.MayRevokeViaPeer() ? store::Client::Route::kAny : store::Client::Route::kDirect;
   auto revoked = co_await client_.RevokeLease(lease_id, route);
   (void)revoked;
   holds_lease_ = false;
@@ -238,12 +238,12 @@
     co_await pause;
     co_return false;
   }
-  if (!policy_.MayTakeLead()) {
+  if (!policy_.MayBecomeLeader()) {
     auto pause = wake_.Await(scope_, RenewalIntervalS());
     co_await pause;
     co_return false;
   }
-  const double delay_s = policy_.TakeDelayS();
+  const double delay_s = policy_.AcquireDelayS();
   if (delay_s <= 0) co_return true;
   auto pause = wake_.Await(scope_, delay_s);
   co_await pause;
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -29,7 +29,7 @@
   // A leader that the key-value store refuses alone renews its lease by way of a peer for at most
   // this part of the workers' lease. A short refusal must not move the lead each time; beyond that
   // another node leads, since the watch, which brings new jobs, has no way round by a peer.
-  static constexpr double kRelayedRatio = 0.25;
+  static constexpr double kMaxRelayedRenewalRatio = 0.25;
 
   // Starts the duties of a term in the given scope, which is cancelled when the term ends.
   using TermStarter = std::function<void(async::Scope& scope)>;
@@ -61,9 +61,9 @@
   bool MayAct() const;
   // Seconds: a leader that has not renewed its lease for longer, though no renewal has failed, was
   // paused.
-  double MaxUnverifiedS() const;
+  double MaxRenewalGapS() const;
   // Steady time (s) until which a former leader may have answered workers under an older token.
-  double predecessors_until() const { return predecessors_until_; }
+  double predecessor_answers_until() const { return predecessor_answers_until_; }
   // The node that leads as far as is known here; empty: none.
   std::string leader() const { return record_ ? record_->node : std::string(); }
   // True while this node leads, and after that until its lease has been revoked.
@@ -113,7 +113,7 @@
   uint64_t lease_id_ = 0;
   double last_renewed_ = -1;           // steady time at which the last good renewal was requested
   double last_renewed_directly_ = -1;  // the same without the help of a peer
-  double predecessors_until_ = 0;
+  double predecessor_answers_until_ = 0;
   double earliest_retake_ = 0;  // steady time before which the lead is not taken again
   uint64_t failed_nodes_lease_id_ = 0;
   bool lost_ = false;  // the term is to end
--- a/src/fleet/slowness_estimate.cc
+++ b/src/fleet/slowness_estimate.cc
@@ -32,7 +32,7 @@
   for (auto& [task, reported] : machine.reported_tasks) {
     const jobs::Job* job = job_table.Find(task.job);
     if (job == nullptr || reported.run_time_sampled || job->done() < kMinSamples) continue;
-    const std::optional<double> mean_s = job->MeanRun();
+    const std::optional<double> mean_s = job->MeanRunTimeS();
     if (!mean_s || *mean_s <= 0) continue;
     const double run_s = ComparableRunTime(machine, reported, *mean_s);
     if (run_s <= 0) continue;
--- a/src/fleet/task_outcomes.cc
+++ b/src/fleet/task_outcomes.cc
@@ -24,7 +24,7 @@
   transition.task = placement.task;
   transition.attempt = placement.attempt;
   transition.machine = placement.machine;
-  transition.why = reason;
+  transition.reason = reason;
   return transition;
 }
 
@@ -37,7 +37,7 @@
   transition.machine = placement.machine;
   transition.run_s = exit.run_s;
   transition.machine_type = machine.machine_type;
-  transition.age_s = now - exit.since;
+  transition.known_for_s = now - exit.since;
   return transition;
 }
 
--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -74,8 +74,8 @@
   Node& node = entry->second;
   if (is_new) {
     AddNode(record, node);
-  } else if (node.awaits.empty() && node.state.since != record.submitted) {
-    node.state.since = record.submitted;
+  } else if (node.awaits.empty() && node.state.runnable_since != record.submitted) {
+    node.state.runnable_since = record.submitted;
     MarkChanged(id);
   }
   if (record.cancelled && !node.cancelled_by_record) {
@@ -91,9 +91,9 @@
   node.own_due = record.spec.due_s > 0 ? record.submitted + record.spec.due_s
                                        : std::numeric_limits<double>::infinity();
   node.estimate_s = record.spec.estimate_s;
-  node.state.since = record.submitted;
+  node.state.runnable_since = record.submitted;
   node.state.priority = node.own_priority;
-  node.state.due = node.own_due;
+  node.state.deadline = node.own_due;
   MarkChanged(id);
   UpdateUnresolved(id);
   Connect(id, node);
@@ -106,7 +106,7 @@
     awaited.dependents.insert(id);
     UpdateUnresolved(awaited_id);
     if (awaited.ended && awaited.final_record.phase == model::JobPhase::kDone) {
-      node.state.since = std::max(node.state.since, awaited.final_record.at);
+      node.state.runnable_since = std::max(node.state.runnable_since, awaited.final_record.at);
       continue;
     }
     ++node.open_awaits;
@@ -161,14 +161,14 @@
 bool DependencyGraph::RecomputeUrgency(const std::string& id, Node& node) const {
   EffectiveState state = node.state;
   state.priority = node.own_priority;
-  state.due = node.own_due;
+  state.deadline = node.own_due;
   for (const std::string& dependent_id : Dependents(id)) {
     auto entry = nodes_.find(dependent_id);
     if (entry == nodes_.end()) continue;
     const Node& dependent = entry->second;
     if (dependent.state.cancelled) continue;  // it no longer needs this job
     state.priority = std::min(state.priority, dependent.state.priority);
-    state.due = std::min(state.due, dependent.state.due - dependent.estimate_s);
+    state.deadline = std::min(state.deadline, dependent.state.deadline - dependent.estimate_s);
   }
   if (state == node.state) return false;
   node.state = state;
@@ -182,21 +182,22 @@
     auto entry = nodes_.find(current);
     if (entry == nodes_.end() || entry->second.state.cancelled) continue;
     const Node& node = entry->second;
-    const double due_upstream = node.state.due - node.estimate_s;
+    const double due_upstream = node.state.deadline - node.estimate_s;
     for (const std::string& awaited : node.awaits) {
       auto upstream = nodes_.find(awaited);
       if (upstream == nodes_.end() || upstream->second.state.cancelled) continue;
       EffectiveState& state = upstream->second.state;
-      if (node.state.priority >= state.priority && due_upstream >= state.due) continue;
+      if (node.state.priority >= state.priority && due_upstream >= state.deadline) continue;
       state.priority = std::min(state.priority, node.state.priority);
-      state.due = std::min(state.due, due_upstream);
+      state.deadline = std::min(state.deadline, due_upstream);
       MarkChanged(awaited);
       pending.push_back(awaited);
     }
   }
 }
 
-void DependencyGraph::RecordFinal(const std::string& id, const store::FinalRecord& final_record) {
+void DependencyGraph::SetFinalRecord(const std::string& id,
+                                     const store::FinalRecord& final_record) {
   auto awaited = awaited_.find(id);
   if (awaited == awaited_.end() || awaited->second.ended) return;
   awaited->second.ended = true;
@@ -223,7 +224,7 @@
   node.state.blocked = node.open_awaits > 0;
   // A final record without a time is older than the change of formats, and jobs that await others
   // are submitted after it: then the submission, the later of both, stands.
-  node.state.since = std::max(node.state.since, final_record.at);
+  node.state.runnable_since = std::max(node.state.runnable_since, final_record.at);
   MarkChanged(id);
 }
 
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -29,13 +29,13 @@
   // The state of an unfinished job, with all that its upstream and downstream jobs mean for it.
   // Times are times of day in seconds.
   struct EffectiveState {
-    bool blocked = false;    // some awaited job is not known to be recorded as done
-    bool cancelled = false;  // by its own record, or because an upstream job is cancelled
-    double since = 0;        // when it was submitted, or the last awaited job was done
+    bool blocked = false;       // some awaited job is not known to be recorded as done
+    bool cancelled = false;     // by its own record, or because an upstream job is cancelled
+    double runnable_since = 0;  // when it was submitted, or the last awaited job was done
     // The highest of its own priority and those of all downstream jobs.
     model::Priority priority = model::Priority::kBestEffort;
     // By when it has to be done, for its own deadline and those of all downstream jobs.
-    double due = std::numeric_limits<double>::infinity();
+    double deadline = std::numeric_limits<double>::infinity();
     bool operator==(const EffectiveState&) const = default;
   };
 
@@ -44,7 +44,7 @@
   // The record was dropped: the job is final.
   void Drop(const std::string& id);
   // Takes in how a job ended. Kept for as long as unfinished jobs await it; the first call counts.
-  void RecordFinal(const std::string& id, const store::FinalRecord& final_record);
+  void SetFinalRecord(const std::string& id, const store::FinalRecord& final_record);
 
   // Null if there is no unfinished job of that id.
   const EffectiveState* Find(const std::string& id) const;
--- a/src/jobs/final_records.cc
+++ b/src/jobs/final_records.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::optional<model::JobPhase> PhaseAtEnd(const JobChanges& changes) {
+std::optional<model::JobPhase> FinalPhase(const JobChanges& changes) {
   const Job& job = *changes.job;
   if (job.cancelled) {
     if (changes.PlacedAfter() == 0) return model::JobPhase::kCancelled;
@@ -57,7 +57,7 @@
   std::map<std::string, size_t> open_dependents;  // that must become final before the job
   for (const std::string& id : changes.order) {
     const JobChanges& job_changes = changes.by_job.at(id);
-    if (!job_changes.job->cancelled || !PhaseAtEnd(job_changes)) continue;
+    if (!job_changes.job->cancelled || !FinalPhase(job_changes)) continue;
     const size_t dependents = job_table.dependency_graph().Dependents(id).size();
     open_dependents[id] = dependents;
     if (dependents == 0) can_end.push_back(id);
@@ -75,10 +75,10 @@
   return result;
 }
 
-std::optional<WriteUnit> FinalRecordUnit(const JobTable& job_table, const std::string& id,
-                                         const JobChanges& changes, model::JobPhase phase,
-                                         const TransactionLimits& limits,
-                                         const VersionLookup& version) {
+std::optional<WriteUnit> BuildFinalRecordUnit(const JobTable& job_table, const std::string& id,
+                                              const JobChanges& changes, model::JobPhase phase,
+                                              const TransactionLimits& limits,
+                                              const VersionLookup& version) {
   const size_t max_keys = static_cast<size_t>(limits.max_writes) - kWritesOfTheJob;
   const auto group_keys = GroupKeysToDrop(id, changes, max_keys);
   if (!group_keys) return std::nullopt;
--- a/src/jobs/final_records.h
+++ b/src/jobs/final_records.h
@@ -15,7 +15,7 @@
 
 // How the job ends once its changes are written: as done if all its tasks are, as cancelled if it
 // is and no task is placed any more. Nothing if it goes on.
-std::optional<model::JobPhase> PhaseAtEnd(const JobChanges& changes);
+std::optional<model::JobPhase> FinalPhase(const JobChanges& changes);
 
 // Cancelled jobs of a round, by whether they can become final in it.
 struct CancellationOrder {
@@ -29,9 +29,9 @@
 
 // The writes that make a job final: its final record is written, its own record and the keys of its
 // task groups are dropped. Nothing if the groups that the round changes do not fit one transaction.
-std::optional<WriteUnit> FinalRecordUnit(const JobTable& job_table, const std::string& id,
-                                         const JobChanges& changes, model::JobPhase phase,
-                                         const TransactionLimits& limits,
-                                         const VersionLookup& version);
+std::optional<WriteUnit> BuildFinalRecordUnit(const JobTable& job_table, const std::string& id,
+                                              const JobChanges& changes, model::JobPhase phase,
+                                              const TransactionLimits& limits,
+                                              const VersionLookup& version);
 
 }  // namespace hallpier::jobs
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -30,12 +30,12 @@
   return open == group->second.open.end() ? nullptr : &open->second;
 }
 
-std::optional<double> Job::MeanRun(const std::string& machine_type) const {
+std::optional<double> Job::MeanRunTimeS(const std::string& machine_type) const {
   auto stats = groups.runs().find(machine_type);
   if (stats == groups.runs().end()) return std::nullopt;
   return MeanOf(stats->second);
 }
 
-std::optional<double> Job::MeanRun() const { return MeanOf(groups.all_runs()); }
+std::optional<double> Job::MeanRunTimeS() const { return MeanOf(groups.all_runs()); }
 
 }  // namespace hallpier::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -22,9 +22,9 @@
   bool cancelled = false;
   // What other jobs mean for it; see DependencyGraph::EffectiveState.
   bool blocked = false;
-  double since = 0;  // time of day from which on it could run
+  double runnable_since = 0;  // time of day from which on it could run
   model::Priority priority = model::Priority::kNormal;
-  double due = 0;  // time of day
+  double deadline = 0;  // time of day
 
   TaskGroups groups;
   const std::map<uint32_t, store::TaskGroup>& task_groups() const { return groups.all(); }
@@ -36,9 +36,9 @@
   const store::TaskState* FindOpen(uint32_t index) const;
   model::JobStatus Status() const;
   // Mean run time in seconds on a machine type; nothing before the first task has finished there.
-  std::optional<double> MeanRun(const std::string& machine_type) const;
+  std::optional<double> MeanRunTimeS(const std::string& machine_type) const;
   // The same over all machine types.
-  std::optional<double> MeanRun() const;
+  std::optional<double> MeanRunTimeS() const;
 };
 
 }  // namespace hallpier::jobs
--- a/src/jobs/job_changes.cc
+++ b/src/jobs/job_changes.cc
@@ -64,7 +64,7 @@
   return changes;
 }
 
-void AddJobsThatAreOver(const JobTable& job_table, RoundChanges& changes) {
+void AddFinishedJobs(const JobTable& job_table, RoundChanges& changes) {
   for (const auto& [id, job] : job_table.all()) {
     const bool over = job.cancelled ? job.placed() == 0 : job.done() == job.spec.tasks;
     if (!over || changes.by_job.contains(id)) continue;
--- a/src/jobs/job_changes.h
+++ b/src/jobs/job_changes.h
@@ -49,6 +49,6 @@
 
 // Adds, without any change, the jobs that are over but not yet final: cancelled before anything was
 // placed, or with more task groups than one transaction could drop.
-void AddJobsThatAreOver(const JobTable& job_table, RoundChanges& changes);
+void AddFinishedJobs(const JobTable& job_table, RoundChanges& changes);
 
 }  // namespace hallpier::jobs
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -75,8 +75,8 @@
   }
 }
 
-void JobTable::RecordFinal(const std::string& id, const store::FinalRecord& final_record) {
-  dependency_graph_.RecordFinal(id, final_record);
+void JobTable::SetFinalRecord(const std::string& id, const store::FinalRecord& final_record) {
+  dependency_graph_.SetFinalRecord(id, final_record);
   UpdateEffectiveStates();
 }
 
@@ -88,9 +88,9 @@
     Job& job = entry->second;
     job.cancelled = state->cancelled;
     job.blocked = state->blocked;
-    job.since = state->since;
+    job.runnable_since = state->runnable_since;
     job.priority = state->priority;
-    job.due = state->due;
+    job.deadline = state->deadline;
   }
 }
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -35,7 +35,7 @@
   // had of it.
   void Apply(const store::ParsedKey& key, const std::string& value);
   // Takes in how an awaited job ended: read for this purpose, or written by this node.
-  void RecordFinal(const std::string& id, const store::FinalRecord& final_record);
+  void SetFinalRecord(const std::string& id, const store::FinalRecord& final_record);
   const DependencyGraph& dependency_graph() const { return dependency_graph_; }
   // The layout of jobs whose records name none.
   const store::TaskGroupLayout& common_layout() const { return common_layout_; }
--- a/src/jobs/task_transition.h
+++ b/src/jobs/task_transition.h
@@ -20,8 +20,8 @@
   std::string machine;
   double run_s = 0;          // kDone: run time in seconds; 0 if unknown
   std::string machine_type;  // kDone
-  double age_s = 0;          // kDone: seconds since this node learned of it
-  std::string why;           // kRequeue: the reason, for the log
+  double known_for_s = 0;    // kDone: seconds since this node learned of it
+  std::string reason;        // kRequeue: the reason, for the log
 };
 
 }  // namespace hallpier::jobs
--- a/src/jobs/transaction.h
+++ b/src/jobs/transaction.h
@@ -25,7 +25,7 @@
   // Of every transaction. The first is the leader's fencing token: a node whose token is not the
   // newest fails here.
   std::vector<model::Precondition> preconditions;
-  size_t value_bytes = 0;  // of the largest value; 0: no limit
+  size_t max_value_bytes = 0;  // of the largest value; 0: no limit
   // Ends of tasks that have been known for this long (seconds) no longer wait behind placements.
   double task_end_max_wait_s = 0;
   // Every node reads the newer record formats: task groups are written in the packed form, and
@@ -34,13 +34,13 @@
   double time_of_day = 0;  // now, in seconds since the Unix epoch
   // Keys whose writes share a transaction with no others, since a transaction that held them was
   // refused. Null: none. Owned by the caller.
-  const std::set<std::string>* sent_alone = nullptr;
+  const std::set<std::string>* isolated_keys = nullptr;
   // Only placements are built. Ends, and the removal of keys that nothing needs, are the leader's.
   bool placements_only = false;
   // Other nodes place tasks at the same time. Where the zones of a job's tasks depend on each
   // other, a placement then rewrites the job's record as well, so that of two concurrent
   // placements only one can be carried out.
-  bool others_place = false;
+  bool concurrent_placement = false;
 };
 
 // The version of a key in the local copy of the state; 0 if there is no such key.
--- a/src/jobs/transaction_builder.cc
+++ b/src/jobs/transaction_builder.cc
@@ -56,10 +56,10 @@
 
   // False if the job does not end, or can't end in one transaction.
   bool AddFinalRecord(const std::string& id, const JobChanges& changes) {
-    const std::optional<model::JobPhase> phase = PhaseAtEnd(changes);
+    const std::optional<model::JobPhase> phase = FinalPhase(changes);
     if (!phase) return false;
     std::optional<WriteUnit> unit =
-        FinalRecordUnit(job_table_, id, changes, *phase, limits_, version_);
+        BuildFinalRecordUnit(job_table_, id, changes, *phase, limits_, version_);
     if (!unit) return false;
     units_.push_back(std::move(*unit));
     return true;
@@ -79,7 +79,8 @@
       }
     }
     unit.writes = {{key, std::move(value), 0}};
-    if (limits_.others_place && !change.placements.empty() && ZonesDependOnOtherGroups(job)) {
+    if (limits_.concurrent_placement && !change.placements.empty() &&
+        ZonesDependOnOtherGroups(job)) {
       unit.writes.push_back({store::JobKey(id), store::WriteJob(*job_table_.Record(id)), 0});
     }
     for (NewPlacement& placement : change.placements) {
@@ -92,7 +93,7 @@
   // as well: they wait until other tasks have ended.
   std::string FittingValue(const Job& job, uint32_t number, TaskGroupChange& change) const {
     std::string value = Encode(job, number, change.after);
-    while (limits_.value_bytes > 0 && value.size() > limits_.value_bytes &&
+    while (limits_.max_value_bytes > 0 && value.size() > limits_.max_value_bytes &&
            !change.placements.empty()) {
       TakeBackPlacements(job, number, change.placements.size() / 2, change);
       value = Encode(job, number, change.after);
@@ -135,7 +136,7 @@
                                            const TransactionLimits& limits,
                                            const VersionLookup& version) {
   RoundChanges changes = CollectChanges(job_table, transitions, limits.task_end_max_wait_s);
-  if (!limits.placements_only) AddJobsThatAreOver(job_table, changes);
+  if (!limits.placements_only) AddFinishedJobs(job_table, changes);
   const CancellationOrder cancelled = OrderCancelledJobs(job_table, changes);
   const std::set<std::string> can_end(cancelled.can_end.begin(), cancelled.can_end.end());
   UnitBuilder builder(job_table, limits, version);
--- a/src/jobs/transaction_packer.cc
+++ b/src/jobs/transaction_packer.cc
@@ -41,7 +41,7 @@
   void Add(WriteUnit& unit) {
     const size_t unit_bytes = SizeOf(unit.writes);
     const bool alone =
-        limits_.sent_alone != nullptr && limits_.sent_alone->contains(unit.writes[0].key);
+        limits_.isolated_keys != nullptr && limits_.isolated_keys->contains(unit.writes[0].key);
     if (transactions_.empty() || last_is_closed_ || alone || !Fits(unit, unit_bytes)) {
       Begin(unit.priority);
     }
--- a/src/jobs/write_priority.cc
+++ b/src/jobs/write_priority.cc
@@ -6,12 +6,13 @@
                                  double max_wait_s) {
   switch (transition.kind) {
     case TaskTransition::Kind::kPlace:
-      return job.priority <= model::Priority::kUrgent ? WritePriority::kUrgentStart
-                                                      : WritePriority::kStart;
+      return job.priority <= model::Priority::kUrgent ? WritePriority::kUrgentPlacement
+                                                      : WritePriority::kPlacement;
     case TaskTransition::Kind::kRequeue:
-      return job.cancelled ? WritePriority::kJobEnd : WritePriority::kStart;
+      return job.cancelled ? WritePriority::kJobEnd : WritePriority::kPlacement;
     case TaskTransition::Kind::kDone:
-      return transition.age_s >= max_wait_s ? WritePriority::kStart : WritePriority::kTaskEnd;
+      return transition.known_for_s >= max_wait_s ? WritePriority::kPlacement
+                                                  : WritePriority::kTaskEnd;
   }
   return WritePriority::kTaskEnd;
 }
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -44,7 +44,7 @@
   return {.heartbeat_interval_s = settings.heartbeat_interval_s,
           .lease_s = settings.lease_s,
           .hold_leases = options.yield_leases,
-          .relayed_leases = election::LeaderElection::kRelayedRatio};
+          .relayed_leases = election::LeaderElection::kMaxRelayedRenewalRatio};
 }
 
 std::string_view KindName(Proposal::Kind kind) {
--- a/src/plan/job_order.cc
+++ b/src/plan/job_order.cc
@@ -38,7 +38,7 @@
 // Jobs with little left go first, since that completes the most jobs in time. Those that can't meet
 // their objective any more come after those that can, until they have waited long enough.
 int JobOrder::RemainingWorkBand(const jobs::Job& job) const {
-  const double run_s = job.MeanRun().value_or(job.spec.estimate_s);
+  const double run_s = job.MeanRunTimeS().value_or(job.spec.estimate_s);
   const double work = static_cast<double>(job.spec.tasks - job.done()) * run_s * job.spec.cpus;
   const double unit = kBandIntervals * context_.settings->heartbeat_interval_s;
   const int by_work = static_cast<int>(std::log2(work / unit + 1) / kPowersPerBand);
@@ -48,7 +48,7 @@
 
 // A job class may have several objectives: the nearest that can still be met counts.
 bool JobOrder::HasMissedObjectives(const jobs::Job& job, double run_s) const {
-  const double age = time_of_day_ - job.since;
+  const double age = time_of_day_ - job.runnable_since;
   double nearest_s = 0;
   double nearest_reachable_s = 0;
   for (const config::Objective& objective : context_.settings->objectives) {
@@ -64,7 +64,7 @@
 }
 
 bool JobOrder::IsGuaranteeOverdue(const jobs::Job& job, bool within_guarantee) const {
-  return within_guarantee && time_of_day_ - job.since > LongestBootTime(context_);
+  return within_guarantee && time_of_day_ - job.runnable_since > LongestBootTime(context_);
 }
 
 // Work of the lowest priority moves up once it has waited for a set part of its objective: a steady
@@ -73,8 +73,8 @@
 bool JobOrder::HasAged(const jobs::Job& job) const {
   const config::Objective* objective =
       context_.settings->FindObjective("finished", job.spec.job_class);
-  return objective != nullptr &&
-         time_of_day_ - job.since > context_.operators->patience_ratio * objective->within_s;
+  return objective != nullptr && time_of_day_ - job.runnable_since >
+                                     context_.operators->patience_ratio * objective->within_s;
 }
 
 }  // namespace hallpier::plan
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -91,7 +91,8 @@
   std::vector<const jobs::Job*> jobs;
   for (const auto& [id, job] : job_table.all()) jobs.push_back(&job);
   std::sort(jobs.begin(), jobs.end(), [](const jobs::Job* left, const jobs::Job* right) {
-    return std::tie(left->since, left->spec.id) < std::tie(right->since, right->spec.id);
+    return std::tie(left->runnable_since, left->spec.id) <
+           std::tie(right->runnable_since, right->spec.id);
   });
   return jobs;
 }
--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -21,7 +21,7 @@
   bool IsSingleHolder() const { return scope != nullptr && scope->single_holder.has_value(); }
   // Seconds since a job might start: since it was submitted or, if it awaited others, since the
   // last of these was done.
-  double AgeOf(const jobs::Job& job) const { return time_of_day - job.since; }
+  double AgeOf(const jobs::Job& job) const { return time_of_day - job.runnable_since; }
 };
 
 }  // namespace hallpier::plan
--- a/src/plan/run_time.cc
+++ b/src/plan/run_time.cc
@@ -21,8 +21,8 @@
 
 double PredictRunTime(const jobs::Job& job, const std::string& machine_type) {
   if (job.spec.kind == model::JobKind::kService) return kServiceRunTime;
-  if (auto mean = job.MeanRun(machine_type)) return *mean;
-  if (auto mean = job.MeanRun()) return *mean;
+  if (auto mean = job.MeanRunTimeS(machine_type)) return *mean;
+  if (auto mean = job.MeanRunTimeS()) return *mean;
   return job.spec.estimate_s;
 }
 
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -38,7 +38,7 @@
     Place(job_table_, "run-2", 0, 1, "vm-1");
     registry_.BeginTerm(kToken, -100, -100);
     on_machine_ = {{"run-1", true}, {"run-2", true}};
-    watermark_.OnCopyComplete(kRefused);
+    watermark_.OnCacheConfirmed(kRefused);
   }
 
   // What node-1 says once it has confirmed the cancellation of run-1.
@@ -76,7 +76,7 @@
         ++session;
         renewed = now;
       }
-      if (now >= next && watermark_.MayRenew(now)) {
+      if (now >= next && watermark_.MayRenewLeases(now)) {
         next = now + kReport;
         renewed = now;
         model::Heartbeat r = ReportOf("vm-1", session, ++sequence, kToken);
@@ -180,30 +180,30 @@
   const double gone = Play(120);
   EXPECT_TRUE(gone > 0);
   EXPECT_FALSE(on_machine_["run-2"]) << "the leader fell silent in time, and all leases ran out";
-  EXPECT_FALSE(watermark_.MayRenew(kRefused + kCancel - kLease));
-  EXPECT_TRUE(watermark_.MayRenew(kRefused + 0.4 * kLease)) << "not sooner than needed";
+  EXPECT_FALSE(watermark_.MayRenewLeases(kRefused + kCancel - kLease));
+  EXPECT_TRUE(watermark_.MayRenewLeases(kRefused + 0.4 * kLease)) << "not sooner than needed";
 }
 
 TEST(CancellationWatermark, IsTheOwnCopyOrWhatAllOthersVouchFor) {
   CancellationWatermark watermark({kCancel, kLease, kReport}, {"node-1", "node-2"});
-  EXPECT_FALSE(watermark.MayRenew(0)) << "nothing is known yet";
-  watermark.OnCopyComplete(10);
-  EXPECT_EQ(watermark.KnownAt(12), 10);
-  EXPECT_FALSE(watermark.CopyIsStale(24));
-  EXPECT_TRUE(watermark.CopyIsStale(26));
+  EXPECT_FALSE(watermark.MayRenewLeases(0)) << "nothing is known yet";
+  watermark.OnCacheConfirmed(10);
+  EXPECT_EQ(watermark.Watermark(12), 10);
+  EXPECT_FALSE(watermark.CacheIsStale(24));
+  EXPECT_TRUE(watermark.CacheIsStale(26));
   watermark.OnCancellationReport("node-1", 20, Nothing());
-  EXPECT_EQ(watermark.KnownAt(21), 10) << "one is missing";
+  EXPECT_EQ(watermark.Watermark(21), 10) << "one is missing";
   watermark.OnCancellationReport("node-2", 18, Nothing());
-  EXPECT_EQ(watermark.KnownAt(21), 18) << "the oldest counts";
+  EXPECT_EQ(watermark.Watermark(21), 18) << "the oldest counts";
   watermark.OnCancellationReport("node-2", 25, {false, 500, {}});
-  EXPECT_EQ(watermark.KnownAt(26), 18) << "who does not vouch has said nothing";
+  EXPECT_EQ(watermark.Watermark(26), 18) << "who does not vouch has said nothing";
   EXPECT_EQ(watermark.RequestFor("node-2", 90).beyond, 100U);
   EXPECT_EQ(watermark.RequestFor("node-2", 120).beyond, 120U);
   // The last answer and a whole lease after it end before cancel_s is over.
   EXPECT_LT(watermark.renewal_bound_s() + kLease, kCancel);
   EXPECT_GT(watermark.renewal_bound_s() + kLease, kCancel - kReport / 2);
   CancellationWatermark alone({kCancel, kLease, kReport}, {});
-  EXPECT_TRUE(alone.MayRenew(1000)) << "nobody else tells anything";
+  EXPECT_TRUE(alone.MayRenewLeases(1000)) << "nobody else tells anything";
 }
 
 }  // namespace
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -33,7 +33,7 @@
   void Drop(const std::string& id) { job_table_.Apply(store::ParseKey(store::JobKey(id)), ""); }
   // As the leader records it: the end is known when the record goes.
   void End(const std::string& id, model::JobPhase phase, double at = 50) {
-    job_table_.RecordFinal(id, {phase, 2, at});
+    job_table_.SetFinalRecord(id, {phase, 2, at});
     Drop(id);
   }
   const Job& Get(const std::string& id) { return *job_table_.Find(id); }
@@ -73,7 +73,7 @@
   EXPECT_FALSE(Places("run-3")) << "whoever asked for it";
   End("run-2", model::JobPhase::kDone, 40);
   EXPECT_FALSE(Get("run-3").blocked);
-  EXPECT_EQ(Get("run-3").since, 50) << "the last awaited one's end";
+  EXPECT_EQ(Get("run-3").runnable_since, 50) << "the last awaited one's end";
   EXPECT_TRUE(Places("run-3"));
 }
 
@@ -85,9 +85,9 @@
   EXPECT_TRUE(Get("run-2").blocked);
   EXPECT_EQ(job_table_.dependency_graph().unresolved(), std::set<std::string>{"run-1"});
   EXPECT_FALSE(Places("run-2"));
-  job_table_.RecordFinal("run-1", {model::JobPhase::kDone, 2, 0});
+  job_table_.SetFinalRecord("run-1", {model::JobPhase::kDone, 2, 0});
   EXPECT_FALSE(Get("run-2").blocked);
-  EXPECT_EQ(Get("run-2").since, 1) << "an end without a time was before the submission";
+  EXPECT_EQ(Get("run-2").runnable_since, 1) << "an end without a time was before the submission";
   EXPECT_TRUE(job_table_.dependency_graph().unresolved().empty());
   Drop("run-2");
   EXPECT_EQ(job_table_.dependency_graph().FindFinalRecord("run-1"), nullptr)
@@ -144,7 +144,7 @@
   Put("run-2", {"run-1"});
   Put("run-3", {"run-2"});
   EXPECT_FALSE(Get("run-3").cancelled);
-  job_table_.RecordFinal("run-1", {model::JobPhase::kCancelled, 0, 50});
+  job_table_.SetFinalRecord("run-1", {model::JobPhase::kCancelled, 0, 50});
   EXPECT_TRUE(Get("run-3").cancelled);
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2"}));
 }
@@ -154,7 +154,7 @@
   Put("run-2", {"run-1"});
   End("run-1", model::JobPhase::kDone);
   // Whatever may still be told of it late.
-  job_table_.RecordFinal("run-1", {model::JobPhase::kCancelled, 0, 60});
+  job_table_.SetFinalRecord("run-1", {model::JobPhase::kCancelled, 0, 60});
   EXPECT_FALSE(Get("run-2").cancelled);
   EXPECT_FALSE(Get("run-2").blocked);
 }
@@ -169,18 +169,19 @@
   Put("run-2", {"run-1"});
   PutJob(job_table_, three);
   EXPECT_EQ(Get("run-1").priority, model::Priority::kNormal);
-  EXPECT_EQ(Get("run-1").due, kNever) << "until the last is there";
+  EXPECT_EQ(Get("run-1").deadline, kNever) << "until the last is there";
   PutJob(job_table_, last, 10);
   for (const char* id : {"run-1", "run-2", "run-3"}) {
     EXPECT_EQ(Get(id).priority, model::Priority::kUrgent) << id;
   }
-  EXPECT_EQ(Get("run-4").due, 210);
-  EXPECT_EQ(Get("run-3").due, 200) << "less the run time of the last";
-  EXPECT_EQ(Get("run-1").due, 160) << "by the longest way";
-  EXPECT_EQ(Get("run-4").since, 10) << "its deadline counts from the submission all the same";
+  EXPECT_EQ(Get("run-4").deadline, 210);
+  EXPECT_EQ(Get("run-3").deadline, 200) << "less the run time of the last";
+  EXPECT_EQ(Get("run-1").deadline, 160) << "by the longest way";
+  EXPECT_EQ(Get("run-4").runnable_since, 10)
+      << "its deadline counts from the submission all the same";
   Cancel("run-3");
   EXPECT_EQ(Get("run-1").priority, model::Priority::kNormal) << "nothing urgent is left after it";
-  EXPECT_EQ(Get("run-1").due, kNever);
+  EXPECT_EQ(Get("run-1").deadline, kNever);
 }
 
 TEST_F(DependencyGraphTest, OfSeveralThatNeedItTheNearestCounts) {
@@ -190,9 +191,9 @@
     s.due_s = 100.0 * i;
     PutJob(job_table_, s, 0);
   }
-  EXPECT_EQ(Get("run-1").due, 190);
+  EXPECT_EQ(Get("run-1").deadline, 190);
   Cancel("run-2");
-  EXPECT_EQ(Get("run-1").due, 290);
+  EXPECT_EQ(Get("run-1").deadline, 290);
 }
 
 // Deep chains and wide fans: a change touches what it concerns, and nothing recurses.
@@ -211,7 +212,7 @@
   PutJob(job_table_, urgent);
   EXPECT_EQ(Get(name(0)).priority, model::Priority::kProd);
   const int jobs_between = kJobs / 2 + 1;
-  EXPECT_EQ(Get(name(0)).due, 1 + 1e6 - 10 * jobs_between);
+  EXPECT_EQ(Get(name(0)).deadline, 1 + 1e6 - 10 * jobs_between);
   Cancel(name(0));
   EXPECT_TRUE(Get("run-99999").cancelled);
   EXPECT_EQ(Ends().size(), kJobs + 1U);
@@ -246,7 +247,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"run-3", "run-4", "run-2", "run-1"}));
   // Before the ends of single tasks all the same: on a busy day these would never end.
   EXPECT_LT(WritePriority::kCleanup, WritePriority::kTaskEnd);
-  EXPECT_GT(WritePriority::kCleanup, WritePriority::kStart);
+  EXPECT_GT(WritePriority::kCleanup, WritePriority::kPlacement);
 }
 
 }  // namespace
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -81,7 +81,7 @@
 TEST_F(TaskGroupParts, NothingChangesBeforeSomethingIsWritten) {
   EXPECT_EQ(job().done(), 10U);
   EXPECT_EQ(job().placed(), 20U);
-  EXPECT_EQ(job().MeanRun("c4"), 5);
+  EXPECT_EQ(job().MeanRunTimeS("c4"), 5);
   EXPECT_EQ(job_table_.WaitingTasks(job(), 3), (std::vector<uint32_t>{30, 31, 32}));
   EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
 }
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -94,13 +94,13 @@
     FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
-    loop_.WatchPauses(node.lead.MaxUnverifiedS());
+    loop_.WatchPauses(node.lead.MaxRenewalGapS());
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     state.SetOutage(true);
     co_await Pause(1);
     EXPECT_TRUE(lead.MayAct()) << "running tasks are carried through an outage";
-    StandStill(1.2 * lead.MaxUnverifiedS());
+    StandStill(1.2 * lead.MaxRenewalGapS());
     EXPECT_FALSE(lead.MayAct()) << "before the loop has had a turn";
     co_await Pause(0.5);
     EXPECT_FALSE(lead.MayAct()) << "and after it, while the service does not answer";
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -11,7 +11,7 @@
 using namespace testing_support;
 
 constexpr double kCancelS = 5;   // the workers' lease is 3 s
-constexpr double kPauseS = 2.3;  // LeaderElection::MaxUnverifiedS is 2.03 s
+constexpr double kPauseS = 2.3;  // LeaderElection::MaxRenewalGapS is 2.03 s
 
 class GapTest : public EndToEnd {
  public:
--- a/tests/replan_policy_test.cc
+++ b/tests/replan_policy_test.cc
@@ -16,12 +16,12 @@
 
 TEST(ReplanPolicy, UrgentWorkGoesBeforeAllButUrgentStartsAndEnds) {
   ReplanPolicy policy(kInterval);
-  const jobs::Transaction start = Ranked(jobs::WritePriority::kStart);
+  const jobs::Transaction start = Ranked(jobs::WritePriority::kPlacement);
   EXPECT_FALSE(policy.ReplanInsteadOf(start, true, 100));
   policy.OnUrgentWork();
   EXPECT_TRUE(policy.ReplanInsteadOf(start, false, 100));
   EXPECT_TRUE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kTaskEnd), false, 100));
-  EXPECT_FALSE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kUrgentStart), true, 100));
+  EXPECT_FALSE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kUrgentPlacement), true, 100));
   EXPECT_FALSE(policy.ReplanInsteadOf(Ranked(jobs::WritePriority::kJobEnd), true, 100));
   policy.OnRoundBegins();
   EXPECT_FALSE(policy.ReplanInsteadOf(start, true, 100)) << "the round has considered it";
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -72,12 +72,12 @@
                          std::vector<model::Precondition> preconditions, bool placements_only) {
   jobs::TransactionLimits limits;
   limits.max_writes = kWritesPerTransaction;
-  limits.value_bytes = kValueBytes;
+  limits.max_value_bytes = kValueBytes;
   limits.preconditions = std::move(preconditions);
   limits.packed_groups = true;
   limits.time_of_day = now();
   limits.placements_only = placements_only;
-  limits.others_place = true;
+  limits.concurrent_placement = true;
   auto version = [&](const std::string& key) { return VersionIn(node, key); };
   for (jobs::Transaction& transaction :
        jobs::BuildTransactions(node.job_table, transitions, limits, version)) {
--- a/tests/task_outcomes_test.cc
+++ b/tests/task_outcomes_test.cc
@@ -28,7 +28,7 @@
   // The write has failed: the task is requeued once more, now as one that was never started.
   auto again = CollectTaskTransitions(registry_, job_table_, 1001);
   ASSERT_EQ(again.size(), 1U);
-  EXPECT_EQ(again[0].why, "never started");
+  EXPECT_EQ(again[0].reason, "never started");
   // The write has succeeded: the next attempt may start on the same machine.
   Place(job_table_, "run-1", 0, 2, "vm-1");
   CollectTaskTransitions(registry_, job_table_, 1002);
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -87,7 +87,7 @@
   EXPECT_EQ(PlacedOf(r, "run-1"), 0U);
   EXPECT_EQ(PlacedOf(r, "run-2"), 3U);
   EXPECT_TRUE(r.demands.empty());
-  job_table_.RecordFinal("run-9", {model::JobPhase::kDone, 1, 90});
+  job_table_.SetFinalRecord("run-9", {model::JobPhase::kDone, 1, 90});
   job_table_.Apply(store::ParseKey(store::JobKey("run-9")), "");
   r = Plan();
   EXPECT_EQ(PlacedOf(r, "run-2"), 3U) << "older, counted from when both might start";
--- a/tests/transaction_builder_test.cc
+++ b/tests/transaction_builder_test.cc
@@ -41,7 +41,7 @@
   TransactionLimits limits = {8, {{"block", 5}}, 0, 0, false, 0};
   const VersionLookup version = [](const std::string& /*key*/) { return uint64_t{1}; };
   EXPECT_EQ(BuildTransactions(job_table, {place}, limits, version).at(0).writes.size(), 1U);
-  limits.others_place = true;
+  limits.concurrent_placement = true;
   const auto writes = BuildTransactions(job_table, {place}, limits, version).at(0).writes;
   ASSERT_EQ(writes.size(), 2U);
   EXPECT_EQ(writes[1].key, store::JobKey("run-1"));
@@ -58,7 +58,7 @@
     all.push_back(Make(Kind::kPlace, i, 1, std::string(60, 'm') + std::to_string(i)));
   }
   TransactionLimits limits = kLimits;
-  limits.value_bytes = 1024;
+  limits.max_value_bytes = 1024;
   auto transactions = BuildTransactions(job_table, all, limits, NoVersion);
   ASSERT_EQ(transactions.size(), 1U);
   EXPECT_LE(transactions[0].writes[0].value.size(), 1024U);
@@ -93,11 +93,11 @@
     return out;
   };
   EXPECT_EQ(priorities(),
-            (std::vector<WritePriority>{WritePriority::kUrgentStart, WritePriority::kJobEnd,
-                                        WritePriority::kStart}));
-  all[0].age_s = 6;
+            (std::vector<WritePriority>{WritePriority::kUrgentPlacement, WritePriority::kJobEnd,
+                                        WritePriority::kPlacement}));
+  all[0].known_for_s = 6;
   all.erase(all.begin() + 1);
-  EXPECT_EQ(priorities().back(), WritePriority::kStart);
+  EXPECT_EQ(priorities().back(), WritePriority::kPlacement);
 }
 
 TEST(BuildTransactions, APlacementHasTokenJobAndGroupAsPreconditions) {
