--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -6,64 +6,68 @@
 namespace hallpier::election {
 namespace {
 
-// Steady clocks of two machines may differ by this part.
-constexpr double kDrift = 0.001;
-// This part of a heartbeat interval covers the rest: clock steps and late timers.
-constexpr double kMargin = 1.0 / 3;
-// A watch without events is answered once in a heartbeat interval; a copy that has not been
-// confirmed for this many of them is out of touch.
-constexpr double kQuietHeartbeats = 1.5;
-// The others are asked before more than this part of the bound has passed.
-constexpr double kAskAfter = 0.75;
+// Largest relative difference in rate between the steady clocks of two machines.
+constexpr double kMaxClockDriftRatio = 0.001;
+// Share of a heartbeat interval that covers clock steps and late timers.
+constexpr double kTimerMarginRatio = 1.0 / 3;
+// A watch without events is answered once per heartbeat interval. A copy that has not been
+// confirmed for this many intervals is stale.
+constexpr double kMaxQuietHeartbeats = 1.5;
+// Share of the renewal bound after which an unconfirmed copy is stale in any case, so that reports
+// are requested before the bound is reached.
+constexpr double kMaxUnconfirmedRatio = 0.75;
 constexpr double kNever = -std::numeric_limits<double>::infinity();
 
 double RenewalBoundS(const CancellationWatermark::Options& options) {
-  const double bound = options.cancel_s * (1 - kDrift) - options.lease_s * (1 + kDrift) -
-                       kMargin * options.heartbeat_interval_s;
-  // Where cancel_s leaves no room beside a lease, leases alone can't keep it. A leader whose watch
-  // is answered must not fall silent between two of its answers all the same.
-  return std::max(bound, kQuietHeartbeats * options.heartbeat_interval_s);
+  const double bound = options.cancel_s * (1 - kMaxClockDriftRatio) -
+                       options.lease_s * (1 + kMaxClockDriftRatio) -
+                       kTimerMarginRatio * options.heartbeat_interval_s;
+  // If cancel_s leaves no time besides one lease, leases alone can't guarantee cancel_s. A leader
+  // whose watch is answered must still not stop answering workers between two answers of the watch.
+  return std::max(bound, kMaxQuietHeartbeats * options.heartbeat_interval_s);
 }
 
 }  // namespace
 
 CancellationWatermark::CancellationWatermark(Options options, std::vector<std::string> other_nodes)
-    : options_(options), renewal_bound_s_(RenewalBoundS(options)), copy_complete_at_(kNever) {
-  for (std::string& node : other_nodes) reported_[std::move(node)] = {kNever, 0};
+    : options_(options), renewal_bound_s_(RenewalBoundS(options)), cache_confirmed_at_(kNever) {
+  for (std::string& node : other_nodes) reports_[std::move(node)] = {kNever, 0};
 }
 
-void CancellationWatermark::OnCacheConfirmed(double asked) {
-  copy_complete_at_ = std::max(copy_complete_at_, asked);
+void CancellationWatermark::OnCacheConfirmed(double as_of) {
+  cache_confirmed_at_ = std::max(cache_confirmed_at_, as_of);
 }
 
 wire::CancellationReportRequest CancellationWatermark::RequestFor(const std::string& node,
                                                                   uint64_t revision) const {
-  // Revisions are the same on all nodes. What one process of that node has reported is therefore
-  // known here, whichever process of it answers next.
-  return {std::max(revision, reported_.at(node).known_through)};
+  // Revisions are the same on all nodes. Therefore this node knows what one process of the other
+  // node has reported, even if another process of that node answers the next request.
+  return {std::max(revision, reports_.at(node).known_through)};
 }
 
 void CancellationWatermark::OnCancellationReport(
-    const std::string& node, double asked, const wire::CancellationReport& cancellation_report) {
+    const std::string& node, double requested_at,
+    const wire::CancellationReport& cancellation_report) {
   if (!cancellation_report.complete) return;
-  Reported& reported = reported_.at(node);
-  reported.complete_at = std::max(reported.complete_at, asked);
-  reported.known_through = std::max(reported.known_through, cancellation_report.revision);
+  NodeReport& report = reports_.at(node);
+  report.complete_at = std::max(report.complete_at, requested_at);
+  report.known_through = std::max(report.known_through, cancellation_report.revision);
 }
 
 double CancellationWatermark::Watermark(double now) const {
-  // Only a node itself can report what it acknowledged: after it lost its links to the others and
-  // the store, nobody else knows. So the node whose report is oldest decides.
-  double complete_everywhere = now;  // a lone node knows all that was acknowledged
-  for (const auto& [node, reported] : reported_) {
-    complete_everywhere = std::min(complete_everywhere, reported.complete_at);
+  // Only the node itself can report which cancellations it has acknowledged: once it has lost its
+  // connections to the other nodes and the store, no other node knows. So the oldest report
+  // decides.
+  double oldest_report_at = now;  // without other nodes, all acknowledged cancellations are known
+  for (const auto& [node, report] : reports_) {
+    oldest_report_at = std::min(oldest_report_at, report.complete_at);
   }
-  return std::max(copy_complete_at_, complete_everywhere);
+  return std::max(cache_confirmed_at_, oldest_report_at);
 }
 
 bool CancellationWatermark::CacheIsStale(double now) const {
-  return now - copy_complete_at_ >
-         std::min(kQuietHeartbeats * options_.heartbeat_interval_s, kAskAfter * renewal_bound_s_);
+  return now - cache_confirmed_at_ > std::min(kMaxQuietHeartbeats * options_.heartbeat_interval_s,
+                                              kMaxUnconfirmedRatio * renewal_bound_s_);
 }
 
 }  // namespace hallpier::election
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -1,15 +1,18 @@
-// Tracks the time up to which a leader knows every cancellation that any node has acknowledged to a
-// user, and derives from it until when the leader may renew workers' leases. Does no I/O and takes
-// the time as an argument (steady, seconds). Owned by a node's controller.
+// Tracks the watermark of cancellations: the time up to which the leader knows every cancellation
+// that any node has acknowledged to a user. Derives from it how long the leader may renew workers'
+// leases. Does no I/O and takes the time as an argument (steady time in seconds). Owned by a node's
+// controller.
 //
-// Guards against this case: the key-value store refuses the leader alone, another node acknowledges
-// cancellations, then the store is out for everybody and the leader goes on answering workers.
-// Their leases would keep the cancelled tasks alive for as long as the outage lasts.
+// Guards against the following failure: the key-value store refuses requests of the leader only,
+// another node acknowledges cancellations, then the store becomes unavailable to all nodes and the
+// leader continues to answer workers. Their renewed leases would keep the cancelled tasks running
+// for the whole outage.
 //
-// Why the bound is safe: a task is gone at the latest when the lease of the last answered heartbeat
-// has run out. A cancellation that this leader lacks was acknowledged after the watermark. So if
-// the last answer is given no later than cancel_s after the watermark, less one lease, every such
-// task is gone within cancel_s of the acknowledgement; see renewal_bound_s().
+// Safety of the bound: a task ends at the latest when the lease from the last answered heartbeat
+// expires. A cancellation that this leader does not know was acknowledged after the watermark.
+// Therefore, if the last answer is given no later than cancel_s minus one lease after the
+// watermark, every such task has ended within cancel_s of the acknowledgement; see
+// renewal_bound_s().
 #pragma once
 
 #include <map>
@@ -23,41 +26,42 @@
 class CancellationWatermark {
  public:
   struct Options {
-    double cancel_s = 0;  // a cancelled task must be gone within this
-    double lease_s = 0;   // of the workers
+    double cancel_s = 0;  // limit from the acknowledgement to the end of the tasks
+    double lease_s = 0;   // lease of a worker
     double heartbeat_interval_s = 0;
   };
-  // `other_nodes`: all nodes that may acknowledge cancellations, without this one.
+  // `other_nodes`: all nodes that may acknowledge cancellations, except this one.
   CancellationWatermark(Options options, std::vector<std::string> other_nodes);
 
-  // This node's copy contained, at `asked`, all that had been recorded by then.
-  void OnCacheConfirmed(double asked);
-  // The request for a node, given the revision up to which this node's copy is complete.
+  // Called when this node's copy of the state is known to contain everything recorded by `as_of`.
+  void OnCacheConfirmed(double as_of);
+  // Returns the request to a node. `revision`: this node's copy is complete up to it.
   wire::CancellationReportRequest RequestFor(const std::string& node, uint64_t revision) const;
-  // A node's answer to a request that was sent at `asked`. The caller must have applied the
-  // cancellations in it before.
-  void OnCancellationReport(const std::string& node, double asked,
+  // Called with a node's answer to a request that was sent at `requested_at`. Requires that the
+  // caller has applied the cancellations in the answer.
+  void OnCancellationReport(const std::string& node, double requested_at,
                             const wire::CancellationReport& cancellation_report);
 
-  // The time up to which every acknowledged cancellation is known here.
+  // Returns the time up to which this node knows every acknowledged cancellation.
   double Watermark(double now) const;
-  // True while workers' leases may be renewed.
+  // Returns true while workers' leases may be renewed.
   bool MayRenewLeases(double now) const { return now <= Watermark(now) + renewal_bound_s(); }
-  // True once this node's copy has not been confirmed for so long that the others are to be asked.
+  // Returns true if this node's copy has not been confirmed for so long that reports must be
+  // requested from the other nodes.
   bool CacheIsStale(double now) const;
-  // How long after the watermark a lease may still be renewed.
+  // Returns the seconds after the watermark during which leases may be renewed.
   double renewal_bound_s() const { return renewal_bound_s_; }
 
  private:
-  // What another node has reported last.
-  struct Reported {
-    double complete_at;          // all that it acknowledged up to then is known here
-    uint64_t known_through = 0;  // its cancellations up to this revision are known here
+  // Derived from the reports of another node.
+  struct NodeReport {
+    double complete_at;          // this node knows all that the other acknowledged until then
+    uint64_t known_through = 0;  // this node knows its cancellations up to this revision
   };
   const Options options_;
   const double renewal_bound_s_;
-  double copy_complete_at_;
-  std::map<std::string, Reported> reported_;  // by node
+  double cache_confirmed_at_;
+  std::map<std::string, NodeReport> reports_;  // by node
 };
 
 }  // namespace hallpier::election
--- a/src/election/election_policy.h
+++ b/src/election/election_policy.h
@@ -1,6 +1,7 @@
-// What a node's surroundings (peers, membership, the copy of the records) say about leading. The
-// election asks; the controller answers (controller/node_election_policy.h). The defaults are those
-// of a node that stands alone: it may lead at once and relies on its own lease only.
+// Conditions for leadership that depend on other components: peers, membership, and the exchange of
+// cancellations. Queried by the election and implemented by the controller
+// (controller/node_election_policy.h). The defaults are for a node without other nodes: it may
+// become leader at once and relies only on its lease.
 #pragma once
 
 #include <vector>
@@ -9,8 +10,8 @@
 
 namespace hallpier::election {
 
-// Every method is called from the routines of the election, on the thread of the event loop, and
-// must not block.
+// All methods are called from the coroutines of the election on the event loop thread and must not
+// block.
 class ElectionPolicy {
  public:
   ElectionPolicy() = default;
@@ -18,19 +19,22 @@
   ElectionPolicy(const ElectionPolicy&) = delete;
   ElectionPolicy& operator=(const ElectionPolicy&) = delete;
 
-  // Whether this node's standing among the members lets it take the lead now.
+  // Returns true if the state of this node in the membership allows it to become leader now.
   virtual bool MayBecomeLeader() const { return true; }
-  // Preconditions that must hold in the transaction that takes the lead, beside the election's own.
+  // Returns preconditions for the transaction that acquires leadership, in addition to those of the
+  // election.
   virtual std::vector<model::Precondition> AcquirePreconditions() const { return {}; }
-  // Seconds that a better placed node is given to take the lead first; 0: none.
+  // Returns the seconds to wait so that a preferred node can become leader first; 0 if there is
+  // none.
   virtual double AcquireDelayS() const { return 0; }
-  // Whether the lease of an ended term may be revoked by way of a peer. A node that yields because
-  // the key-value store refuses it alone has no other way.
+  // Returns true if the lease of an ended term may be revoked via a peer. A node that gives up
+  // leadership because the key-value store refuses only its requests can't revoke the lease
+  // otherwise.
   virtual bool MayRevokeViaPeer() const { return false; }
-  // Whether workers' leases may be renewed without missing an acknowledged cancellation
+  // Returns true if workers' leases may be renewed without ignoring an acknowledged cancellation
   // (election/cancellation_watermark.h).
   virtual bool MayRenewWorkerLeases() const { return true; }
-  // Whether every other node confirms, at this moment, that it can't reach the key-value store.
+  // Returns true if every other node currently confirms that it can't reach the key-value store.
   virtual bool OutageConfirmedByAll() const { return false; }
 };
 
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -9,10 +9,10 @@
 namespace hallpier::election {
 namespace {
 
-// Renewals of the lease within its length.
-constexpr double kRenewals = 3;
-// Woken earlier than this part of the renewal interval, the lease is not renewed yet.
-constexpr double kRenewalDue = 0.9;
+// Renewals per time to live of the lease.
+constexpr double kRenewalsPerLease = 3;
+// After an early wake-up, the lease is not renewed before this share of the renewal interval.
+constexpr double kMinRenewalWaitRatio = 0.9;
 
 }  // namespace
 
@@ -32,9 +32,9 @@
   return operators_.leader_ttl_ratio * settings_.heartbeat_interval_s;
 }
 
-double LeaderElection::RenewalIntervalS() const { return LeaseTtlS() / kRenewals; }
+double LeaderElection::RenewalIntervalS() const { return LeaseTtlS() / kRenewalsPerLease; }
 
-double LeaderElection::UnverifiedAnswersS() const {
+double LeaderElection::OutageAnswerWindowS() const {
   return operators_.blind_ratio * settings_.lease_s;
 }
 
@@ -44,21 +44,23 @@
 
 bool LeaderElection::MayAct() const {
   if (!leading() || lost_) return false;
-  // The lease ran out though no renewal has failed: this process was paused, or is far behind.
-  // Another node may have led since. The first renewal shows whether one did; until then nobody is
-  // answered on the strength of what was true before.
-  if (!renewal_failing_ && scope_.loop().Now() > last_renewed_ + MaxRenewalGapS()) return false;
-  // Whoever leads: renewing a worker's lease while a cancellation may be unknown here keeps
-  // cancelled tasks alive (election/cancellation_watermark.h).
+  // The lease has expired although no renewal has failed: this process was paused or is far behind.
+  // Another node may have become leader since. The next renewal shows whether one has; until then
+  // nothing is answered, since the state from before the pause may be outdated.
+  if (!renewal_failing_ && scope_.loop().Now() > last_renewal_ + MaxRenewalGapS()) return false;
+  // Even if this node is still the leader, renewing workers' leases while it may not know a
+  // cancellation would keep cancelled tasks running (election/cancellation_watermark.h).
   if (!policy_.MayRenewWorkerLeases()) return false;
-  // Without the key-value store we can't know whether another node leads. Answers go on for a set
-  // part of the workers' lease; a successor waits that long (predecessor_answers_until) before it
-  // relies on the end of a lease. That carries running tasks through an outage. It does not hold
-  // after a pause: the outage may have ended meanwhile.
-  const bool paused = scope_.loop().resumed_at() > last_renewed_;
-  if (!paused && scope_.loop().Now() < last_renewed_ + UnverifiedAnswersS()) return true;
-  // Beyond that, only while every other node says at this moment that no successor can exist. A
-  // majority would not do: the node that is missing may be the one that leads.
+  // Without the key-value store this node can't know whether another node has become leader. It
+  // continues to answer workers for a fixed share of the workers' lease, so that running tasks
+  // survive an outage. This is safe because a successor waits that long (predecessor_answers_until)
+  // before it relies on the expiry of a lease. It does not hold after a pause: the outage may have
+  // ended in the meantime.
+  const bool paused = scope_.loop().resumed_at() > last_renewal_;
+  if (!paused && scope_.loop().Now() < last_renewal_ + OutageAnswerWindowS()) return true;
+  // After that, workers are answered only while every other node currently confirms the outage, so
+  // that no successor can exist. A majority is not enough: the node that does not answer may be the
+  // new leader.
   return policy_.OutageConfirmedByAll();
 }
 
@@ -68,9 +70,9 @@
 
 void LeaderElection::OnNodeFailed(const std::string& node) {
   if (leading() || !record_ || record_->node != node) return;
-  if (failed_nodes_lease_id_ == record_->lease_id) return;
-  spdlog::warn("failover: revoking leader lease node={} reason=process seems to have ended", node);
-  failed_nodes_lease_id_ = record_->lease_id;
+  if (failed_node_lease_id_ == record_->lease_id) return;
+  spdlog::warn("failover: revoking leader lease node={} reason=process has probably ended", node);
+  failed_node_lease_id_ = record_->lease_id;
   wake_.Notify();
 }
 
@@ -78,16 +80,17 @@
   record_.reset();
   if (!value.empty()) record_ = store::RecordOrLog(store::LeaderKey(), store::ReadLeader(value));
   if (leading() && (!record_ || record_->lease_id != lease_id_)) {
-    spdlog::warn("failover: lead lost token={} reason=leader record replaced", token_.value());
+    spdlog::warn("failover: leadership lost token={} reason=leader record replaced",
+                 token_.value());
     lost_ = true;
   }
   wake_.Notify();
 }
 
 void LeaderElection::OnTokenSeen(model::FencingToken token) {
-  // While we raise our own token, others may hear of the new one before we do.
+  // While this node raises its token, other nodes may learn of the new token first.
   if (!leading() || lost_ || raising_token_ || token <= token_) return;
-  spdlog::warn("failover: lead lost token={} reason=higher token {} seen", token_.value(),
+  spdlog::warn("failover: leadership lost token={} reason=higher token {} seen", token_.value(),
                token.value());
   lost_ = true;
   wake_.Notify();
@@ -95,8 +98,8 @@
 
 void LeaderElection::Resign(double pause_s, const std::string& reason) {
   if (!leading() || lost_) return;
-  spdlog::warn("failover: lead given up token={} reason={}", token_.value(), reason);
-  earliest_retake_ = scope_.loop().Now() + pause_s;
+  spdlog::warn("failover: leadership given up token={} reason={}", token_.value(), reason);
+  earliest_reacquire_ = scope_.loop().Now() + pause_s;
   lost_ = true;
   wake_.Notify();
 }
@@ -110,18 +113,19 @@
       co_await client_.Commit(std::move(preconditions), writes, store::RequestPriority::kUrgent);
   raising_token_ = false;
   if (!result.ok()) {
-    // It may have been carried out all the same, and then our token is void.
+    // The transaction may have been committed nevertheless; then the current token is invalid.
     OnTokenSeen(cache_.fencing_token());
     co_return false;
   }
   token_ = model::FencingToken(result.value.revision);
   cache_.Apply(store::FencingTokenKey(), writes[0].value, token_.value());
-  spdlog::info("failover: token raised token={} reason=void unanswered starts", token_.value());
+  spdlog::info("failover: token raised token={} reason=invalidate unanswered start commands",
+               token_.value());
   co_return true;
 }
 
 async::Task<bool> LeaderElection::Acquire() {
-  const double asked = scope_.loop().Now();
+  const double requested_at = scope_.loop().Now();
   auto lease_id = co_await client_.GrantLease(LeaseTtlS());
   if (!lease_id.ok()) co_return false;
   std::vector<model::Precondition> preconditions = {
@@ -136,40 +140,43 @@
   auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
                                         store::RequestPriority::kUrgent);
   if (!result.ok()) {
-    // With no answer it may have been, or may yet be, applied; without the lease it can't be.
+    // If there was no answer, the transaction may have been applied or may still be applied. It
+    // can't be applied once the lease is revoked.
     auto revoked = co_await client_.RevokeLease(lease_id.value);
     (void)revoked;
     co_return false;
   }
-  BeginTerm(model::FencingToken(result.value.revision), lease_id.value, asked);
+  BeginTerm(model::FencingToken(result.value.revision), lease_id.value, requested_at);
   cache_.Apply(store::LeaderKey(), leader, token_.value());
   cache_.Apply(store::FencingTokenKey(), token_record, token_.value());
-  spdlog::info("failover: lead taken token={}", token_.value());
+  spdlog::info("failover: leadership acquired token={}", token_.value());
   co_return true;
 }
 
-void LeaderElection::BeginTerm(model::FencingToken token, uint64_t lease_id, double asked) {
-  // The length of the former leader's lease can't be counted on, since it may have been revoked a
-  // moment ago (OnNodeFailed). Nor does it help if this node led before and was restarted: whoever
-  // its former process had followed may still be answering.
-  predecessor_answers_until_ = scope_.loop().Now() + UnverifiedAnswersS();
+void LeaderElection::BeginTerm(model::FencingToken token, uint64_t lease_id, double requested_at) {
+  // The window counts from now. The duration of the former leader's lease must not be subtracted,
+  // since that lease may have been revoked a moment ago (OnNodeFailed). This also applies if this
+  // node was the leader before a restart: the predecessor of its former process may still be
+  // answering workers.
+  predecessor_answers_until_ = scope_.loop().Now() + OutageAnswerWindowS();
   lease_id_ = lease_id;
   token_ = token;
   lost_ = false;
   renewal_failing_ = false;
-  last_renewed_ = asked;
-  last_renewed_directly_ = asked;
+  last_renewal_ = requested_at;
+  last_direct_renewal_ = requested_at;
 }
 
 async::Task<> LeaderElection::Renew() {
-  const double asked = scope_.loop().Now();
-  const bool by_peer = asked - last_renewed_directly_ < kMaxRelayedRenewalRatio * settings_.lease_s;
-  const auto route = by_peer ? store::Client::Route::kAny : store::Client::Route::kDirect;
+  const double requested_at = scope_.loop().Now();
+  const bool via_peer =
+      requested_at - last_direct_renewal_ < kMaxRelayedRenewalRatio * settings_.lease_s;
+  const auto route = via_peer ? store::Client::Route::kAny : store::Client::Route::kDirect;
   auto result = co_await client_.RenewLease(lease_id_, route);
   renewal_failing_ = !result.ok();
   if (result.ok()) {
-    last_renewed_ = asked;
-    if (!client_.down()) last_renewed_directly_ = asked;
+    last_renewal_ = requested_at;
+    if (!client_.down()) last_direct_renewal_ = requested_at;
   } else if (result.status == store::Status::kNotFound ||
              result.status == store::Status::kInvalid) {
     spdlog::warn("lease expiry: leader lease ended token={}", token_.value());
@@ -179,12 +186,12 @@
 
 async::Task<> LeaderElection::RenewUntilLost() {
   while (!scope_.cancelled() && !lost_) {
-    const bool paused = scope_.loop().resumed_at() > last_renewed_;
+    const bool paused = scope_.loop().resumed_at() > last_renewal_;
     auto pause = wake_.Await(scope_, paused && !renewal_failing_ ? 0 : RenewalIntervalS());
     co_await pause;
     if (scope_.cancelled() || lost_) break;
-    const double since = scope_.loop().Now() - last_renewed_;
-    if (!paused && since < RenewalIntervalS() * kRenewalDue) continue;
+    const double since = scope_.loop().Now() - last_renewal_;
+    if (!paused && since < RenewalIntervalS() * kMinRenewalWaitRatio) continue;
     co_await Renew();
   }
   lost_ = true;
@@ -210,8 +217,8 @@
   holds_lease_ = false;
 }
 
-async::Task<> LeaderElection::AwaitRecordGone(uint64_t lease_id, bool revoked) {
-  // The watch may have brought it already, while the answer was under way.
+async::Task<> LeaderElection::AwaitRecordRemoval(uint64_t lease_id, bool revoked) {
+  // The watch may have delivered the removal before the answer arrived.
   if (revoked && (!record_ || record_->lease_id != lease_id)) co_return;
   auto pause = wake_.Await(scope_, RenewalIntervalS());
   co_await pause;
@@ -219,22 +226,23 @@
 
 std::optional<uint64_t> LeaderElection::OrphanedLease() const {
   if (!record_) return std::nullopt;
-  // Our own name: left by the process that ran here before, or by a transaction of ours that got no
-  // answer. One process runs per node, so nobody else acts under this record.
+  // A record with this node's name was left by a former process of this node, or by a transaction
+  // of this process that got no answer. Only one process runs per node, so no other process acts
+  // under this record.
   const bool own = record_->node == settings_.node;
-  if (!own && record_->lease_id != failed_nodes_lease_id_) return std::nullopt;
+  if (!own && record_->lease_id != failed_node_lease_id_) return std::nullopt;
   return record_->lease_id;
 }
 
 async::Task<> LeaderElection::RevokeOrphanedLease(uint64_t lease_id) {
   auto revoked = co_await client_.RevokeLease(lease_id);
-  co_await AwaitRecordGone(lease_id, revoked.ok());
+  co_await AwaitRecordRemoval(lease_id, revoked.ok());
 }
 
-async::Task<bool> LeaderElection::AwaitVacancy() {
+async::Task<bool> LeaderElection::AwaitEligibility() {
   const double now = scope_.loop().Now();
-  if (record_ || now < earliest_retake_) {
-    auto pause = wake_.Await(scope_, record_ ? LeaseTtlS() : earliest_retake_ - now);
+  if (record_ || now < earliest_reacquire_) {
+    auto pause = wake_.Await(scope_, record_ ? LeaseTtlS() : earliest_reacquire_ - now);
     co_await pause;
     co_return false;
   }
@@ -250,7 +258,7 @@
   co_return !record_ && !scope_.cancelled();
 }
 
-async::Task<> LeaderElection::TryToLead() {
+async::Task<> LeaderElection::AcquireAndRunTerm() {
   const bool acquired = co_await Acquire();
   if (acquired) {
     co_await RunTerm();
@@ -271,8 +279,8 @@
       co_await RevokeOrphanedLease(*lease_id);
       continue;
     }
-    const bool vacant = co_await AwaitVacancy();
-    if (vacant) co_await TryToLead();
+    const bool eligible = co_await AwaitEligibility();
+    if (eligible) co_await AcquireAndRunTerm();
   }
 }
 
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -1,9 +1,8 @@
-// Elects the leader: a key on a lease of the key-value store. Taking it rewrites the record of the
-// fencing token in the same transaction; that record's version is the token, which therefore grows
-// with every term.
+// Leader election by a leader record that is attached to a lease of the key-value store. The
+// transaction that creates the leader record also rewrites the fencing token record. The version of
+// that record is the fencing token, which therefore increases with every term.
 //
-// Owned by the controller of a node; runs as one routine of that node's scope, on the thread of its
-// event loop.
+// Owned by a node's controller. Runs as one coroutine in the node's scope on its event loop thread.
 #pragma once
 
 #include <functional>
@@ -26,78 +25,85 @@
 
 class LeaderElection {
  public:
-  // A leader that the key-value store refuses alone renews its lease by way of a peer for at most
-  // this part of the workers' lease. A short refusal must not move the lead each time; beyond that
-  // another node leads, since the watch, which brings new jobs, has no way round by a peer.
+  // While the key-value store refuses only the leader's requests, the leader renews its lease via a
+  // peer for at most this share of the workers' lease. A short refusal must not cause a change of
+  // leader each time. After a longer one another node must lead, since the watch, which delivers
+  // new jobs, can't be relayed via a peer.
   static constexpr double kMaxRelayedRenewalRatio = 0.25;
 
-  // Starts the duties of a term in the given scope, which is cancelled when the term ends.
+  // Starts the leader's work in the given scope, which is cancelled when the term ends.
   using TermStarter = std::function<void(async::Scope& scope)>;
 
-  // All references must outlive the election. `policy` is only asked once Run() has been started.
+  // All references must outlive the election. `policy` is not queried before Run() is started.
   LeaderElection(async::Scope& scope, const config::Settings& settings,
                  const config::OperatorOptions& operators, store::Client& client,
                  store::WatchCache& cache, const ElectionPolicy& policy, TermStarter start_term);
 
-  // The election's routine: runs until the scope is cancelled.
+  // The coroutine of the election. Runs until the scope is cancelled.
   async::Task<> Run();
-  // The leader record in the key-value store has changed; empty: there is none.
+  // Called when the leader record in the key-value store has changed; `value` is empty if the
+  // record does not exist.
   void OnLeaderRecord(const std::string& value);
-  // Another node, or the copy of the records, knows this token. If it is higher than ours, our term
-  // ends.
+  // Called with a token that another node or the watch cache has reported. Ends the term of this
+  // node if the token is higher than its own.
   void OnTokenSeen(model::FencingToken token);
-  // A node's process has most likely ended. If it leads, its lease is revoked on its behalf. That
-  // is safe even if the node lives: its token loses every transaction, and its successor waits for
-  // all that it may still have answered.
+  // Called when a node's process has most likely ended. If that node is the leader, its lease is
+  // revoked on its behalf. This is safe even if the process is still running: the preconditions of
+  // its transactions fail because of its old token, and its successor waits out all leases that it
+  // may still have renewed by answering workers.
   void OnNodeFailed(const std::string& node);
 
-  // True while this node holds a token, whether or not it may still act under it.
+  // Returns true while this node has a token, whether or not it may still act under it.
   bool leading() const { return token_.known(); }
-  // Our token; unknown while this node does not lead.
+  // The token of this node; unknown while it is not the leader.
   model::FencingToken token() const { return token_; }
-  // The highest token that this node knows of, its own or another's.
+  // Returns the highest token that this node knows, its own or that of another node.
   model::FencingToken HighestToken() const;
-  // True while workers may be answered, and the cloud be commanded, under our token.
+  // Returns true while this node may answer workers and send commands to the cloud under its token.
   bool MayAct() const;
-  // Seconds: a leader that has not renewed its lease for longer, though no renewal has failed, was
-  // paused.
+  // Returns the longest time in seconds between renewals without a failed renewal. A leader whose
+  // last renewal is older was paused.
   double MaxRenewalGapS() const;
   // Steady time (s) until which a former leader may have answered workers under an older token.
   double predecessor_answers_until() const { return predecessor_answers_until_; }
-  // The node that leads as far as is known here; empty: none.
+  // Returns the leader according to the record known to this node; empty if there is none.
   std::string leader() const { return record_ ? record_->node : std::string(); }
-  // True while this node leads, and after that until its lease has been revoked.
+  // Returns true while this node is the leader, and after its term until its lease has been
+  // revoked.
   bool holds_lease() const { return holds_lease_; }
 
-  // Gives up the lead, and does not take it again for `pause_s` seconds. `reason`: for the log.
+  // Gives up leadership and does not acquire it again for `pause_s` seconds. `reason` is logged.
   void Resign(double pause_s, const std::string& reason);
-  // Replaces our token by a higher one, which voids every start command that is still under way.
-  // False: no answer, or refused; if it was carried out all the same, the term ends.
+  // Replaces the token by a higher one, which invalidates all start commands still in flight.
+  // Returns false if the transaction was rejected or not answered; if it was committed
+  // nevertheless, the term ends.
   async::Task<bool> RaiseToken();
 
  private:
   async::Task<bool> Acquire();
-  // Takes note of a term that began. `asked`: when its lease was requested (steady time, s).
-  void BeginTerm(model::FencingToken token, uint64_t lease_id, double asked);
+  // Sets the state of a new term. `requested_at`: when its lease was requested (steady time, s).
+  void BeginTerm(model::FencingToken token, uint64_t lease_id, double requested_at);
   async::Task<> RunTerm();
-  // Renews the lease until it, or the lead, is lost.
+  // Renews the lease until the lease or the leadership is lost.
   async::Task<> RenewUntilLost();
   async::Task<> Renew();
-  // Revokes a lease whose holder has ended, and waits until its record is gone.
+  // Revokes a lease whose holder has ended, and waits for the removal of the leader record.
   async::Task<> RevokeOrphanedLease(uint64_t lease_id);
-  async::Task<> AwaitRecordGone(uint64_t lease_id, bool revoked);
-  // The lease of the present record if this node is to revoke it: that of its own former process,
-  // or of a node that has ended. Nothing: there is no such record.
+  async::Task<> AwaitRecordRemoval(uint64_t lease_id, bool revoked);
+  // Returns the lease of the current leader record if this node must revoke it, because the holder
+  // is a former process of this node or a failed node. std::nullopt otherwise.
   std::optional<uint64_t> OrphanedLease() const;
-  // Waits while the lead is taken or must not be taken here yet. True: it may be tried now.
-  async::Task<bool> AwaitVacancy();
-  async::Task<> TryToLead();
-  // Length of the leader's lease in seconds.
+  // Waits while another leader record exists or this node may not become leader yet. Returns true
+  // if it may try to acquire leadership now.
+  async::Task<bool> AwaitEligibility();
+  async::Task<> AcquireAndRunTerm();
+  // Returns the time to live of the leader's lease in seconds.
   double LeaseTtlS() const;
-  // Seconds between two renewals.
+  // Returns the seconds between two renewals.
   double RenewalIntervalS() const;
-  // Seconds since the last renewal for which workers are answered while the store is out of reach.
-  double UnverifiedAnswersS() const;
+  // Returns the seconds after the last renewal during which the leader answers workers while the
+  // key-value store is unreachable.
+  double OutageAnswerWindowS() const;
 
   async::Scope& scope_;
   const config::Settings& settings_;
@@ -111,12 +117,12 @@
   std::optional<store::LeaderRecord> record_;
   model::FencingToken token_;
   uint64_t lease_id_ = 0;
-  double last_renewed_ = -1;           // steady time at which the last good renewal was requested
-  double last_renewed_directly_ = -1;  // the same without the help of a peer
+  double last_renewal_ = -1;         // steady time of the request of the last successful renewal
+  double last_direct_renewal_ = -1;  // the same, for renewals not relayed by a peer
   double predecessor_answers_until_ = 0;
-  double earliest_retake_ = 0;  // steady time before which the lead is not taken again
-  uint64_t failed_nodes_lease_id_ = 0;
-  bool lost_ = false;  // the term is to end
+  double earliest_reacquire_ = 0;  // steady time
+  uint64_t failed_node_lease_id_ = 0;
+  bool lost_ = false;  // the term must end
   bool holds_lease_ = false;
   bool renewal_failing_ = false;  // the last renewal failed
   bool raising_token_ = false;
--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -44,7 +44,7 @@
     const std::string current = TakeLast(pending);
     if (unresolved_.contains(current)) return false;
     auto entry = nodes_.find(current);
-    // All that a job that is not blocked awaits is done: nothing further upstream matters.
+    // All jobs that an unblocked job awaits are done: no upstream job can affect it any more.
     if (entry == nodes_.end() || !entry->second.state.blocked) continue;
     if (!visited.insert(current).second) continue;
     const Node& node = entry->second;
@@ -68,12 +68,12 @@
   }
 }
 
-void DependencyGraph::Put(const store::JobRecord& record) {
+void DependencyGraph::AddOrUpdate(const store::JobRecord& record) {
   const std::string& id = record.spec.id;
   auto [entry, is_new] = nodes_.try_emplace(id);
   Node& node = entry->second;
   if (is_new) {
-    AddNode(record, node);
+    InitNode(record, node);
   } else if (node.awaits.empty() && node.state.runnable_since != record.submitted) {
     node.state.runnable_since = record.submitted;
     MarkChanged(id);
@@ -84,7 +84,7 @@
   }
 }
 
-void DependencyGraph::AddNode(const store::JobRecord& record, Node& node) {
+void DependencyGraph::InitNode(const store::JobRecord& record, Node& node) {
   const std::string& id = record.spec.id;
   node.awaits = record.spec.awaits;
   node.own_priority = record.spec.priority;
@@ -109,14 +109,14 @@
       node.state.runnable_since = std::max(node.state.runnable_since, awaited.final_record.at);
       continue;
     }
-    ++node.open_awaits;
+    ++node.pending_awaits;
     auto unfinished = nodes_.find(awaited_id);
     const bool is_cancelled =
         awaited.ended || (unfinished != nodes_.end() && unfinished->second.state.cancelled);
     upstream_cancelled = upstream_cancelled || is_cancelled;
   }
-  node.state.blocked = node.open_awaits > 0;
-  // A load brings records in any order: dependents of this job may be here already.
+  node.state.blocked = node.pending_awaits > 0;
+  // The initial load delivers records in any order: dependents may have been added before this job.
   RecomputeUrgency(id, node);
   if (upstream_cancelled) {
     CancelDownstream(id);
@@ -127,8 +127,8 @@
 
 void DependencyGraph::CancelDownstream(const std::string& id) {
   std::vector<std::string> pending = {id};
-  // What the cancelled jobs await besides each other: each is recomputed once, however many of its
-  // dependents are cancelled.
+  // Jobs that the cancelled jobs await. They are collected first, so that each is recomputed once
+  // regardless of how many of its dependents are cancelled.
   std::set<std::string> upstream;
   while (!pending.empty()) {
     const std::string current = TakeLast(pending);
@@ -149,7 +149,7 @@
   while (!pending.empty()) {
     const std::string current = TakeLast(pending);
     auto entry = nodes_.find(current);
-    // The urgency of a cancelled job is of no use to anybody.
+    // The urgency of a cancelled job is not used.
     if (entry == nodes_.end() || entry->second.state.cancelled) continue;
     Node& node = entry->second;
     if (!RecomputeUrgency(current, node)) continue;
@@ -166,7 +166,7 @@
     auto entry = nodes_.find(dependent_id);
     if (entry == nodes_.end()) continue;
     const Node& dependent = entry->second;
-    if (dependent.state.cancelled) continue;  // it no longer needs this job
+    if (dependent.state.cancelled) continue;  // no longer needs this job
     state.priority = std::min(state.priority, dependent.state.priority);
     state.deadline = std::min(state.deadline, dependent.state.deadline - dependent.estimate_s);
   }
@@ -182,14 +182,14 @@
     auto entry = nodes_.find(current);
     if (entry == nodes_.end() || entry->second.state.cancelled) continue;
     const Node& node = entry->second;
-    const double due_upstream = node.state.deadline - node.estimate_s;
+    const double upstream_deadline = node.state.deadline - node.estimate_s;
     for (const std::string& awaited : node.awaits) {
       auto upstream = nodes_.find(awaited);
       if (upstream == nodes_.end() || upstream->second.state.cancelled) continue;
       EffectiveState& state = upstream->second.state;
-      if (node.state.priority >= state.priority && due_upstream >= state.deadline) continue;
+      if (node.state.priority >= state.priority && upstream_deadline >= state.deadline) continue;
       state.priority = std::min(state.priority, node.state.priority);
-      state.deadline = std::min(state.deadline, due_upstream);
+      state.deadline = std::min(state.deadline, upstream_deadline);
       MarkChanged(awaited);
       pending.push_back(awaited);
     }
@@ -203,7 +203,8 @@
   awaited->second.ended = true;
   awaited->second.final_record = final_record;
   UpdateUnresolved(id);
-  // A copy: the loop must stay correct should a cancellation ever change the dependents.
+  // Iterates over a copy, so that the loop stays correct if a cancellation ever changes the
+  // dependents.
   const std::vector<std::string> dependents(awaited->second.dependents.begin(),
                                             awaited->second.dependents.end());
   for (const std::string& dependent : dependents) {
@@ -220,15 +221,15 @@
   auto entry = nodes_.find(id);
   if (entry == nodes_.end()) return;
   Node& node = entry->second;
-  --node.open_awaits;
-  node.state.blocked = node.open_awaits > 0;
-  // A final record without a time is older than the change of formats, and jobs that await others
-  // are submitted after it: then the submission, the later of both, stands.
+  --node.pending_awaits;
+  node.state.blocked = node.pending_awaits > 0;
+  // A final record without a time was written before the change of record formats. Jobs that await
+  // others are submitted after that change, so the submission is the later of both and is kept.
   node.state.runnable_since = std::max(node.state.runnable_since, final_record.at);
   MarkChanged(id);
 }
 
-void DependencyGraph::Drop(const std::string& id) {
+void DependencyGraph::Remove(const std::string& id) {
   auto entry = nodes_.find(id);
   if (entry == nodes_.end()) return;
   const Node node = std::move(entry->second);
@@ -241,7 +242,7 @@
     awaited->second.dependents.erase(id);
     if (awaited->second.dependents.empty()) awaited_.erase(awaited);
     UpdateUnresolved(awaited_id);
-    // A cancelled job has not counted for those upstream since its cancellation.
+    // The urgency of a cancelled job was removed from its upstream jobs when it was cancelled.
     if (!node.state.cancelled) RecomputeUpstream(awaited_id);
   }
 }
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -1,14 +1,15 @@
-// The DAG of job dependencies and what follows from it: which jobs may start, which are cancelled
-// because a dependency is, and how urgent a job is because of its dependents.
+// The DAG of job dependencies. Derives from it which jobs may start, which jobs are cancelled
+// because a dependency is cancelled, and which priority and deadline a job inherits from its
+// dependents.
 //
-// "Upstream" of a job are the jobs that it awaits, and those that these await; "downstream" are its
-// dependents, and theirs. Owned by the job table. Does no I/O and does not recurse, however deep
-// the graph is.
+// The upstream jobs of a job are its direct and transitive dependencies; its downstream jobs are
+// its direct and transitive dependents. Owned by the job table. Does no I/O. Traversals are
+// iterative, so that the depth of the graph is not limited by the stack.
 //
-// All that this class says of a job follows from records alone, and blocking and cancellation only
-// ever change one way: a job that is done or cancelled stays so, hence a job that was released, or
-// was cancelled because of another, stays released or cancelled. A change visits only the jobs
-// whose state it can alter.
+// The state of a job is derived from stored records alone. Blocking and cancellation are monotonic:
+// a job that is done or cancelled stays so, hence a job that was unblocked, or was cancelled
+// because of another job, stays unblocked or cancelled. A change visits only the jobs whose state
+// it can alter.
 #pragma once
 
 #include <cstddef>
@@ -26,39 +27,41 @@
 
 class DependencyGraph {
  public:
-  // The state of an unfinished job, with all that its upstream and downstream jobs mean for it.
-  // Times are times of day in seconds.
+  // The state of an unfinished job, including the effects of its upstream and downstream jobs.
+  // Times are in seconds since the Unix epoch.
   struct EffectiveState {
-    bool blocked = false;       // some awaited job is not known to be recorded as done
-    bool cancelled = false;     // by its own record, or because an upstream job is cancelled
-    double runnable_since = 0;  // when it was submitted, or the last awaited job was done
-    // The highest of its own priority and those of all downstream jobs.
+    bool blocked = false;       // not all awaited jobs are known to be recorded as done
+    bool cancelled = false;     // in its own record, or because an upstream job is cancelled
+    double runnable_since = 0;  // submission or completion of the last awaited job
+    // The highest of the job's own priority and those of all downstream jobs.
     model::Priority priority = model::Priority::kBestEffort;
-    // By when it has to be done, for its own deadline and those of all downstream jobs.
+    // The time by which the job must be done to meet its own deadline and those of all downstream
+    // jobs.
     double deadline = std::numeric_limits<double>::infinity();
     bool operator==(const EffectiveState&) const = default;
   };
 
-  // Takes in a job's record, read for the first time or changed.
-  void Put(const store::JobRecord& record);
-  // The record was dropped: the job is final.
-  void Drop(const std::string& id);
-  // Takes in how a job ended. Kept for as long as unfinished jobs await it; the first call counts.
+  // Adds the job of a new record, or updates the job of a changed record.
+  void AddOrUpdate(const store::JobRecord& record);
+  // Removes a job whose record was deleted because the job became final.
+  void Remove(const std::string& id);
+  // Sets the final record of a job. It is kept while unfinished jobs await the job; only the first
+  // call for a job has an effect.
   void SetFinalRecord(const std::string& id, const store::FinalRecord& final_record);
 
-  // Null if there is no unfinished job of that id.
+  // Returns nullptr if there is no unfinished job with this id.
   const EffectiveState* Find(const std::string& id) const;
-  // True if the job's own record says that it is cancelled.
+  // Returns true if the job's own record marks it as cancelled.
   bool CancelledByOwnRecord(const std::string& id) const;
-  // How an awaited job ended; null if that is not known here.
+  // Returns the final record of an awaited job; nullptr if it is not known on this node.
   const store::FinalRecord* FindFinalRecord(const std::string& id) const;
-  // Unfinished jobs that await the given one directly, whether that is unfinished itself or not.
+  // Returns the unfinished direct dependents of a job, which itself may be unfinished or final.
   const std::unordered_set<std::string>& Dependents(const std::string& id) const;
-  // Awaited jobs of which there is no record here: they are final, and their final records have yet
-  // to be read. Until then their dependents are blocked.
+  // Returns the awaited jobs without a known job record. They are final, but their final records
+  // have not been read yet; until then their dependents are blocked.
   const std::set<std::string>& unresolved() const { return unresolved_; }
-  // True if no upstream job that may still matter is unresolved. Otherwise the job may be cancelled
-  // because of one, without this node knowing it.
+  // Returns true if no upstream job that can still affect this job is unresolved. Otherwise the job
+  // may have been cancelled because of an unresolved job, and this node does not know it yet.
   bool UpstreamResolved(const std::string& id) const;
   // Returns the jobs whose effective state has changed since the last call.
   std::vector<std::string> TakeChanged();
@@ -66,42 +69,43 @@
  private:
   // An unfinished job.
   struct Node {
-    std::vector<std::string> awaits;   // without duplicates
-    size_t open_awaits = 0;            // of these, not known to be done
-    bool cancelled_by_record = false;  // by its own record
-    // Its own, without regard to dependents.
+    std::vector<std::string> awaits;   // no duplicates
+    size_t pending_awaits = 0;         // those not known to be done
+    bool cancelled_by_record = false;  // in its own record
+    // The job's own values, without those of its dependents.
     model::Priority own_priority = model::Priority::kBestEffort;
     double own_due = 0;
     double estimate_s = 0;
     EffectiveState state;
   };
-  // A job that unfinished jobs await.
+  // A job, unfinished or final, that unfinished jobs await.
   struct AwaitedJob {
     std::unordered_set<std::string> dependents;
     bool ended = false;
-    store::FinalRecord final_record;  // if it has ended
+    store::FinalRecord final_record;  // valid if `ended`
   };
 
-  void AddNode(const store::JobRecord& record, Node& node);
-  // Enters a new job as a dependent of those that it awaits, and derives its state.
+  void InitNode(const store::JobRecord& record, Node& node);
+  // Adds a new job to the dependents of the jobs that it awaits, and derives its state.
   void Connect(const std::string& id, Node& node);
   // Cancels a job and all downstream jobs.
   void CancelDownstream(const std::string& id);
-  // Passes a job's effective priority and due time on to all upstream jobs that are less urgent.
+  // Propagates a job's effective priority and deadline to all upstream jobs that are less urgent.
   void RaiseUpstream(const std::string& id);
-  // Recomputes a job after one of its dependents has become less urgent or has gone, and goes on
-  // upstream for as long as something changes.
+  // Recomputes the urgency of a job after a dependent has become less urgent or was removed, and
+  // continues upstream while values change.
   void RecomputeUpstream(const std::string& id);
-  // Derives priority and due time from the job's own and its dependents'. True if they changed.
+  // Derives the effective priority and deadline from the job's own and those of its dependents.
+  // Returns true if one of them has changed.
   bool RecomputeUrgency(const std::string& id, Node& node) const;
-  // One that the job awaits is done.
+  // Updates a job after one of the jobs that it awaits is done.
   void ReleaseDependent(const std::string& id, const store::FinalRecord& final_record);
-  // Enters the job into unresolved_ or removes it, according to what is known of it now.
+  // Adds the job to unresolved_ or removes it, depending on whether its outcome is known.
   void UpdateUnresolved(const std::string& id);
   void MarkChanged(const std::string& id) { changed_.insert(id); }
 
   std::unordered_map<std::string, Node> nodes_;          // all unfinished jobs
-  std::unordered_map<std::string, AwaitedJob> awaited_;  // all that unfinished jobs await
+  std::unordered_map<std::string, AwaitedJob> awaited_;  // all jobs that unfinished jobs await
   std::set<std::string> unresolved_;
   std::unordered_set<std::string> changed_;
 };
--- a/src/jobs/final_records.cc
+++ b/src/jobs/final_records.cc
@@ -11,18 +11,18 @@
 namespace hallpier::jobs {
 namespace {
 
-// Writes of a final record's transaction besides the dropped task groups: the final record itself
-// and the drop of the job's record.
-constexpr size_t kWritesOfTheJob = 2;
+// Writes that make a job final besides the deletions of task groups: the final record, and the
+// deletion of the job record.
+constexpr size_t kWritesBesideGroups = 2;
 
 void AppendIfNew(std::vector<std::string>& keys, std::string key) {
   if (std::find(keys.begin(), keys.end(), key) == keys.end()) keys.push_back(std::move(key));
 }
 
-// The keys of task groups that are dropped with the job, at most `max_keys`. Nothing if the changed
-// groups alone are more: their keys must go in this transaction, since only its preconditions say
-// that the job has ended. The keys of unchanged groups that have no room become obsolete and are
-// dropped later (JobTable::ObsoleteKeys).
+// Returns the keys of task groups to delete together with the job, at most `max_keys`. std::nullopt
+// if the changed groups alone have more keys: these must be deleted in this transaction, since only
+// its preconditions guarantee that the job has ended. Keys of unchanged groups beyond the limit
+// become obsolete and are deleted later (JobTable::ObsoleteKeys).
 std::optional<std::vector<std::string>> GroupKeysToDrop(const std::string& id,
                                                         const JobChanges& changes,
                                                         size_t max_keys) {
@@ -53,24 +53,24 @@
 
 CancellationOrder OrderCancelledJobs(const JobTable& job_table, const RoundChanges& changes) {
   CancellationOrder result;
-  std::vector<std::string>& can_end = result.can_end;
-  std::map<std::string, size_t> open_dependents;  // that must become final before the job
+  std::vector<std::string>& finalizable = result.finalizable;
+  std::map<std::string, size_t> dependents_left;  // by job; must become final before it
   for (const std::string& id : changes.order) {
     const JobChanges& job_changes = changes.by_job.at(id);
     if (!job_changes.job->cancelled || !FinalPhase(job_changes)) continue;
     const size_t dependents = job_table.dependency_graph().Dependents(id).size();
-    open_dependents[id] = dependents;
-    if (dependents == 0) can_end.push_back(id);
+    dependents_left[id] = dependents;
+    if (dependents == 0) finalizable.push_back(id);
   }
-  // `can_end` grows while it is read: a job that becomes final releases those that it awaits.
-  for (size_t i = 0; i < can_end.size(); ++i) {
-    for (const std::string& awaited : job_table.Find(can_end[i])->spec.awaits) {
-      auto entry = open_dependents.find(awaited);
-      if (entry != open_dependents.end() && --entry->second == 0) can_end.push_back(awaited);
+  // `finalizable` grows during the loop: a job that becomes final releases the jobs that it awaits.
+  for (size_t i = 0; i < finalizable.size(); ++i) {
+    for (const std::string& awaited : job_table.Find(finalizable[i])->spec.awaits) {
+      auto entry = dependents_left.find(awaited);
+      if (entry != dependents_left.end() && --entry->second == 0) finalizable.push_back(awaited);
     }
   }
-  for (const auto& [id, count] : open_dependents) {
-    if (count > 0) result.must_wait.insert(id);
+  for (const auto& [id, count] : dependents_left) {
+    if (count > 0) result.deferred.insert(id);
   }
   return result;
 }
@@ -79,7 +79,7 @@
                                               const JobChanges& changes, model::JobPhase phase,
                                               const TransactionLimits& limits,
                                               const VersionLookup& version) {
-  const size_t max_keys = static_cast<size_t>(limits.max_writes) - kWritesOfTheJob;
+  const size_t max_keys = static_cast<size_t>(limits.max_writes) - kWritesBesideGroups;
   const auto group_keys = GroupKeysToDrop(id, changes, max_keys);
   if (!group_keys) return std::nullopt;
   store::FinalRecord record;
--- a/src/jobs/final_records.h
+++ b/src/jobs/final_records.h
@@ -1,4 +1,4 @@
-// Which jobs become final in a round, in which order, and with which writes. Does no I/O.
+// Decides which jobs become final in a round, in which order and with which writes. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -13,22 +13,25 @@
 
 namespace hallpier::jobs {
 
-// How the job ends once its changes are written: as done if all its tasks are, as cancelled if it
-// is and no task is placed any more. Nothing if it goes on.
+// Returns the final phase that the job reaches once its changes are written: kDone if all its tasks
+// are done; kCancelled if it is cancelled and no task is placed any more. std::nullopt if the job
+// is not final.
 std::optional<model::JobPhase> FinalPhase(const JobChanges& changes);
 
-// Cancelled jobs of a round, by whether they can become final in it.
+// The cancelled jobs of a round, divided by whether they can become final in it.
 struct CancellationOrder {
-  // These can. Each comes after all of its dependents.
-  std::vector<std::string> can_end;
-  // These have a dependent that can't become final yet. As long as a dependent is unfinished, the
-  // record of the job that it awaits is what says, to any later leader, why it is cancelled.
-  std::set<std::string> must_wait;
+  // Jobs that can become final, ordered so that each comes after all of its dependents.
+  std::vector<std::string> finalizable;
+  // Jobs with a dependent that can't become final yet. While a dependent is unfinished, the record
+  // of the job that it awaits is kept: any later leader derives from it why the dependent is
+  // cancelled.
+  std::set<std::string> deferred;
 };
 CancellationOrder OrderCancelledJobs(const JobTable& job_table, const RoundChanges& changes);
 
-// The writes that make a job final: its final record is written, its own record and the keys of its
-// task groups are dropped. Nothing if the groups that the round changes do not fit one transaction.
+// Returns the writes that make a job final: its final record is written, its job record and the
+// keys of its task groups are deleted. std::nullopt if the keys of the groups that the round
+// changes do not fit in one transaction.
 std::optional<WriteUnit> BuildFinalRecordUnit(const JobTable& job_table, const std::string& id,
                                               const JobChanges& changes, model::JobPhase phase,
                                               const TransactionLimits& limits,
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,4 @@
-// An unfinished job as the state service has it. Owned by the job table, which alone changes it.
+// An unfinished job as recorded in the state service. Owned and changed only by the job table.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
   explicit Job(TaskGroups task_groups) : groups(std::move(task_groups)) {}
 
   model::JobSpec spec;
-  double submitted = 0;            // time of day, in seconds
-  bool uses_common_layout = true;  // its record names no group size
-  // By its own record, or because it depends on a cancelled job. No task is placed any more.
+  double submitted = 0;            // seconds since the Unix epoch
+  bool uses_common_layout = true;  // its record has no group size
+  // In its own record, or because it depends on a cancelled job. Its tasks are no longer placed.
   bool cancelled = false;
-  // What other jobs mean for it; see DependencyGraph::EffectiveState.
+  // Derived from other jobs as well; see DependencyGraph::EffectiveState.
   bool blocked = false;
-  double runnable_since = 0;  // time of day from which on it could run
+  double runnable_since = 0;  // seconds since the Unix epoch
   model::Priority priority = model::Priority::kNormal;
-  double deadline = 0;  // time of day
+  double deadline = 0;  // seconds since the Unix epoch
 
   TaskGroups groups;
   const std::map<uint32_t, store::TaskGroup>& task_groups() const { return groups.all(); }
@@ -32,12 +32,14 @@
   uint32_t placed() const { return groups.placed(); }
   // Tasks that are neither done nor placed.
   uint32_t waiting() const { return spec.tasks - done() - placed(); }
-  // The state of a task that was ever placed and is not done; null for any other.
+  // Returns the state of a task that was placed at least once and is not done; nullptr for any
+  // other task.
   const store::TaskState* FindOpen(uint32_t index) const;
   model::JobStatus Status() const;
-  // Mean run time in seconds on a machine type; nothing before the first task has finished there.
+  // Returns the mean run time on a machine type in seconds; std::nullopt before the first task has
+  // finished on it.
   std::optional<double> MeanRunTimeS(const std::string& machine_type) const;
-  // The same over all machine types.
+  // Returns the mean run time over all machine types in seconds.
   std::optional<double> MeanRunTimeS() const;
 };
 
--- a/src/jobs/job_changes.cc
+++ b/src/jobs/job_changes.cc
@@ -5,7 +5,7 @@
 namespace hallpier::jobs {
 namespace {
 
-// Sums `count` over the groups of a job as they are once its changes are written.
+// Sums `count` over the task groups of a job as they are once its changes are written.
 template <class Count>
 uint32_t SumAfter(const JobChanges& changes, Count count) {
   uint32_t sum = 0;
@@ -16,7 +16,7 @@
   return sum;
 }
 
-// Adds one transition to the changes of its job, unless the records no longer allow it.
+// Adds a transition to the changes of its job, unless the records no longer allow it.
 void AddTransition(const JobTable& job_table, const TaskTransition& transition, double max_wait_s,
                    JobChanges& changes) {
   const Job& job = *changes.job;
@@ -66,8 +66,8 @@
 
 void AddFinishedJobs(const JobTable& job_table, RoundChanges& changes) {
   for (const auto& [id, job] : job_table.all()) {
-    const bool over = job.cancelled ? job.placed() == 0 : job.done() == job.spec.tasks;
-    if (!over || changes.by_job.contains(id)) continue;
+    const bool finished = job.cancelled ? job.placed() == 0 : job.done() == job.spec.tasks;
+    if (!finished || changes.by_job.contains(id)) continue;
     changes.by_job[id].job = &job;
     changes.order.push_back(id);
   }
--- a/src/jobs/job_changes.h
+++ b/src/jobs/job_changes.h
@@ -1,5 +1,5 @@
-// What the transitions of a round change, collected per job. Does no I/O; the job table must not
-// change while a JobChanges that points into it is used.
+// Collects the changes that the transitions of a round make, per job. Does no I/O. The job table
+// must not change while a JobChanges that points into it is in use.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,11 @@
   std::string machine;
 };
 
-// The changes of one task group, which become one write of its key.
+// The changes of one task group, which are written as one value.
 struct TaskGroupChange {
-  store::TaskGroup after;                // the group once all changes are made
-  std::vector<NewPlacement> placements;  // in the order in which the round decided them
-  // The highest of any change in the group.
+  store::TaskGroup after;                // the group with all changes applied
+  std::vector<NewPlacement> placements;  // in the order of the transitions
+  // The highest priority of any change in the group.
   WritePriority priority = WritePriority::kTaskEnd;
 };
 
@@ -31,24 +31,25 @@
   const Job* job = nullptr;                         // never null; owned by the job table
   std::map<uint32_t, TaskGroupChange> task_groups;  // by group number
 
-  // Tasks of the whole job that are done, or placed, once the changes are written.
+  // Return the number of the job's tasks that are done, or placed, once the changes are written.
   uint32_t DoneAfter() const;
   uint32_t PlacedAfter() const;
 };
 
-// The changes of a round by job, and the order in which the jobs were first mentioned.
+// The changes of a round by job, and the jobs in the order of their first change.
 struct RoundChanges {
   std::map<std::string, JobChanges> by_job;
   std::vector<std::string> order;
 };
 
-// Collects `transitions`. Those that the records no longer allow are left out. The end of a task
-// that has been known for `max_wait_s` seconds gets a higher priority (write_priority.h).
+// Collects the changes of `transitions`. Skips transitions that the records no longer allow. The
+// end of a task that has been known for `max_wait_s` seconds gets a higher priority
+// (write_priority.h).
 RoundChanges CollectChanges(const JobTable& job_table,
                             const std::vector<TaskTransition>& transitions, double max_wait_s);
 
-// Adds, without any change, the jobs that are over but not yet final: cancelled before anything was
-// placed, or with more task groups than one transaction could drop.
+// Adds, with no changes, the jobs that are finished but not final yet: those cancelled while no
+// task was placed, and those with more task groups than one transaction could delete.
 void AddFinishedJobs(const JobTable& job_table, RoundChanges& changes);
 
 }  // namespace hallpier::jobs
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -37,8 +37,8 @@
 
 void JobTable::UpdatePlacements(const std::string& job, const store::TaskGroup* before,
                                 const store::TaskGroup* after) {
-  // A merge of both sorted maps: a change concerns few of a group's tasks, and only these are
-  // removed and added.
+  // Merges both sorted maps: a change affects few tasks of a group, and only the placements of
+  // these tasks are removed and added.
   static const std::map<uint32_t, store::TaskState> kNone;
   const auto& old_tasks = before == nullptr ? kNone : before->open;
   const auto& new_tasks = after == nullptr ? kNone : after->open;
@@ -69,8 +69,8 @@
   } else if (const auto* task_group = std::get_if<store::TaskGroupKeyName>(&key)) {
     ApplyTaskGroup(*task_group, value);
   } else if (std::holds_alternative<store::FormatKeyName>(key)) {
-    // The record is never dropped, and the layout that it names never changes. Where it can't be
-    // read, store::RecordFormats says so.
+    // The format record is never deleted, and its layout never changes. store::RecordFormats logs
+    // an unreadable format record.
     if (auto record = store::ReadFormat(value)) SetCommonLayout(record->layout);
   }
 }
@@ -106,7 +106,7 @@
 void JobTable::RemoveJob(const std::string& id) {
   auto job = jobs_.find(id);
   if (job == jobs_.end()) return;
-  dependency_graph_.Drop(id);
+  dependency_graph_.Remove(id);
   if (!job->second.groups.StoredKeys(id).empty()) {
     groups_without_job_.insert_or_assign(id, std::move(job->second.groups));
   }
@@ -119,10 +119,10 @@
   const store::TaskGroupLayout layout =
       uses_common_layout ? common_layout_ : store::TaskGroupLayout{record.group, 1};
   TaskGroups groups(layout);
-  if (auto waiting = groups_without_job_.find(id); waiting != groups_without_job_.end()) {
-    groups = std::move(waiting->second);
+  if (auto stored = groups_without_job_.find(id); stored != groups_without_job_.end()) {
+    groups = std::move(stored->second);
     groups.ChangeLayout(layout);
-    groups_without_job_.erase(waiting);
+    groups_without_job_.erase(stored);
   }
   Job& job = jobs_.emplace(id, Job(std::move(groups))).first->second;
   job.uses_common_layout = uses_common_layout;
@@ -142,7 +142,7 @@
   }
   auto known = jobs_.find(id);
   Job& job = known == jobs_.end() ? AddJob(*record) : known->second;
-  dependency_graph_.Put(*record);
+  dependency_graph_.AddOrUpdate(*record);
   job.spec = std::move(record->spec);
   job.submitted = record->submitted;
 }
@@ -188,7 +188,7 @@
     groups = &groups_without_job_.emplace(key.job, TaskGroups(common_layout_)).first->second;
   }
   const uint32_t parts = groups->layout().parts_per_whole;
-  if (key.part && *key.part >= parts) return;  // of no layout that was ever recorded
+  if (key.part && *key.part >= parts) return;  // not in any recorded layout
   groups->SetStored(key, task_group.has_value());
   if (key.part) {
     SetGroup(key.job, *groups, key.task_group * parts + *key.part, std::move(task_group));
@@ -227,12 +227,13 @@
   const uint32_t index = transition.task.index;
   auto open = task_group->open.find(index);
   const bool is_open = open != task_group->open.end();
-  // Whether the records still say what the transition started from.
+  // True if the recorded attempt is still the one from which the transition was derived.
   const bool same_attempt = is_open && open->second.machine == transition.machine &&
                             open->second.attempt == transition.attempt;
   switch (transition.kind) {
     case TaskTransition::Kind::kPlace: {
-      // Whoever asks for it: no task is placed before all awaited jobs are recorded as done.
+      // No task is placed before all awaited jobs are recorded as done, whichever component
+      // requests the placement.
       if (job.cancelled || job.blocked || index >= job.spec.tasks) return false;
       const uint64_t last_attempt = is_open ? open->second.attempt : 0;
       if (!task_group->IsWaiting(index) || transition.attempt != last_attempt + 1) return false;
--- a/src/jobs/task_groups.cc
+++ b/src/jobs/task_groups.cc
@@ -6,7 +6,7 @@
 namespace hallpier::jobs {
 namespace {
 
-// One past the highest task that the group says anything of.
+// Returns one past the highest task index with recorded state in the group.
 uint32_t EndOfTasks(const store::TaskGroup& group) {
   uint32_t end = group.open.empty() ? 0 : group.open.rbegin()->first + 1;
   const auto& done = group.done.ranges();
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-void TaskGroups::Count(const store::TaskGroup& task_group, bool add) {
-  // Subtraction by adding the negative value: unsigned sums wrap around and come back, as all that
-  // is subtracted was added before.
+void TaskGroups::UpdateTotals(const store::TaskGroup& task_group, bool add) {
+  // Subtracts by adding the negated value. Unsigned arithmetic wraps around and gives the right
+  // result, since each subtracted value was added before.
   const uint32_t done = task_group.done.size();
   const uint32_t placed = task_group.placed();
   done_ += add ? done : -done;
@@ -33,18 +33,18 @@
 
 void TaskGroups::Set(uint32_t number, std::optional<store::TaskGroup> group) {
   if (auto old = groups_.find(number); old != groups_.end()) {
-    Count(old->second, false);
+    UpdateTotals(old->second, false);
     groups_.erase(old);
   }
   if (!group) return;
-  Count(*group, true);
+  UpdateTotals(*group, true);
   groups_[number] = std::move(*group);
 }
 
-store::TaskGroup TaskGroups::TakeAll() {
+store::TaskGroup TaskGroups::TakeAllAsOneGroup() {
   store::TaskGroup all;
   for (auto& [number, group] : std::exchange(groups_, {})) {
-    Count(group, false);
+    UpdateTotals(group, false);
     for (const auto& [first, last] : group.done.ranges()) {
       for (uint32_t i = first; i <= last; ++i) all.done.Insert(i);
     }
@@ -60,9 +60,9 @@
 
 void TaskGroups::ChangeLayout(store::TaskGroupLayout layout) {
   if (layout == layout_) return;
-  // By the tasks themselves, not by group numbers: groups that were read before their job's record
-  // were numbered by the common layout, which need not be the job's.
-  const store::TaskGroup all = TakeAll();
+  // Regroups by task index, not by group number: groups that were read before their job's record
+  // are numbered by the common layout, which may differ from the job's layout.
+  const store::TaskGroup all = TakeAllAsOneGroup();
   layout_ = layout;
   const uint32_t end = EndOfTasks(all);
   for (uint32_t number = 0; layout.FirstTask(number) < end; ++number) {
@@ -105,7 +105,7 @@
   return keys;
 }
 
-bool TaskGroups::HasPartToCarryOver(uint32_t whole) const {
+bool TaskGroups::HasUnmigratedPart(uint32_t whole) const {
   for (uint32_t part = 0; part < layout_.parts_per_whole; ++part) {
     const uint32_t number = whole * layout_.parts_per_whole + part;
     if (groups_.contains(number) && !stored_parts_.contains(number)) return true;
@@ -117,7 +117,7 @@
   std::vector<std::string> keys;
   if (stored_parts_.empty()) return keys;
   for (uint32_t whole : stored_wholes_) {
-    if (!HasPartToCarryOver(whole)) keys.push_back(store::TaskGroupKey(id, whole));
+    if (!HasUnmigratedPart(whole)) keys.push_back(store::TaskGroupKey(id, whole));
   }
   return keys;
 }
--- a/src/jobs/task_transition.h
+++ b/src/jobs/task_transition.h
@@ -1,4 +1,4 @@
-// What a round decides about one task. Plain data.
+// A state change of one task that a round decides. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 struct TaskTransition {
   enum class Kind {
-    kPlace,    // the task is placed on `machine` as attempt `attempt`
-    kRequeue,  // the attempt ended without success, or is given up: the task waits again
-    kDone,     // the attempt ended with success
+    kPlace,    // places the task on `machine` as attempt `attempt`
+    kRequeue,  // the attempt failed or is abandoned; the task waits for another placement
+    kDone,     // the attempt succeeded
   };
   Kind kind = Kind::kPlace;
   model::TaskId task;
   uint64_t attempt = 0;
   std::string machine;
-  double run_s = 0;          // kDone: run time in seconds; 0 if unknown
+  double run_s = 0;          // kDone: run time; 0 if unknown
   std::string machine_type;  // kDone
-  double known_for_s = 0;    // kDone: seconds since this node learned of it
-  std::string reason;        // kRequeue: the reason, for the log
+  double known_for_s = 0;    // kDone: time since this node learned of the end
+  std::string reason;        // kRequeue: for the log
 };
 
 }  // namespace hallpier::jobs
--- a/src/jobs/transaction.h
+++ b/src/jobs/transaction.h
@@ -1,4 +1,4 @@
-// Transactions of a round, and the limits that they have to keep. Plain data.
+// The transactions of a round and the limits that they must stay within. Plain data.
 #pragma once
 
 #include <cstddef>
@@ -16,34 +16,34 @@
 struct Transaction {
   std::vector<model::Precondition> preconditions;
   std::vector<model::KeyWrite> writes;
-  WritePriority priority = WritePriority::kTaskEnd;  // the highest of what it holds
-  std::vector<std::string> machines;                 // that get a new placement by it
+  WritePriority priority = WritePriority::kTaskEnd;  // the highest of its writes
+  std::vector<std::string> machines;                 // that get a new placement
 };
 
 struct TransactionLimits {
-  int max_writes = 0;  // in a transaction
-  // Of every transaction. The first is the leader's fencing token: a node whose token is not the
-  // newest fails here.
+  int max_writes = 0;  // per transaction
+  // Preconditions of every transaction. The first is the leader's fencing token: a transaction of a
+  // node whose token is not the newest fails on it.
   std::vector<model::Precondition> preconditions;
-  size_t max_value_bytes = 0;  // of the largest value; 0: no limit
-  // Ends of tasks that have been known for this long (seconds) no longer wait behind placements.
+  size_t max_value_bytes = 0;  // per value; 0: no limit
+  // Task ends that have been known for this long are ranked with placements instead of last.
   double task_end_max_wait_s = 0;
-  // Every node reads the newer record formats: task groups are written in the packed form, and
-  // final records hold the time at which the job ended.
+  // True if every node reads the newer record formats: task groups are written in the packed form,
+  // and final records contain the time at which the job ended.
   bool packed_groups = false;
-  double time_of_day = 0;  // now, in seconds since the Unix epoch
-  // Keys whose writes share a transaction with no others, since a transaction that held them was
-  // refused. Null: none. Owned by the caller.
+  double time_of_day = 0;  // current time in seconds since the Unix epoch
+  // Keys whose writes are each sent in a separate transaction, since a transaction that contained
+  // them was rejected. nullptr if there are none. Owned by the caller.
   const std::set<std::string>* isolated_keys = nullptr;
-  // Only placements are built. Ends, and the removal of keys that nothing needs, are the leader's.
+  // True if only placements are built. Only the leader records ends and deletes obsolete keys.
   bool placements_only = false;
-  // Other nodes place tasks at the same time. Where the zones of a job's tasks depend on each
-  // other, a placement then rewrites the job's record as well, so that of two concurrent
-  // placements only one can be carried out.
+  // True if other nodes place tasks at the same time. If the zones of a job's tasks depend on each
+  // other, a placement then rewrites the job record as well, so that only one of two concurrent
+  // placements can be committed.
   bool concurrent_placement = false;
 };
 
-// The version of a key in the local copy of the state; 0 if there is no such key.
+// Returns the version of a key in the local copy of the state; 0 if the key does not exist.
 using VersionLookup = std::function<uint64_t(const std::string& key)>;
 
 }  // namespace hallpier::jobs
--- a/src/jobs/transaction_builder.cc
+++ b/src/jobs/transaction_builder.cc
@@ -18,31 +18,31 @@
 namespace hallpier::jobs {
 namespace {
 
-// True if the zone of a task depends on those of tasks in other groups, whose keys the placement of
-// the task does not name in its preconditions.
+// Returns true if the zone of a task depends on the zones of tasks in other groups. The
+// preconditions of the task's placement do not include the keys of these groups.
 bool ZonesDependOnOtherGroups(const Job& job) {
   return (job.spec.one_zone || job.spec.spread) && job.spec.tasks > job.groups.layout().EndTask(0);
 }
 
 // Collects the write units of one round.
-class UnitBuilder {
+class WriteUnitBuilder {
  public:
-  UnitBuilder(const JobTable& job_table, const TransactionLimits& limits,
-              const VersionLookup& version)
+  WriteUnitBuilder(const JobTable& job_table, const TransactionLimits& limits,
+                   const VersionLookup& version)
       : job_table_(job_table), limits_(limits), version_(version) {}
 
-  // Adds what the round changes of a job. `may_end`: false if it may not become final yet.
-  void AddJob(const std::string& id, const JobChanges& changes, bool may_end) {
-    if (may_end && AddFinalRecord(id, changes)) return;
+  // Adds the changes of a job. `may_finalize`: false if the job may not become final yet.
+  void AddJob(const std::string& id, const JobChanges& changes, bool may_finalize) {
+    if (may_finalize && AddFinalRecord(id, changes)) return;
     for (const auto& [number, change] : changes.task_groups) {
-      units_.push_back(TaskGroupUnit(id, *changes.job, number, change));
+      units_.push_back(BuildTaskGroupUnit(id, *changes.job, number, change));
     }
   }
 
-  // Adds the removal of a key that nothing needs any more.
-  void AddRemoval(const std::string& key) {
+  // Adds the deletion of a key that is no longer needed.
+  void AddKeyRemoval(const std::string& key) {
     WriteUnit unit;
-    unit.preconditions = {Unchanged(key)};
+    unit.preconditions = {UnchangedKey(key)};
     unit.writes = {{key, "", 0}};
     unit.priority = WritePriority::kCleanup;
     units_.push_back(std::move(unit));
@@ -51,10 +51,10 @@
   std::vector<WriteUnit> Take() { return std::move(units_); }
 
  private:
-  // Holds as long as the key is as the local copy has it.
-  model::Precondition Unchanged(const std::string& key) const { return {key, version_(key)}; }
+  // Returns the precondition that the key has the same version as in the local copy.
+  model::Precondition UnchangedKey(const std::string& key) const { return {key, version_(key)}; }
 
-  // False if the job does not end, or can't end in one transaction.
+  // Returns false if the job does not become final, or its deletions do not fit in one transaction.
   bool AddFinalRecord(const std::string& id, const JobChanges& changes) {
     const std::optional<model::JobPhase> phase = FinalPhase(changes);
     if (!phase) return false;
@@ -65,17 +65,17 @@
     return true;
   }
 
-  WriteUnit TaskGroupUnit(const std::string& id, const Job& job, uint32_t number,
-                          TaskGroupChange change) const {
+  WriteUnit BuildTaskGroupUnit(const std::string& id, const Job& job, uint32_t number,
+                               TaskGroupChange change) const {
     const std::string key = job.groups.KeyOf(id, number);
     WriteUnit unit;
     unit.priority = change.priority;
-    std::string value = FittingValue(job, number, change);
-    unit.preconditions = {Unchanged(store::JobKey(id)), Unchanged(key)};
+    std::string value = EncodeWithinLimit(job, number, change);
+    unit.preconditions = {UnchangedKey(store::JobKey(id)), UnchangedKey(key)};
     if (!job.groups.PartStored(number)) {
-      // The first write of a part carries over what its whole says: that must not have changed.
+      // The first write of a part copies its state from the whole, which must not have changed.
       for (const std::string& stored : job.groups.StoredKeys(id, number)) {
-        if (stored != key) unit.preconditions.push_back(Unchanged(stored));
+        if (stored != key) unit.preconditions.push_back(UnchangedKey(stored));
       }
     }
     unit.writes = {{key, std::move(value), 0}};
@@ -89,21 +89,21 @@
     return unit;
   }
 
-  // The group's value within the limits. Placements that do not fit are taken back, out of `change`
-  // as well: they wait until other tasks have ended.
-  std::string FittingValue(const Job& job, uint32_t number, TaskGroupChange& change) const {
+  // Returns the group's value within the size limit. Placements that do not fit are removed, also
+  // from `change`; these tasks wait until other tasks have ended.
+  std::string EncodeWithinLimit(const Job& job, uint32_t number, TaskGroupChange& change) const {
     std::string value = Encode(job, number, change.after);
     while (limits_.max_value_bytes > 0 && value.size() > limits_.max_value_bytes &&
            !change.placements.empty()) {
-      TakeBackPlacements(job, number, change.placements.size() / 2, change);
+      RevertPlacements(job, number, change.placements.size() / 2, change);
       value = Encode(job, number, change.after);
     }
     return value;
   }
 
-  // Takes back all placements but the first `keep`.
-  static void TakeBackPlacements(const Job& job, uint32_t number, size_t keep,
-                                 TaskGroupChange& change) {
+  // Reverts all placements except the first `keep`.
+  static void RevertPlacements(const Job& job, uint32_t number, size_t keep,
+                               TaskGroupChange& change) {
     const auto before = job.task_groups().find(number);
     for (size_t i = keep; i < change.placements.size(); ++i) {
       const uint32_t index = change.placements[i].task_index;
@@ -138,17 +138,18 @@
   RoundChanges changes = CollectChanges(job_table, transitions, limits.task_end_max_wait_s);
   if (!limits.placements_only) AddFinishedJobs(job_table, changes);
   const CancellationOrder cancelled = OrderCancelledJobs(job_table, changes);
-  const std::set<std::string> can_end(cancelled.can_end.begin(), cancelled.can_end.end());
-  UnitBuilder builder(job_table, limits, version);
+  const std::set<std::string> finalizable(cancelled.finalizable.begin(),
+                                          cancelled.finalizable.end());
+  WriteUnitBuilder builder(job_table, limits, version);
   for (const std::string& id : changes.order) {
-    if (can_end.contains(id)) continue;
-    builder.AddJob(id, changes.by_job.at(id), !cancelled.must_wait.contains(id));
+    if (finalizable.contains(id)) continue;
+    builder.AddJob(id, changes.by_job.at(id), !cancelled.deferred.contains(id));
   }
-  for (const std::string& id : cancelled.can_end) {
+  for (const std::string& id : cancelled.finalizable) {
     builder.AddJob(id, changes.by_job.at(id), true);
   }
   if (!limits.placements_only) {
-    for (const std::string& key : job_table.ObsoleteKeys()) builder.AddRemoval(key);
+    for (const std::string& key : job_table.ObsoleteKeys()) builder.AddKeyRemoval(key);
   }
   return PackTransactions(builder.Take(), limits);
 }
--- a/src/jobs/transaction_builder.h
+++ b/src/jobs/transaction_builder.h
@@ -1,7 +1,7 @@
-// Turns the transitions of a round into transactions within the state service's limits. Pure
+// Converts the transitions of a round into transactions within the state service's limits. Pure
 // functions of the job table; no I/O.
 //
-// The parts: jobs/job_changes.h collects what changes per job, jobs/final_records.h decides which
+// The steps: jobs/job_changes.h collects the changes per job, jobs/final_records.h decides which
 // jobs become final, jobs/write_priority.h ranks the writes, jobs/transaction_packer.h packs them.
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace hallpier::jobs {
 
-// Builds the transactions of a round, in the order in which they are to be sent.
+// Returns the transactions of a round in the order in which they must be sent.
 //
-// Transitions that the records no longer allow are left out. All changes of one task group go into
-// one write. A job whose last task is done, or that is cancelled and has nothing placed any more,
+// Skips transitions that the records no longer allow. All changes of a task group are combined in
+// one write. A job whose last task is done, or that is cancelled and has no placed task left,
 // becomes final in the same transaction.
 //
-// A cancelled job becomes final only after all jobs that depend on it: as long as one of these is
-// unfinished, the record of the cancelled job says why it is cancelled too, whoever leads.
+// A cancelled job becomes final only after all its dependents: while a dependent is unfinished, any
+// leader derives from the record of the cancelled job why the dependent is cancelled.
 std::vector<Transaction> BuildTransactions(const JobTable& job_table,
                                            const std::vector<TaskTransition>& transitions,
                                            const TransactionLimits& limits,
--- a/src/jobs/transaction_packer.cc
+++ b/src/jobs/transaction_packer.cc
@@ -8,12 +8,12 @@
 namespace hallpier::jobs {
 namespace {
 
-// The service takes 64 KiB. The rest is for key names, versions and JSON syntax, which the sizes of
-// the values do not include.
+// The state service accepts 64 KiB. The remainder is for key names, versions and JSON syntax, which
+// the sizes of the values do not include.
 constexpr size_t kMaxTransactionBytes = size_t{48} * 1024;
-// Allowed for the JSON syntax, the version and the lease of one write.
+// Estimate for the JSON syntax, the version and the lease of one write.
 constexpr size_t kWriteOverheadBytes = 64;
-constexpr size_t kPreconditionsPerWrite = 4;
+constexpr size_t kMaxPreconditionsPerWrite = 4;
 
 size_t SizeOf(const std::vector<model::KeyWrite>& writes) {
   size_t bytes = 0;
@@ -23,7 +23,7 @@
   return bytes;
 }
 
-// Appends the elements of `more` whose keys `all` does not name yet.
+// Appends the elements of `more` whose keys are not in `all` yet.
 template <class Keyed>
 void AppendNewKeys(std::vector<Keyed>& all, std::vector<Keyed>& more) {
   for (Keyed& added : more) {
@@ -40,12 +40,12 @@
 
   void Add(WriteUnit& unit) {
     const size_t unit_bytes = SizeOf(unit.writes);
-    const bool alone =
+    const bool isolated =
         limits_.isolated_keys != nullptr && limits_.isolated_keys->contains(unit.writes[0].key);
-    if (transactions_.empty() || last_is_closed_ || alone || !Fits(unit, unit_bytes)) {
-      Begin(unit.priority);
+    if (transactions_.empty() || last_is_closed_ || isolated || !Fits(unit, unit_bytes)) {
+      BeginTransaction(unit.priority);
     }
-    last_is_closed_ = alone;
+    last_is_closed_ = isolated;
     last_bytes_ += unit_bytes;
     Transaction& last = transactions_.back();
     AppendNewKeys(last.preconditions, unit.preconditions);
@@ -56,17 +56,17 @@
   std::vector<Transaction> Take() { return std::move(transactions_); }
 
  private:
-  // True if the last transaction has room for the unit.
+  // Returns true if the unit fits in the last transaction.
   bool Fits(const WriteUnit& unit, size_t unit_bytes) const {
     const Transaction& last = transactions_.back();
     const auto max_writes = static_cast<size_t>(limits_.max_writes);
-    const size_t max_preconditions = kPreconditionsPerWrite * max_writes;
+    const size_t max_preconditions = kMaxPreconditionsPerWrite * max_writes;
     return last.writes.size() + unit.writes.size() <= max_writes &&
            last.preconditions.size() + unit.preconditions.size() <= max_preconditions &&
            last_bytes_ + unit_bytes <= kMaxTransactionBytes;
   }
 
-  void Begin(WritePriority priority) {
+  void BeginTransaction(WritePriority priority) {
     Transaction& transaction = transactions_.emplace_back();
     transaction.preconditions = limits_.preconditions;
     transaction.priority = priority;
@@ -76,7 +76,7 @@
   const TransactionLimits& limits_;
   std::vector<Transaction> transactions_;
   size_t last_bytes_ = 0;
-  bool last_is_closed_ = false;  // it holds a key that shares a transaction with no others
+  bool last_is_closed_ = false;  // contains an isolated key; no unit may be added
 };
 
 }  // namespace
--- a/src/jobs/transaction_packer.h
+++ b/src/jobs/transaction_packer.h
@@ -1,5 +1,5 @@
-// Packs writes that belong together into transactions within the state service's limits. Does no
-// I/O; lives as long as one call of BuildTransactions.
+// Packs units of writes into transactions within the state service's limits. Does no I/O; used for
+// the duration of one call of BuildTransactions.
 #pragma once
 
 #include <string>
@@ -11,16 +11,16 @@
 
 namespace hallpier::jobs {
 
-// Writes that must be carried out together, and what they depend on.
+// Writes that must be committed together, and their preconditions.
 struct WriteUnit {
   std::vector<model::Precondition> preconditions;
   std::vector<model::KeyWrite> writes;  // never empty
-  std::vector<std::string> machines;    // that get a new placement by it
+  std::vector<std::string> machines;    // that get a new placement
   WritePriority priority = WritePriority::kTaskEnd;
 };
 
-// Sorts the units by priority, keeping the order of those with the same, and fills transactions
-// with them one after the other. Each transaction begins with `limits.preconditions`.
+// Sorts the units by priority (stable) and packs them into consecutive transactions. The
+// preconditions of each transaction begin with `limits.preconditions`.
 std::vector<Transaction> PackTransactions(std::vector<WriteUnit> units,
                                           const TransactionLimits& limits);
 
