--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -33,7 +33,8 @@
 
 // By holder, whether it can place a job on one of its machines, were these empty.
 std::vector<char> HoldersAble(const jobs::Job& job, const fleet::WorkerRegistry& registry,
-                              const plan::Context& context, const plan::PlacementScope& scope) {
+                              const plan::PlanningContext& context,
+                              const plan::PlacementScope& scope) {
   std::vector<char> able(scope.holder_count, 0);
   for (const auto& [name, machine] : registry.machines()) {
     const std::optional<size_t> holder = scope.holder_of(name);
@@ -51,11 +52,11 @@
 
 std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
                                           const fleet::WorkerRegistry& registry,
-                                          const plan::Context& context,
+                                          const plan::PlanningContext& context,
                                           const plan::RoundResult& round,
                                           const plan::PlacementScope& scope) {
   std::vector<quota::AmountByTeam> withheld(scope.holder_count);
-  for (const auto& [team, id] : round.first_over_quota) {
+  for (const auto& [team, id] : round.first_job_over_quota) {
     const jobs::Job* job = job_table.Find(id);
     if (job == nullptr) continue;
     const std::vector<char> able = HoldersAble(*job, registry, context, scope);
@@ -94,7 +95,7 @@
 
 std::optional<RecordChange> Lending::ReviewShares(
     const BlockRecords& records, const CopyState& copy, const jobs::JobTable& job_table,
-    const fleet::WorkerRegistry& registry, const plan::Context& context,
+    const fleet::WorkerRegistry& registry, const plan::PlanningContext& context,
     const plan::RoundResult& round, const plan::PlacementScope& scope,
     const WriteLimits& limits) const {
   // What a holder placed before its share shrank may not have come yet: lent anew now, it would
--- a/src/blocks/lending.h
+++ b/src/blocks/lending.h
@@ -47,7 +47,7 @@
   std::optional<RecordChange> ReviewShares(const BlockRecords& records, const CopyState& copy,
                                            const jobs::JobTable& job_table,
                                            const fleet::WorkerRegistry& registry,
-                                           const plan::Context& context,
+                                           const plan::PlanningContext& context,
                                            const plan::RoundResult& round,
                                            const plan::PlacementScope& scope,
                                            const WriteLimits& limits) const;
@@ -62,7 +62,7 @@
 // that the holder can't place and another can.
 std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
                                           const fleet::WorkerRegistry& registry,
-                                          const plan::Context& context,
+                                          const plan::PlanningContext& context,
                                           const plan::RoundResult& round,
                                           const plan::PlacementScope& scope);
 
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -24,7 +24,7 @@
 
 BlockCoordinator::BlockCoordinator(const NodeServices& services,
                                    const fleet::WorkerRegistry& registry,
-                                   const plan::Context& context)
+                                   const plan::PlanningContext& context)
     : services_(services),
       registry_(registry),
       context_(context),
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -24,7 +24,7 @@
  public:
   // All references must outlive this.
   BlockCoordinator(const NodeServices& services, const fleet::WorkerRegistry& registry,
-                   const plan::Context& context);
+                   const plan::PlanningContext& context);
 
   // A term begins; its duties end with the scope.
   void BeginTerm(async::Scope& term);
@@ -78,7 +78,7 @@
 
   const NodeServices& services_;
   const fleet::WorkerRegistry& registry_;
-  const plan::Context& context_;
+  const plan::PlanningContext& context_;
   blocks::Lending lending_;
   async::Scope* term_ = nullptr;
   std::map<std::string, Link> links_;               // to all other nodes of the settings
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -39,7 +39,7 @@
 
   const NodeServices& services_;
   blocks::MachineMirror machines_;
-  plan::Context context_;
+  plan::PlanningContext context_;
   RoundTrigger trigger_;
   TransactionCommitter committer_;
   double planning_s_ = 0;  // how long the last round took to plan
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -27,8 +27,8 @@
   return options;
 }
 
-plan::Context ContextOf(const NodeServices& services) {
-  plan::Context context;
+plan::PlanningContext ContextOf(const NodeServices& services) {
+  plan::PlanningContext context;
   context.settings = services.settings;
   context.operators = services.operators;
   return context;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -52,7 +52,7 @@
 
   const NodeServices& services_;
   fleet::WorkerRegistry registry_;
-  plan::Context context_;
+  plan::PlanningContext context_;
   RoundTrigger trigger_;
   CommandSource commands_;
   CommandDispatcher dispatcher_;
--- a/src/controller/round_runner.h
+++ b/src/controller/round_runner.h
@@ -27,7 +27,7 @@
   // The other parts of the leader, which must outlive this.
   struct Parts {
     fleet::WorkerRegistry& registry;
-    plan::Context& context;
+    plan::PlanningContext& context;
     CommandSource& commands;
     CommandDispatcher& dispatcher;
     ScalingLoop& scaling;
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -55,7 +55,7 @@
 }  // namespace
 
 ScalingLoop::ScalingLoop(const NodeServices& services, fleet::WorkerRegistry& registry,
-                         plan::Context& context, RoundTrigger& trigger)
+                         plan::PlanningContext& context, RoundTrigger& trigger)
     : services_(services),
       registry_(registry),
       context_(context),
--- a/src/controller/scaling_loop.h
+++ b/src/controller/scaling_loop.h
@@ -26,8 +26,8 @@
   static constexpr size_t kReturnsPerCall = 100;
 
   // All references must outlive this. `context`: gets the machine types with their spot prices.
-  ScalingLoop(const NodeServices& services, fleet::WorkerRegistry& registry, plan::Context& context,
-              RoundTrigger& trigger);
+  ScalingLoop(const NodeServices& services, fleet::WorkerRegistry& registry,
+              plan::PlanningContext& context, RoundTrigger& trigger);
 
   // The routine of a term; ends with the scope, or once the lead is given up.
   async::Task<> Run(async::Scope& term);
@@ -56,7 +56,7 @@
 
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
-  plan::Context& context_;
+  plan::PlanningContext& context_;
   RoundTrigger& trigger_;
   fleet::Autoscaler autoscaler_;
   net::HttpClient cloud_;
--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -36,7 +36,7 @@
   for (const plan::CapacityDemand& demand : demands) {
     DemandClass key{{}, demand.zone, demand.spot};
     for (const auto& choice : demand.choices) {
-      key.choices += choice.machine_type + "*" + std::to_string(choice.fit) + " ";
+      key.choices += choice.machine_type + "*" + std::to_string(choice.tasks_per_machine) + " ";
     }
     auto [entry, is_new] = pools.try_emplace(std::move(key), DemandPool{&demand, 0});
     entry->second.tasks += static_cast<double>(demand.tasks) * (1 + operator_options_.headroom);
@@ -106,7 +106,7 @@
         if (type == nullptr) continue;
         const std::vector<Offer> offers =
             AvailableOffers(*type, *pool.example, spot, requested, now);
-        auto requests = BuildRequests(offers, static_cast<double>(choice.fit), token,
+        auto requests = BuildRequests(offers, static_cast<double>(choice.tasks_per_machine), token,
                                       max_requests - out.size(), pool);
         std::move(requests.begin(), requests.end(), std::back_inserter(out));
         requested.insert(offers.begin(), offers.end());
@@ -168,7 +168,8 @@
 }
 
 std::map<std::string, double> Autoscaler::BootDeadlines(const WorkerRegistry& registry,
-                                                        const plan::Context& context, double now) {
+                                                        const plan::PlanningContext& context,
+                                                        double now) {
   std::map<std::string, double> deadlines;
   for (const model::MachineType& type : context.machine_types) {
     const size_t late = registry.CountBooting(type, now).late;
@@ -224,7 +225,7 @@
 
 bool Autoscaler::MarkMachinesForTermination(WorkerRegistry& registry,
                                             const jobs::JobTable& job_table,
-                                            const plan::Context& context, bool has_demand,
+                                            const plan::PlanningContext& context, bool has_demand,
                                             double now) const {
   FleetSummary summary = Summarize(registry, job_table, now);
   std::map<std::string, double> boot_deadlines = BootDeadlines(registry, context, now);
--- a/src/fleet/autoscaler.h
+++ b/src/fleet/autoscaler.h
@@ -51,7 +51,8 @@
   // are slow or are idle. `has_demand`: the last round needs more machines, so idle ones are kept.
   // Returns false if so many machines are silent that this controller is probably cut off.
   bool MarkMachinesForTermination(WorkerRegistry& registry, const jobs::JobTable& job_table,
-                                  const plan::Context& context, bool has_demand, double now) const;
+                                  const plan::PlanningContext& context, bool has_demand,
+                                  double now) const;
 
  private:
   // A machine type, zone and price model that the cloud may or may not have capacity for.
@@ -116,7 +117,8 @@
                                 double now);
   // Returns the ages in seconds at which to give up on a booting machine, by machine type.
   static std::map<std::string, double> BootDeadlines(const WorkerRegistry& registry,
-                                                     const plan::Context& context, double now);
+                                                     const plan::PlanningContext& context,
+                                                     double now);
   // True if a machine is silent and probably dead, so that waiting for it is not worthwhile.
   bool IsPresumedDead(const WorkerRegistry& registry, const Machine& machine,
                       const FleetSummary& summary, double now) const;
--- a/src/plan/capacity_demand.cc
+++ b/src/plan/capacity_demand.cc
@@ -18,13 +18,16 @@
 };
 
 double TasksPerMachine(const model::JobSpec& spec, const model::MachineType& machine_type) {
-  double fit = kMaxTasksPerMachine;
-  if (spec.cpus > 0) fit = std::min(fit, WholeQuotient(machine_type.cpus, spec.cpus));
-  if (spec.gpus > 0) fit = std::min(fit, WholeQuotient(machine_type.gpus, spec.gpus));
+  double tasks_per_machine = kMaxTasksPerMachine;
+  if (spec.cpus > 0)
+    tasks_per_machine = std::min(tasks_per_machine, WholeQuotient(machine_type.cpus, spec.cpus));
+  if (spec.gpus > 0)
+    tasks_per_machine = std::min(tasks_per_machine, WholeQuotient(machine_type.gpus, spec.gpus));
   if (spec.memory_gb > 0) {
-    fit = std::min(fit, WholeQuotient(machine_type.memory_gb, spec.memory_gb));
+    tasks_per_machine =
+        std::min(tasks_per_machine, WholeQuotient(machine_type.memory_gb, spec.memory_gb));
   }
-  return fit;
+  return tasks_per_machine;
 }
 
 }  // namespace
@@ -36,9 +39,10 @@
   for (const model::MachineType& machine_type : machine_types) {
     if (!spec.AllowsMachineType(machine_type.name)) continue;
     if (!CapacityOf(machine_type).Fits(need)) continue;
-    const double fit = TasksPerMachine(spec, machine_type);
-    const double price = (spec.spot ? machine_type.spot_price : machine_type.price) / fit;
-    priced.push_back({price, {machine_type.name, static_cast<size_t>(fit)}});
+    const double tasks_per_machine = TasksPerMachine(spec, machine_type);
+    const double price =
+        (spec.spot ? machine_type.spot_price : machine_type.price) / tasks_per_machine;
+    priced.push_back({price, {machine_type.name, static_cast<size_t>(tasks_per_machine)}});
   }
   if (priced.empty()) return std::nullopt;
   std::sort(priced.begin(), priced.end(), [](const PricedChoice& left, const PricedChoice& right) {
@@ -58,7 +62,7 @@
 }
 
 std::vector<CapacityDemand> DemandForUnmapped(const JobQueue& queue, size_t first,
-                                              const Context& context, double total_cpus) {
+                                              const PlanningContext& context, double total_cpus) {
   double work_s = 0;
   for (size_t i = first; i < queue.jobs.size(); ++i) {
     const QueuedJob& queued = queue.jobs[i];
--- a/src/plan/capacity_demand.h
+++ b/src/plan/capacity_demand.h
@@ -7,8 +7,8 @@
 
 #include "model/job.h"
 #include "model/machine_type.h"
-#include "plan/context.h"
 #include "plan/job_queue.h"
+#include "plan/planning_context.h"
 #include "plan/round_result.h"
 
 namespace hallpier::plan {
@@ -26,6 +26,6 @@
 // complete them by the time that new machines are up, and never more than their tasks could use at
 // once. `total_cpus`: of the machines that are there or booting.
 std::vector<CapacityDemand> DemandForUnmapped(const JobQueue& queue, size_t first,
-                                              const Context& context, double total_cpus);
+                                              const PlanningContext& context, double total_cpus);
 
 }  // namespace hallpier::plan
--- a/src/plan/job_order.h
+++ b/src/plan/job_order.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "jobs/job_table.h"
-#include "plan/context.h"
+#include "plan/planning_context.h"
 
 namespace hallpier::plan {
 
@@ -14,7 +14,7 @@
 class JobOrder {
  public:
   // `time_of_day`: what submissions are stamped with, seconds.
-  JobOrder(const Context& context, double time_of_day)
+  JobOrder(const PlanningContext& context, double time_of_day)
       : context_(context), time_of_day_(time_of_day) {}
 
   // The job's tier; the smallest is served first. `within_guarantee`: the job is within what its
@@ -32,7 +32,7 @@
   // to be served like those that can.
   bool HasMissedObjectives(const jobs::Job& job, double run_s) const;
 
-  const Context& context_;
+  const PlanningContext& context_;
   const double time_of_day_;
 };
 
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -19,9 +19,9 @@
                   const std::vector<const jobs::Job*>& jobs)
       : input_(input),
         order_(order),
-        quotas_(input.IsSingleHolder() ? TeamQuotas::OfAllowances(input.scope->team_allowances)
-                                       : TeamQuotas::OfLimits(input.context.settings->teams, jobs,
-                                                              machines.ended_by_team)),
+        quotas_(input.IsSingleHolder() ? TeamQuotas::FromAllowances(input.scope->team_allowances)
+                                       : TeamQuotas::FromTeamLimits(input.context.settings->teams,
+                                                                    jobs, machines.ended_by_team)),
         starvation_(input, machines.total_cpus),
         retries_(input.registry.failure_tracker(), input.now, machines.total_cpus) {
     for (const jobs::Job* job : jobs) {
@@ -67,7 +67,7 @@
     for (QueuedJob& queued : queue_.jobs) {
       const model::JobSpec& spec = queued.job->spec;
       const size_t admitted = quotas_.Admit(spec, queued.tasks);
-      if (admitted < queued.tasks) queue_.first_over_quota.try_emplace(spec.team, spec.id);
+      if (admitted < queued.tasks) queue_.first_job_over_quota.try_emplace(spec.team, spec.id);
       queued.tasks = admitted;
       queue_.waiting_tasks += admitted;
     }
--- a/src/plan/job_queue.h
+++ b/src/plan/job_queue.h
@@ -38,7 +38,7 @@
   std::unordered_set<const jobs::Job*> guaranteed;  // within their teams' guarantees
   size_t waiting_tasks = 0;                         // of all queued jobs
   // By team, the first job of which the team's quota keeps tasks out.
-  std::map<std::string, std::string> first_over_quota;
+  std::map<std::string, std::string> first_job_over_quota;
 };
 
 // All unfinished jobs, oldest first.
--- a/src/plan/latency_reservation.cc
+++ b/src/plan/latency_reservation.cc
@@ -24,21 +24,21 @@
 
 }  // namespace
 
-void LearnLatencySensitiveClass(Context& context, const jobs::Job& job) {
+void LearnLatencySensitiveClass(PlanningContext& context, const jobs::Job& job) {
   if (job.spec.priority > model::Priority::kUrgent) return;
   for (const config::Objective& objective : context.settings->objectives) {
     if (!IsLatencySensitive(objective, job, *context.settings)) continue;
-    auto [entry, is_new] = context.latency_sensitive.try_emplace(job.spec.job_class);
-    Context::LatencySensitiveClass& job_class = entry->second;
+    auto [entry, is_new] = context.latency_sensitive_classes.try_emplace(job.spec.job_class);
+    PlanningContext::LatencySensitiveClass& job_class = entry->second;
     const double tasks = job.spec.tasks;
     job_class.need = RequirementOf(job.spec);
     job_class.tasks += (is_new ? 1 : kSizeLearningRate) * (tasks - job_class.tasks);
   }
 }
 
-void ReserveForLatencySensitive(const Context& context, double total_cpus,
-                                std::vector<MachineSlots>& slots) {
-  for (const auto& [name, job_class] : context.latency_sensitive) {
+void ReserveForLatencySensitive(const PlanningContext& context, double total_cpus,
+                                std::vector<MachineAvailability>& slots) {
+  for (const auto& [name, job_class] : context.latency_sensitive_classes) {
     if (job_class.need.cpus <= 0) continue;
     const double most = context.operators->urgent_reserve * total_cpus / job_class.need.cpus;
     TaskClass reservation;
--- a/src/plan/latency_reservation.h
+++ b/src/plan/latency_reservation.h
@@ -6,18 +6,18 @@
 #include <vector>
 
 #include "jobs/job_table.h"
-#include "plan/context.h"
-#include "plan/duplex.h"
+#include "plan/planning_context.h"
+#include "plan/task_mapping.h"
 
 namespace hallpier::plan {
 
 // Learns from an unfinished job if its class is latency-sensitive: urgent work whose tasks are to
 // start within a few heartbeat intervals.
-void LearnLatencySensitiveClass(Context& context, const jobs::Job& job);
+void LearnLatencySensitiveClass(PlanningContext& context, const jobs::Job& job);
 
 // Reserves slots for a few jobs of each latency-sensitive class, within the operators' share of
 // `total_cpus`.
-void ReserveForLatencySensitive(const Context& context, double total_cpus,
-                                std::vector<MachineSlots>& slots);
+void ReserveForLatencySensitive(const PlanningContext& context, double total_cpus,
+                                std::vector<MachineAvailability>& slots);
 
 }  // namespace hallpier::plan
--- a/src/plan/context.cc
+++ b/src/plan/planning_context.cc
@@ -1,4 +1,4 @@
-#include "plan/context.h"
+#include "plan/planning_context.h"
 
 #include <algorithm>
 
@@ -6,15 +6,15 @@
 
 namespace hallpier::plan {
 
-const model::MachineType* Context::FindMachineType(const std::string& name) const {
+const model::MachineType* PlanningContext::FindMachineType(const std::string& name) const {
   return model::FindMachineType(machine_types, name);
 }
 
-double ReactionTime(const Context& context) {
+double ReactionTime(const PlanningContext& context) {
   return config::ReactionTimeS(*context.settings, *context.operators);
 }
 
-double LongestBootTime(const Context& context) {
+double LongestBootTime(const PlanningContext& context) {
   double boot_s = context.settings->heartbeat_interval_s;
   for (const model::MachineType& machine_type : context.machine_types) {
     boot_s = std::max(boot_s, machine_type.boot_s);
--- a/src/plan/context.h
+++ b/src/plan/planning_context.h
@@ -13,7 +13,7 @@
 
 namespace hallpier::plan {
 
-struct Context {
+struct PlanningContext {
   // A job class whose service-level objective is to start at once, as learned from its jobs.
   struct LatencySensitiveClass {
     Resources need;    // of one task of the newest job
@@ -23,17 +23,17 @@
   const config::Settings* settings = nullptr;          // never null in a round
   const config::OperatorOptions* operators = nullptr;  // never null in a round
   std::vector<model::MachineType> machine_types;
-  std::map<std::string, LatencySensitiveClass> latency_sensitive;  // by job class
+  std::map<std::string, LatencySensitiveClass> latency_sensitive_classes;  // by job class
 
   // Null if the cloud offers no type of that name.
   const model::MachineType* FindMachineType(const std::string& name) const;
 };
 
 // Seconds until a change on a machine is known and answered.
-double ReactionTime(const Context& context);
+double ReactionTime(const PlanningContext& context);
 
 // Seconds that a new machine takes until it is up, whatever its type: the longest nominal boot
 // time, and never less than a heartbeat interval.
-double LongestBootTime(const Context& context);
+double LongestBootTime(const PlanningContext& context);
 
 }  // namespace hallpier::plan
--- a/src/plan/preemption.cc
+++ b/src/plan/preemption.cc
@@ -134,12 +134,12 @@
   stops_.clear();
   if (task_class.run_s[machine] < 0) return std::nullopt;
   // What is to start at once does not wait for a checkpoint.
-  const bool latency_sensitive =
-      input_.context.latency_sensitive.contains(queued.job->spec.job_class);
+  const bool latency_sensitive_classes =
+      input_.context.latency_sensitive_classes.contains(queued.job->spec.job_class);
   for (Victim& victim : VictimsOn(machine)) {
     if (victim.stopped || !IsVictimFor(queued, victim)) continue;
     const model::JobSpec& spec = victim.job->spec;
-    const bool saves = spec.checkpoint_every_s > 0 && !latency_sensitive;
+    const bool saves = spec.checkpoint_every_s > 0 && !latency_sensitive_classes;
     const double grace_s = saves ? spec.checkpoint_s : 0;
     stops_.push_back({&victim, LostWork(spec, victim.ran_s, grace_s), grace_s});
   }
--- a/src/plan/preemption.h
+++ b/src/plan/preemption.h
@@ -9,13 +9,13 @@
 #include <optional>
 #include <vector>
 
-#include "plan/duplex.h"
 #include "plan/job_order.h"
 #include "plan/job_queue.h"
 #include "plan/resources.h"
 #include "plan/round_input.h"
 #include "plan/round_machines.h"
 #include "plan/round_result.h"
+#include "plan/task_mapping.h"
 
 namespace hallpier::plan {
 
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -9,7 +9,6 @@
 #include <vector>
 
 #include "plan/capacity_demand.h"
-#include "plan/duplex.h"
 #include "plan/job_order.h"
 #include "plan/job_queue.h"
 #include "plan/latency_reservation.h"
@@ -18,6 +17,7 @@
 #include "plan/round_machines.h"
 #include "plan/spot_eviction.h"
 #include "plan/task_classes.h"
+#include "plan/task_mapping.h"
 #include "store/task_group.h"
 
 namespace hallpier::plan {
@@ -49,7 +49,7 @@
     if (input_.scope != nullptr) result_.planned_by_holder.resize(input_.scope->holder_count);
     if (!input_.IsSingleHolder()) result_.preemptions = EvictFromReclaimedMachines(input_);
     result_.waiting_tasks = queue_.waiting_tasks;
-    result_.first_over_quota = std::move(queue_.first_over_quota);
+    result_.first_job_over_quota = std::move(queue_.first_job_over_quota);
   }
 
   RoundResult Run() {
@@ -87,7 +87,7 @@
     for (size_t i = begin; i < end; ++i) {
       classes.push_back(task_classes_.Build(queue_.jobs[i]));
     }
-    const Mapping mapping = Duplex(classes, machines_.slots, limit);
+    const Mapping mapping = MapTasksDuplex(classes, machines_.slots, limit);
     std::vector<MappedJob> mapped(classes.size());
     for (const Assignment& assignment : mapping.assignments) {
       const QueuedJob& queued = queue_.jobs[begin + assignment.task_class];
@@ -174,7 +174,7 @@
   return std::max(kLeastTasks, store::TasksPerTextGroup(settings.value_kb) * writes);
 }
 
-RoundResult PlanRound(Context& context, const jobs::JobTable& job_table,
+RoundResult PlanRound(PlanningContext& context, const jobs::JobTable& job_table,
                       const fleet::WorkerRegistry& registry, double now, double time_of_day,
                       const PlacementScope* scope) {
   const std::vector<const jobs::Job*> jobs = JobsByAge(job_table);
--- a/src/plan/round.h
+++ b/src/plan/round.h
@@ -8,8 +8,8 @@
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
 #include "jobs/job_table.h"
-#include "plan/context.h"
 #include "plan/placement_scope.h"
+#include "plan/planning_context.h"
 #include "plan/round_result.h"
 
 namespace hallpier::plan {
@@ -20,7 +20,7 @@
 // Plans one round. `context`: what latency-sensitive job classes need is learned there. `now`:
 // steady time; `time_of_day`: what submissions are stamped with; both in seconds. `scope`: null
 // where machines are not divided.
-RoundResult PlanRound(Context& context, const jobs::JobTable& job_table,
+RoundResult PlanRound(PlanningContext& context, const jobs::JobTable& job_table,
                       const fleet::WorkerRegistry& registry, double now, double time_of_day,
                       const PlacementScope* scope = nullptr);
 
--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -4,13 +4,13 @@
 
 #include "fleet/worker_registry.h"
 #include "jobs/job_table.h"
-#include "plan/context.h"
 #include "plan/placement_scope.h"
+#include "plan/planning_context.h"
 
 namespace hallpier::plan {
 
 struct RoundInput {
-  const Context& context;
+  const PlanningContext& context;
   const jobs::JobTable& job_table;
   const fleet::WorkerRegistry& registry;
   double now = 0;                         // steady time, seconds
--- a/src/plan/round_machines.h
+++ b/src/plan/round_machines.h
@@ -9,9 +9,9 @@
 
 #include "fleet/worker_registry.h"
 #include "model/machine_type.h"
-#include "plan/duplex.h"
 #include "plan/resources.h"
 #include "plan/round_input.h"
+#include "plan/task_mapping.h"
 
 namespace hallpier::plan {
 
@@ -34,7 +34,7 @@
   std::vector<const fleet::Machine*> machines;
   std::vector<const model::MachineType*> machine_types;
   std::vector<size_t> holders;  // 0 where machines are not divided
-  std::vector<MachineSlots> slots;
+  std::vector<MachineAvailability> slots;
   ZoneNumbers zones;
   double total_cpus = 0;
   // By team: recorded as placed, but reported as done.
--- a/src/plan/round_result.h
+++ b/src/plan/round_result.h
@@ -18,7 +18,7 @@
 struct CapacityDemand {
   struct Choice {
     std::string machine_type;
-    size_t fit = 1;  // tasks that a machine of the type holds
+    size_t tasks_per_machine = 1;  // tasks that a machine of the type holds
   };
   std::vector<Choice> choices;  // cheapest per task first
   std::string zone;             // empty: any
@@ -46,7 +46,7 @@
   // With a scope, by holder and team: what the mapping places there, now or once it is free.
   std::vector<std::map<std::string, Resources>> planned_by_holder;
   // By team, the first job in the order of which the team's quota keeps tasks waiting.
-  std::map<std::string, std::string> first_over_quota;
+  std::map<std::string, std::string> first_job_over_quota;
 };
 
 }  // namespace hallpier::plan
--- a/src/plan/task_classes.h
+++ b/src/plan/task_classes.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "plan/duplex.h"
 #include "plan/job_queue.h"
 #include "plan/round_input.h"
 #include "plan/round_machines.h"
+#include "plan/task_mapping.h"
 
 namespace hallpier::plan {
 
--- a/src/plan/duplex.cc
+++ b/src/plan/task_mapping.cc
@@ -1,4 +1,4 @@
-#include "plan/duplex.h"
+#include "plan/task_mapping.h"
 
 #include <algorithm>
 #include <cmath>
@@ -42,7 +42,7 @@
 // the top of the heap again, not every machine.
 class CandidateHeap {
  public:
-  CandidateHeap(const TaskClass& task_class, const std::vector<MachineSlots>& machines)
+  CandidateHeap(const TaskClass& task_class, const std::vector<MachineAvailability>& machines)
       : task_class_(task_class),
         machines_(machines),
         tasks_left_(task_class.count),
@@ -118,7 +118,7 @@
   }
 
   const TaskClass& task_class_;
-  const std::vector<MachineSlots>& machines_;
+  const std::vector<MachineAvailability>& machines_;
   size_t tasks_left_;
   std::optional<size_t> fixed_zone_;
   std::vector<size_t> zone_allowance_;
@@ -155,14 +155,15 @@
   snapshots_.push_back({machine, timeline});
 }
 
-void TimelineUndoLog::Exchange(std::vector<MachineSlots>& machines) {
+void TimelineUndoLog::Exchange(std::vector<MachineAvailability>& machines) {
   for (Snapshot& snapshot : snapshots_) {
     std::swap(machines[snapshot.machine].timeline, snapshot.timeline);
   }
 }
 
 Mapping MapTasks(MappingOrder order, const std::vector<TaskClass>& classes,
-                 std::vector<MachineSlots>& machines, size_t limit, TimelineUndoLog* undo_log) {
+                 std::vector<MachineAvailability>& machines, size_t limit,
+                 TimelineUndoLog* undo_log) {
   std::vector<CandidateHeap> heaps;
   heaps.reserve(classes.size());
   for (const TaskClass& task_class : classes) heaps.emplace_back(task_class, machines);
@@ -190,8 +191,8 @@
   return mapping;
 }
 
-Mapping Duplex(const std::vector<TaskClass>& classes, std::vector<MachineSlots>& machines,
-               size_t limit) {
+Mapping MapTasksDuplex(const std::vector<TaskClass>& classes,
+                       std::vector<MachineAvailability>& machines, size_t limit) {
   // Tasks that are all alike leave nothing to order.
   if (classes.size() == 1) return MapTasks(MappingOrder::kMinMin, classes, machines, limit);
   TimelineUndoLog min_min_log(machines.size());
--- a/src/plan/duplex.h
+++ b/src/plan/task_mapping.h
@@ -13,7 +13,7 @@
 namespace hallpier::plan {
 
 // The bin that tasks are packed into: one machine, with what is free there over time.
-struct MachineSlots {
+struct MachineAvailability {
   ResourceTimeline timeline;
   size_t zone = 0;
 };
@@ -59,7 +59,7 @@
   void Save(size_t machine, const ResourceTimeline& timeline);
   // Exchanges the saved timelines and those of the machines: called once it undoes the mapping,
   // called again it redoes it.
-  void Exchange(std::vector<MachineSlots>& machines);
+  void Exchange(std::vector<MachineAvailability>& machines);
 
  private:
   struct Snapshot {
@@ -73,12 +73,12 @@
 // Maps at most `limit` tasks in one order and reserves their resources. What does not fit anywhere
 // stays out. `undo_log`: gets what is needed to undo the mapping; null: it is not undone.
 Mapping MapTasks(MappingOrder order, const std::vector<TaskClass>& classes,
-                 std::vector<MachineSlots>& machines, size_t limit,
+                 std::vector<MachineAvailability>& machines, size_t limit,
                  TimelineUndoLog* undo_log = nullptr);
 
 // Maps in both orders and keeps the mapping that serves more tasks or, if both serve as many, the
 // one of less cost. `machines` is left as that mapping has it.
-Mapping Duplex(const std::vector<TaskClass>& classes, std::vector<MachineSlots>& machines,
-               size_t limit);
+Mapping MapTasksDuplex(const std::vector<TaskClass>& classes,
+                       std::vector<MachineAvailability>& machines, size_t limit);
 
 }  // namespace hallpier::plan
--- a/src/plan/team_quota.cc
+++ b/src/plan/team_quota.cc
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-TeamQuotas TeamQuotas::OfLimits(const std::vector<config::Team>& teams,
-                                const std::vector<const jobs::Job*>& jobs,
-                                const std::map<std::string, Resources>& ended_by_team) {
+TeamQuotas TeamQuotas::FromTeamLimits(const std::vector<config::Team>& teams,
+                                      const std::vector<const jobs::Job*>& jobs,
+                                      const std::map<std::string, Resources>& ended_by_team) {
   TeamQuotas quotas;
   for (const config::Team& team : teams) {
     Account& account = quotas.accounts_[team.name];
@@ -36,7 +36,7 @@
   return quotas;
 }
 
-TeamQuotas TeamQuotas::OfAllowances(const std::map<std::string, Resources>& allowances) {
+TeamQuotas TeamQuotas::FromAllowances(const std::map<std::string, Resources>& allowances) {
   TeamQuotas quotas;
   for (const auto& [team, resources] : allowances) {
     quotas.accounts_[team].cpus_left = resources.cpus;
--- a/src/plan/team_quota.h
+++ b/src/plan/team_quota.h
@@ -18,11 +18,11 @@
  public:
   // The teams' limits, less all that is placed. `jobs`: all unfinished ones. `ended_by_team`: what
   // is recorded as placed although its tasks are done.
-  static TeamQuotas OfLimits(const std::vector<config::Team>& teams,
-                             const std::vector<const jobs::Job*>& jobs,
-                             const std::map<std::string, Resources>& ended_by_team);
+  static TeamQuotas FromTeamLimits(const std::vector<config::Team>& teams,
+                                   const std::vector<const jobs::Job*>& jobs,
+                                   const std::map<std::string, Resources>& ended_by_team);
   // What is left of each team's share of a holder. A team that is not named has no limit.
-  static TeamQuotas OfAllowances(const std::map<std::string, Resources>& allowances);
+  static TeamQuotas FromAllowances(const std::map<std::string, Resources>& allowances);
 
   // Charges the unfinished tasks of a job to its team's guarantee; jobs are charged oldest first.
   // True if all that is charged so far, this job included, is within the guarantee. `team`: null if
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -40,7 +40,7 @@
   jobs::JobTable job_table_;
   WorkerRegistry registry_;
   Autoscaler autoscaler_{settings_, operators_};
-  plan::Context context_;
+  plan::PlanningContext context_;
 };
 
 // Two recorded days: a leader lost contact with its workers, and terminated one machine after the
--- a/tests/capacity_demand_test.cc
+++ b/tests/capacity_demand_test.cc
@@ -25,8 +25,8 @@
   ASSERT_TRUE(demand);
   ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit two processors";
   EXPECT_EQ(demand->choices[0].machine_type, "c8");
-  EXPECT_EQ(demand->choices[0].fit, 2U);
-  EXPECT_EQ(demand->choices[1].fit, 4U);
+  EXPECT_EQ(demand->choices[0].tasks_per_machine, 2U);
+  EXPECT_EQ(demand->choices[1].tasks_per_machine, 4U);
   EXPECT_EQ(demand->tasks, 7U);
   EXPECT_FALSE(DemandFor(Spec("run-2", 10, 32), 7, types));
 }
@@ -39,7 +39,7 @@
 
 TEST(CapacityDemand, OfWhatNoRoundLookedAtIsThePartThatMachinesCannotDoInTime) {
   const config::Settings settings = SettingsOf();
-  Context context;
+  PlanningContext context;
   context.settings = &settings;
   context.machine_types = {MachineTypeOf("c4", 4)};
   jobs::JobTable job_table(64);
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -35,7 +35,7 @@
   config::Settings settings_;
   config::OperatorOptions operators_;
   jobs::JobTable job_table_;
-  Context context_;
+  PlanningContext context_;
 };
 
 TEST_F(JobOrderTest, PriorityComesFirstAndAGuaranteeWithinIt) {
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -113,7 +113,7 @@
 
   config::Settings settings_;
   config::OperatorOptions operators_;
-  plan::Context context_;
+  plan::PlanningContext context_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
   const size_t count_;
--- a/tests/round_fixture.h
+++ b/tests/round_fixture.h
@@ -13,7 +13,7 @@
 #include "jobs/job_table.h"
 #include "model/heartbeat.h"
 #include "model/task.h"
-#include "plan/context.h"
+#include "plan/planning_context.h"
 #include "plan/round.h"
 
 namespace hallpier::testing_support {
@@ -49,7 +49,7 @@
   config::OperatorOptions operators_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
-  plan::Context context_;
+  plan::PlanningContext context_;
 };
 
 }  // namespace hallpier::testing_support
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -152,7 +152,7 @@
     size_t followed = 0;  // changes of the store
     // Rounds.
     std::unique_ptr<blocks::MachineMirror> mirror;
-    plan::Context context;
+    plan::PlanningContext context;
     bool busy = false;  // a transaction is under way
     std::deque<jobs::Transaction> queue;
     std::deque<jobs::Transaction> unanswered;
--- a/tests/task_classes_test.cc
+++ b/tests/task_classes_test.cc
@@ -57,7 +57,7 @@
   ASSERT_EQ(r.demands.size(), 1U);
   EXPECT_EQ(r.demands[0].zone, "b");
   EXPECT_EQ(r.demands[0].tasks, 8U);
-  EXPECT_EQ(r.demands[0].choices[0].fit, 4U);
+  EXPECT_EQ(r.demands[0].choices[0].tasks_per_machine, 4U);
 }
 
 }  // namespace
--- a/tests/duplex_test.cc
+++ b/tests/task_mapping_test.cc
@@ -1,5 +1,5 @@
 // The mapping of task classes to machines: min-min, min-max and Duplex.
-#include "plan/duplex.h"
+#include "plan/task_mapping.h"
 
 #include <gtest/gtest.h>
 
@@ -18,8 +18,8 @@
   return c;
 }
 
-std::vector<MachineSlots> Machines(const std::vector<double>& cpus) {
-  std::vector<MachineSlots> out;
+std::vector<MachineAvailability> Machines(const std::vector<double>& cpus) {
+  std::vector<MachineAvailability> out;
   out.reserve(cpus.size());
   for (double c : cpus) out.push_back({ResourceTimeline(Resources{c, 0, 100}), 0});
   return out;
@@ -27,13 +27,13 @@
 
 // One slot, tasks of 1 and 10 seconds. Min-min: 1 then 10 (delays 0 + 1); min-max: 10 then 1
 // (delays 0 + 10). Run times add up to 11 either way.
-TEST(Duplex, PrefersMinMinWhereShortOnesGoFirst) {
+TEST(MapTasksDuplex, PrefersMinMinWhereShortOnesGoFirst) {
   auto machines = Machines({1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {1}), ClassOf(1, 1, {10})};
   auto a = machines, b = machines;
   EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 12);
   EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 21);
-  Mapping map = Duplex(classes, machines, 10);
+  Mapping map = MapTasksDuplex(classes, machines, 10);
   EXPECT_DOUBLE_EQ(map.cost, 12);
   EXPECT_EQ(map.assignments[0].task_class, 0U);
 }
@@ -41,28 +41,28 @@
 // A fast and a slow machine. The short task takes 2 s on either; the long one 3 s on the fast and
 // 30 s on the slow. Min-min gives the fast one to the short task: 2 + (3 run + 2 delay) = 7.
 // Min-max gives it to the long one, the short one goes to the slow machine: 3 + 2 = 5.
-TEST(Duplex, PrefersMinMaxWhereTheLongOneNeedsTheFastMachine) {
+TEST(MapTasksDuplex, PrefersMinMaxWhereTheLongOneNeedsTheFastMachine) {
   auto machines = Machines({1, 1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {2, 2}), ClassOf(1, 1, {3, 30})};
   auto a = machines, b = machines;
   EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 7);
   EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 5);
-  EXPECT_DOUBLE_EQ(Duplex(classes, machines, 10).cost, 5);
+  EXPECT_DOUBLE_EQ(MapTasksDuplex(classes, machines, 10).cost, 5);
 }
 
-TEST(Duplex, KeepsZonesTogetherOrApart) {
-  std::vector<MachineSlots> machines = Machines({2, 2});
+TEST(MapTasksDuplex, KeepsZonesTogetherOrApart) {
+  std::vector<MachineAvailability> machines = Machines({2, 2});
   machines[1].zone = 1;
   TaskClass together = ClassOf(1, 3, {5, 5});
   together.one_zone = true;
   auto m = machines;
-  Mapping map = Duplex({together}, m, 10);
+  Mapping map = MapTasksDuplex({together}, m, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
   for (const auto& a : map.assignments) EXPECT_EQ(a.machine, map.assignments[0].machine);
   TaskClass apart = ClassOf(1, 3, {5, 5});
   apart.zone_allowance = {1, 2};
   m = machines;
-  map = Duplex({apart}, m, 10);
+  map = MapTasksDuplex({apart}, m, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
   EXPECT_EQ(std::count_if(map.assignments.begin(), map.assignments.end(),
                           [](const Assignment& a) { return a.machine == 0; }),
@@ -70,13 +70,13 @@
 }
 
 // Whole machines come free only if tasks gather where others run for as long anyway.
-TEST(Duplex, PacksOntoTheMachineThatIsInUseAnyway) {
+TEST(MapTasksDuplex, PacksOntoTheMachineThatIsInUseAnyway) {
   auto machines = Machines({4, 4, 4});
   machines[1].timeline.Reserve(0, 10, {2, 0, 1});
   machines[2].timeline.Reserve(0, 100, {1, 0, 1});
   TaskClass packed = ClassOf(1, 1, {50, 50, 50});
   packed.pack = true;
-  Mapping map = Duplex({packed}, machines, 10);
+  Mapping map = MapTasksDuplex({packed}, machines, 10);
   ASSERT_EQ(map.assignments.size(), 1U);
   EXPECT_EQ(map.assignments[0].machine, 2U);
 }
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -95,7 +95,7 @@
 }
 
 TEST(TeamQuotas, AdmitsWholeTasksUntilTheQuotaIsUsedUp) {
-  TeamQuotas quotas = TeamQuotas::OfAllowances({{"team", {1, 0, 0}}});
+  TeamQuotas quotas = TeamQuotas::FromAllowances({{"team", {1, 0, 0}}});
   const model::JobSpec spec = Spec("run-1", 100, 0.1);
   EXPECT_EQ(quotas.Admit(spec, 3), 3U);
   EXPECT_EQ(quotas.Admit(spec, 100), 7U) << "ten times 0.1 is the whole quota";
@@ -110,10 +110,10 @@
   PutJob(job_table, Spec("run-1", 3));
   PutJob(job_table, Spec("run-2", 2));
   const config::Team team{"team", 4, 0, 0, 0};
-  TeamQuotas quotas = TeamQuotas::OfLimits({team}, {}, {});
+  TeamQuotas quotas = TeamQuotas::FromTeamLimits({team}, {}, {});
   EXPECT_TRUE(quotas.ChargeGuarantee(*job_table.Find("run-1"), &team));
   EXPECT_FALSE(quotas.ChargeGuarantee(*job_table.Find("run-2"), &team));
-  TeamQuotas without = TeamQuotas::OfLimits({}, {}, {});
+  TeamQuotas without = TeamQuotas::FromTeamLimits({}, {}, {});
   EXPECT_FALSE(without.ChargeGuarantee(*job_table.Find("run-1"), nullptr));
 }
 
