--- a/src/plan/capacity_demand.cc
+++ b/src/plan/capacity_demand.cc
@@ -9,7 +9,7 @@
 namespace hallpier::plan {
 namespace {
 
-// Tasks that need next to nothing still take a slot each.
+// Limits the tasks of one machine if they require hardly any resources.
 constexpr double kMaxTasksPerMachine = 1e6;
 
 struct PricedChoice {
--- a/src/plan/capacity_demand.h
+++ b/src/plan/capacity_demand.h
@@ -1,4 +1,5 @@
-// What tasks that wait need new machines for: input of the autoscaler. Pure functions.
+// Computes the demand of waiting tasks for new machines, which is the autoscaler's input. Pure
+// functions.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +14,19 @@
 
 namespace hallpier::plan {
 
-// Machines that could take `tasks` tasks of the job, cheapest per task first; nothing if no type
-// can.
+// Returns the demand of `tasks` tasks of a job, with the suitable machine types sorted by price per
+// task, cheapest first. Returns std::nullopt if no machine type can run the tasks.
 std::optional<CapacityDemand> DemandFor(const model::JobSpec& spec, size_t tasks,
                                         const std::vector<model::MachineType>& machine_types);
 
-// The part of `work_s` processor seconds that `cpus` processors can't do within `time_s`; 0 if they
-// can do all.
+// Returns the fraction of `work_s` processor seconds that `cpus` processors can't complete within
+// `time_s`; 0 if they can complete all of it.
 double ShortfallShare(double work_s, double cpus, double time_s);
 
-// Machines for the queued jobs from `first` on, which no round could look at yet: as many as would
-// complete them by the time that new machines are up, and never more than their tasks could use at
-// once. `total_cpus`: of the machines that are there or booting.
+// Returns the demand of the queued jobs from index `first` on, which the round did not map. The
+// demand covers the work that the machines of the round can't complete by the time new machines are
+// up, and never more than the tasks could use at once. `total_cpus`: the processors of all machines
+// that are up or booting.
 std::vector<CapacityDemand> DemandForUnmapped(const JobQueue& queue, size_t first,
                                               const PlanningContext& context, double total_cpus);
 
--- a/src/plan/feasibility.h
+++ b/src/plan/feasibility.h
@@ -1,4 +1,4 @@
-// Whether a machine may run a job's tasks at all, whatever runs there now. Pure functions.
+// Checks whether a machine may run a job's tasks, regardless of its current load. Pure functions.
 #pragma once
 
 #include "fleet/worker_registry.h"
@@ -7,10 +7,11 @@
 
 namespace hallpier::plan {
 
-// True if the job's constraints (zone, machine types, spot instances) allow the machine.
+// Returns true if the job's constraints (zone, machine types, spot instances) allow the machine.
 bool AllowsMachine(const model::JobSpec& spec, const fleet::Machine& machine);
 
-// True if the machine, were it empty, could run a task of the job: it is allowed and large enough.
+// Returns true if the machine, when empty, could run a task of the job: the job's constraints allow
+// it and it is large enough.
 bool IsFeasible(const model::JobSpec& spec, const fleet::Machine& machine,
                 const model::MachineType& machine_type);
 
--- a/src/plan/job_order.h
+++ b/src/plan/job_order.h
@@ -1,6 +1,6 @@
-// In which order a round serves the jobs: priority tiers by priority and guarantee, and bands
-// within a tier by the work that is left of a job and whether it can still meet its objective. Does
-// no I/O; refers to the context of the round that it is made for.
+// The order in which a round serves jobs. Jobs are grouped into tiers by priority and team
+// guarantee, and within a tier into bands by remaining work and by whether the job can still meet
+// its service-level objective. Does no I/O; keeps a reference to the round's context.
 #pragma once
 
 #include "jobs/job_table.h"
@@ -8,28 +8,30 @@
 
 namespace hallpier::plan {
 
-// Bands of a tier.
-inline constexpr int kBands = 16;
+// Number of bands in each tier.
+inline constexpr int kBandsPerTier = 16;
 
 class JobOrder {
  public:
-  // `time_of_day`: what submissions are stamped with, seconds.
+  // `time_of_day`: wall-clock time in seconds since the Unix epoch, as in submission timestamps.
   JobOrder(const PlanningContext& context, double time_of_day)
       : context_(context), time_of_day_(time_of_day) {}
 
-  // The job's tier; the smallest is served first. `within_guarantee`: the job is within what its
-  // team is guaranteed.
+  // Returns the job's tier; the lowest tier is served first. `within_guarantee`: true if the job is
+  // within its team's guarantee.
   int PriorityTier(const jobs::Job& job, bool within_guarantee) const;
-  // The job's band within its tier, 0 to kBands - 1; the smallest is served first.
+  // Returns the job's band within its tier, from 0 to kBandsPerTier - 1; the lowest is served
+  // first.
   int RemainingWorkBand(const jobs::Job& job) const;
-  // True if a job within a guarantee has waited for as long as a machine takes to boot.
+  // Returns true if the job is within its team's guarantee and has waited longer than a machine
+  // takes to boot.
   bool IsGuaranteeOverdue(const jobs::Job& job, bool within_guarantee) const;
 
  private:
-  // True if a best-effort job has waited long enough to move up (priority aging).
+  // Returns true if a best-effort job has waited long enough to move up (priority aging).
   bool HasAged(const jobs::Job& job) const;
-  // True if the job can't meet any of its objectives any more, and has not waited long enough yet
-  // to be served like those that can.
+  // Returns true if the job can no longer meet any of its objectives, and has not yet waited long
+  // enough to be served like the jobs that can.
   bool HasMissedObjectives(const jobs::Job& job, double run_s) const;
 
   const PlanningContext& context_;
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -10,7 +10,7 @@
 namespace hallpier::plan {
 namespace {
 
-// Before the ranks of all tiers.
+// Precedes the ranks of all tiers.
 constexpr int kStarvedRank = -1;
 
 class JobQueueBuilder {
@@ -19,13 +19,14 @@
                   const std::vector<const jobs::Job*>& jobs)
       : input_(input),
         order_(order),
-        quotas_(input.IsSingleHolder() ? TeamQuotas::FromAllowances(input.scope->team_allowances)
-                                       : TeamQuotas::FromTeamLimits(input.context.settings->teams,
-                                                                    jobs, machines.ended_by_team)),
+        quotas_(input.IsSingleHolder()
+                    ? TeamQuotas::FromAllowances(input.scope->team_allowances)
+                    : TeamQuotas::FromTeamLimits(input.context.settings->teams, jobs,
+                                                 machines.reported_done_by_team)),
         starvation_(input, machines.total_cpus),
         retries_(input.registry.failure_tracker(), input.now, machines.total_cpus) {
     for (const jobs::Job* job : jobs) {
-      // A blocked job takes no part of its team's guarantee, and creates no demand for machines.
+      // A blocked job does not use its team's guarantee and creates no demand for machines.
       if (!job->cancelled && !job->blocked) Add(*job);
     }
     std::stable_sort(
@@ -40,16 +41,16 @@
   void Add(const jobs::Job& job) {
     const config::Team* team = input_.context.settings->FindTeam(job.spec.team);
     const bool within_guarantee = quotas_.ChargeGuarantee(job, team);
-    if (within_guarantee) queue_.guaranteed.insert(&job);
+    if (within_guarantee) queue_.jobs_within_guarantee.insert(&job);
     const int tier = order_.PriorityTier(job, within_guarantee);
-    queue_.tiers[&job] = tier;
+    queue_.tier_by_job[&job] = tier;
     if (job.waiting() == 0 || !MayPlaceHere(job)) return;
-    const int rank = tier * kBands + order_.RemainingWorkBand(job);
+    const int rank = tier * kBandsPerTier + order_.RemainingWorkBand(job);
     QueuedJob queued{&job, within_guarantee, rank, job.waiting()};
     if (input_.registry.failure_tracker().IsSuspected(job.spec.id)) {
-      // The last of its tier: no other job waits for what most likely fails again.
-      queued.retry = true;
-      queued.rank = tier * kBands + kBands - 1;
+      // Last rank of its tier, so that no other job waits for a task that will probably fail again.
+      queued.is_retry = true;
+      queued.rank = tier * kBandsPerTier + kBandsPerTier - 1;
       queued.tasks = retries_.TryRetry(job) ? 1 : 0;
     } else if (const size_t first = starvation_.TasksServedFirst(job); first > 0) {
       queued.rank = kStarvedRank;
@@ -62,7 +63,7 @@
     return !input_.IsSingleHolder() || input_.scope->may_place(*input_.scope->single_holder, job);
   }
 
-  // Leaves out what is over its team's quota, in the order of the queue.
+  // Drops tasks that exceed their team's quota, which is granted in queue order.
   void ApplyQuotas() {
     for (QueuedJob& queued : queue_.jobs) {
       const model::JobSpec& spec = queued.job->spec;
@@ -84,10 +85,10 @@
 
 }  // namespace
 
-// kStarvedRank is rounded towards 0, so that its tier is the first one.
-int TierOfRank(int rank) { return rank / kBands; }
+// Integer division rounds kStarvedRank towards 0, which is the first tier.
+int TierOfRank(int rank) { return rank / kBandsPerTier; }
 
-std::vector<const jobs::Job*> JobsByAge(const jobs::JobTable& job_table) {
+std::vector<const jobs::Job*> UnfinishedJobsByAge(const jobs::JobTable& job_table) {
   std::vector<const jobs::Job*> jobs;
   for (const auto& [id, job] : job_table.all()) jobs.push_back(&job);
   std::sort(jobs.begin(), jobs.end(), [](const jobs::Job* left, const jobs::Job* right) {
--- a/src/plan/latency_reservation.cc
+++ b/src/plan/latency_reservation.cc
@@ -8,13 +8,12 @@
 
 // A job class is latency-sensitive if its tasks should start within this many heartbeat intervals.
 constexpr double kLatencySensitiveIntervals = 3;
-// Resources are kept for this many jobs of a class, each of the usual size.
-constexpr double kReservedJobs = 3;
-// Each unfinished job moves the usual size by this part of the difference, in every round.
+// Resources are reserved for this many jobs of average size of each class.
+constexpr double kReservedJobsPerClass = 3;
+// Weight of an unfinished job in the moving average of the job size; applied in every round.
 constexpr double kSizeLearningRate = 0.02;
-// Seconds for which a reservation holds its slot: longer than any task is predicted to run,
-// services included.
-constexpr double kReservationTime = 1e6;
+// Duration of a reservation: longer than the predicted run time of any task, including services.
+constexpr double kReservationTimeS = 1e6;
 
 bool IsLatencySensitive(const config::Objective& objective, const jobs::Job& job,
                         const config::Settings& settings) {
@@ -37,16 +36,16 @@
 }
 
 void ReserveForLatencySensitive(const PlanningContext& context, double total_cpus,
-                                std::vector<MachineAvailability>& slots) {
+                                std::vector<MachineAvailability>& machines) {
   for (const auto& [name, job_class] : context.latency_sensitive_classes) {
     if (job_class.need.cpus <= 0) continue;
-    const double most = context.operators->urgent_reserve * total_cpus / job_class.need.cpus;
+    const double max_tasks = context.operators->urgent_reserve * total_cpus / job_class.need.cpus;
     TaskClass reservation;
     reservation.need = job_class.need;
-    reservation.count =
-        static_cast<size_t>(std::ceil(std::min(most, kReservedJobs * job_class.tasks)));
-    reservation.run_s.assign(slots.size(), kReservationTime);
-    MapTasks(MappingOrder::kMinMin, {reservation}, slots, reservation.count);
+    reservation.count = static_cast<size_t>(
+        std::ceil(std::min(max_tasks, kReservedJobsPerClass * job_class.tasks)));
+    reservation.run_s.assign(machines.size(), kReservationTimeS);
+    MapTasks(MappingOrder::kMinMin, {reservation}, machines, reservation.count);
   }
 }
 
--- a/src/plan/latency_reservation.h
+++ b/src/plan/latency_reservation.h
@@ -1,6 +1,6 @@
-// Keeps resources free for tasks of latency-sensitive job classes that are yet to come: a task
-// whose objective is to start at once can't wait for a slot. What such classes need is learned in
-// the context, over all rounds.
+// Keeps resources free for future tasks of latency-sensitive job classes: a task whose objective is
+// an immediate start can't wait until resources become free. The requirements of these classes are
+// learned over all rounds and kept in the planning context.
 #pragma once
 
 #include <vector>
@@ -11,13 +11,14 @@
 
 namespace hallpier::plan {
 
-// Learns from an unfinished job if its class is latency-sensitive: urgent work whose tasks are to
-// start within a few heartbeat intervals.
+// Updates the requirements of the job's class if the class is latency-sensitive, that is, if the
+// job has urgent or higher priority and an objective to start within a few heartbeat intervals.
+// Requires an unfinished job.
 void LearnLatencySensitiveClass(PlanningContext& context, const jobs::Job& job);
 
-// Reserves slots for a few jobs of each latency-sensitive class, within the operators' share of
-// `total_cpus`.
+// Reserves resources for a few jobs of each latency-sensitive class. Each class gets at most the
+// share of `total_cpus` that the operators configured (`urgent_reserve`).
 void ReserveForLatencySensitive(const PlanningContext& context, double total_cpus,
-                                std::vector<MachineAvailability>& slots);
+                                std::vector<MachineAvailability>& machines);
 
 }  // namespace hallpier::plan
--- a/src/plan/placement_scope.h
+++ b/src/plan/placement_scope.h
@@ -1,4 +1,4 @@
-// Which machines a round uses and which jobs it places, where machines are divided among holders
+// Restricts a round to some machines and jobs where machines are divided among holders
 // (src/blocks). The functions refer to the division that the scope was made from: a scope is made
 // for one round and must not outlive that division.
 #pragma once
@@ -16,15 +16,17 @@
 
 struct PlacementScope {
   size_t holder_count = 0;
-  // The number of the holder of a machine; nothing: no round uses the machine.
+  // Returns the index of a machine's holder, below `holder_count`; std::nullopt if no round may use
+  // the machine.
   std::function<std::optional<size_t>(const std::string& machine)> holder_of;
-  // True if a holder may place tasks of a job.
+  // Returns true if the holder may place tasks of the job.
   std::function<bool(size_t holder, const jobs::Job& job)> may_place;
-  // Set: a round of this holder alone, on its machines, for the jobs that it may place. It preempts
-  // nothing and asks for no machines; that is decided where all machines are looked at.
+  // If set, the round is planned for this holder only: on the holder's machines and for the jobs
+  // that it may place. Such a round neither preempts tasks nor requests machines; both are decided
+  // in the round that considers all machines.
   std::optional<size_t> single_holder;
-  // With `single_holder`: what may still be placed of each team's quota. A team that is not named
-  // has no limit.
+  // If `single_holder` is set: the part of each team's quota that may still be placed. A team
+  // without an entry has no limit.
   std::map<std::string, Resources> team_allowances;
 };
 
--- a/src/plan/planning_context.h
+++ b/src/plan/planning_context.h
@@ -1,5 +1,5 @@
-// What rounds are planned by: the settings, the cloud's machine types, and what is learned from one
-// round to the next. Owned by the loop that runs the rounds, and used by that loop alone.
+// The inputs that all rounds share: the settings, the cloud's machine types, and the estimates that
+// are learned over several rounds. Owned by the loop that runs the rounds and used only by it.
 #pragma once
 
 #include <map>
@@ -14,10 +14,10 @@
 namespace hallpier::plan {
 
 struct PlanningContext {
-  // A job class whose service-level objective is to start at once, as learned from its jobs.
+  // A job class whose service-level objective is an immediate start. Learned from its jobs.
   struct LatencySensitiveClass {
-    Resources need;    // of one task of the newest job
-    double tasks = 0;  // usual size of a job
+    Resources need;    // requirement of one task of the newest job
+    double tasks = 0;  // moving average of the number of tasks per job
   };
 
   const config::Settings* settings = nullptr;          // never null in a round
@@ -25,15 +25,15 @@
   std::vector<model::MachineType> machine_types;
   std::map<std::string, LatencySensitiveClass> latency_sensitive_classes;  // by job class
 
-  // Null if the cloud offers no type of that name.
+  // Returns null if the cloud offers no machine type of that name.
   const model::MachineType* FindMachineType(const std::string& name) const;
 };
 
-// Seconds until a change on a machine is known and answered.
+// Returns the seconds that it takes to learn of a change on a machine and to respond to it.
 double ReactionTime(const PlanningContext& context);
 
-// Seconds that a new machine takes until it is up, whatever its type: the longest nominal boot
-// time, and never less than a heartbeat interval.
+// Returns the assumed boot time, in seconds, of a new machine of whatever type: the longest nominal
+// boot time, and at least one heartbeat interval.
 double LongestBootTime(const PlanningContext& context);
 
 }  // namespace hallpier::plan
--- a/src/plan/preemption.h
+++ b/src/plan/preemption.h
@@ -1,6 +1,6 @@
-// Preemption: stops running tasks of lower rank where that lets waiting tasks start clearly sooner
-// than the mapping does. One planner a round; refers to the round's input, machines, queue and
-// order.
+// Selects running tasks of later priority tiers to stop where that lets waiting tasks complete
+// sooner than the mapping does. One planner per round; refers to the round's input, machines, queue
+// and order.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,8 @@
 
 namespace hallpier::plan {
 
-// When the mapping lets a task start that can't start now, in seconds from now; by default never.
+// Start and completion that the mapping gives a task that can't start now, in seconds from now;
+// infinite if the mapping left the task out.
 struct ExpectedStart {
   double start = std::numeric_limits<double>::infinity();
   double completion = std::numeric_limits<double>::infinity();
@@ -31,14 +32,14 @@
                     const JobOrder& order)
       : input_(input), machines_(machines), queue_(queue), order_(order) {}
 
-  // What is stopped for the waiting tasks of a job. `expected`: what the mapping gives them
-  // otherwise. Each machine is evaluated once for the class, and again only after something on it
-  // was stopped. Nothing is stopped twice in a round.
-  std::vector<Preemption> PreemptFor(const QueuedJob& queued, const TaskClass& task_class,
-                                     std::vector<ExpectedStart> expected);
+  // Returns the attempts to stop for the waiting tasks of a job. `expected` holds the start of each
+  // task without preemption. Each machine is evaluated once for the class, and again only after a
+  // stop on it was planned. No attempt is stopped twice in a round.
+  std::vector<Preemption> PlanPreemptions(const QueuedJob& queued, const TaskClass& task_class,
+                                          std::vector<ExpectedStart> expected);
 
  private:
-  // A running attempt that could be stopped.
+  // A running attempt that may be stopped.
   struct Victim {
     model::TaskId task;
     uint64_t attempt = 0;
@@ -46,42 +47,44 @@
     int tier = 0;
     double ran_s = 0;
     Resources need;
-    bool stopped = false;  // in this round
+    bool stopped = false;  // chosen in this round
   };
-  struct Stop {
+  struct VictimStop {
     Victim* victim = nullptr;
     double lost_s = 0;
     double grace_s = 0;
   };
-  // That some attempts on a machine are stopped for a task.
-  struct Eviction {
-    double cost_s = 0;     // seconds of work that are lost
-    Resources free_after;  // on the machine, once the task runs there
+  // The effect of stopping some attempts on a machine for one task.
+  struct EvictionPlan {
+    double cost_s = 0;     // seconds of lost work
+    Resources free_after;  // free resources of the machine once the task runs there
   };
-  struct Offer {
+  struct PreemptionOption {
     double cost_s = 0;
     double completion = 0;
     size_t machine = 0;
-    Resources free;  // on the machine, before anything is stopped
+    Resources free;  // free resources of the machine before the stops
   };
 
   bool MayPreempt(const QueuedJob& queued) const;
-  double Patience(const QueuedJob& queued) const;
+  double MaxWait(const QueuedJob& queued) const;
   std::vector<Victim>& VictimsOn(size_t machine);
   std::vector<Victim> FindVictims(const fleet::Machine& machine) const;
   bool IsVictimFor(const QueuedJob& queued, const Victim& victim) const;
-  std::optional<Eviction> ChooseStops(const QueuedJob& queued, const TaskClass& task_class,
-                                      size_t machine, const Resources& free);
-  double CompletionAfterStops(const TaskClass& task_class, size_t machine) const;
-  std::optional<Offer> OfferOf(const QueuedJob& queued, const TaskClass& task_class, size_t machine,
-                               const Resources& free);
+  std::optional<EvictionPlan> ChooseVictims(const QueuedJob& queued, const TaskClass& task_class,
+                                            size_t machine, const Resources& free);
+  double CompletionAfterPreemption(const TaskClass& task_class, size_t machine) const;
+  std::optional<PreemptionOption> EvaluateMachine(const QueuedJob& queued,
+                                                  const TaskClass& task_class, size_t machine,
+                                                  const Resources& free);
 
   const RoundInput& input_;
   const RoundMachines& machines_;
   const JobQueue& queue_;
   const JobOrder& order_;
-  std::vector<std::vector<Victim>> victims_;  // by machine; empty until they are first needed
-  std::vector<Stop> stops_;  // of the last ChooseStops(); a member, so that its memory is reused
+  std::vector<std::vector<Victim>> victims_;  // by machine; filled at first use
+  // Result of the last ChooseVictims(); a member so that its memory is reused.
+  std::vector<VictimStop> chosen_stops_;
 };
 
 }  // namespace hallpier::plan
--- a/src/plan/resource_timeline.cc
+++ b/src/plan/resource_timeline.cc
@@ -7,7 +7,7 @@
 size_t ResourceTimeline::StepAt(double time) {
   size_t next = steps_.size();
   while (next > 0 && steps_[next - 1].time > time) --next;
-  // The first step is at 0 and time is never negative, so there is one before.
+  // The first step is at 0 and `time` is never negative, so there is always a preceding step.
   if (next > 0 && steps_[next - 1].time == time) return next - 1;
   Step step = steps_[next - 1];
   step.time = time;
@@ -28,7 +28,7 @@
     size_t j = i + 1;
     while (j < steps_.size() && steps_[j].time < end && steps_[j].free.Fits(need)) ++j;
     if (j == steps_.size() || steps_[j].time >= end) return steps_[i].time;
-    i = j;  // it does not fit at step j: the search goes on behind that step
+    i = j;  // `need` does not fit at step j, so the search continues after that step
   }
   return -1;
 }
--- a/src/plan/resource_timeline.h
+++ b/src/plan/resource_timeline.h
@@ -1,5 +1,5 @@
-// The resources of one machine that are free from now on, as a step function of time. Times are
-// seconds from the start of the round. Owned by the machine's slots of a round; not shared.
+// The free resources of one machine as a step function of time. Times are in seconds from the start
+// of the round. Owned by the MachineAvailability of one round; not shared.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,21 @@
 
 class ResourceTimeline {
  public:
-  // `free`: what is free now, until something is released or reserved.
+  // `free`: the resources that are free now.
   explicit ResourceTimeline(const Resources& free) : steps_{{0, free}} {}
 
-  // Something that uses `resources` now ends at `time`, and frees them for good. A time in the past
-  // counts as now.
+  // Adds `resources`, which are in use now, to the free resources from `time` on. A time in the
+  // past counts as now.
   void Release(double time, const Resources& resources);
-  // The earliest start at which `need` is free for `duration_s` without a break; negative if it
-  // never is.
+  // Returns the earliest time from which `need` is free for `duration_s` without interruption;
+  // negative if there is none.
   double EarliestStart(const Resources& need, double duration_s) const;
-  // Takes `resources` from `start` on for `duration_s`. The caller has found them to be free.
+  // Removes `resources` from the free resources for `duration_s` from `start` on. Requires that
+  // they are free in that time.
   void Reserve(double start, double duration_s, const Resources& resources);
 
   const Resources& free_now() const { return steps_.front().free; }
-  // From this time on nothing changes any more.
+  // Returns the time after which the free resources no longer change.
   double last_change() const { return steps_.back().time; }
 
  private:
@@ -32,10 +33,10 @@
     double time;
     Resources free;  // from `time` until the next step
   };
-  // The index of the step that begins at `time`, which is added if there is none.
+  // Returns the index of the step that begins at `time`; adds the step if it does not exist.
   size_t StepAt(double time);
 
-  std::vector<Step> steps_;  // by time; the first is at 0
+  std::vector<Step> steps_;  // sorted by time; the first is at 0
 };
 
 }  // namespace hallpier::plan
--- a/src/plan/resources.h
+++ b/src/plan/resources.h
@@ -1,5 +1,6 @@
-// What a task takes and what a machine offers: processors, GPUs and memory. Header-only, since the
-// comparisons stand in the inner loops of the mapping. Plain values without shared state.
+// The resources that a task requires or a machine provides: processors, GPUs and memory.
+// Header-only because the comparisons are in the inner loops of the mapping. Plain values without
+// shared state.
 #pragma once
 
 #include <cmath>
@@ -9,12 +10,13 @@
 
 namespace hallpier::plan {
 
-// Sums and differences of fractional requirements (0.1 + 0.2) are not exact. A millionth of a
-// processor, or of a gigabyte, is far more than such an error and far less than any task asks for.
+// Sums and differences of fractional requirements (0.1 + 0.2) are inexact. A millionth of a
+// processor or of a gigabyte is far larger than such an error and far smaller than any task's
+// requirement.
 inline constexpr double kCapacityTolerance = 1e-6;
 
-// The quotient of an amount and a requirement that divides it evenly may come out just below the
-// whole number.
+// The quotient of an amount and a requirement that divides it evenly may be rounded to slightly
+// less than the integer.
 inline constexpr double kQuotientTolerance = 1e-9;
 
 struct Resources {
@@ -34,24 +36,25 @@
     memory_gb -= other.memory_gb;
     return *this;
   }
-  // True if `need` fits into this, up to kCapacityTolerance.
+  // Returns true if `need` fits into these resources, up to kCapacityTolerance.
   bool Fits(const Resources& need) const {
     return need.cpus <= cpus + kCapacityTolerance && need.gpus <= gpus + kCapacityTolerance &&
            need.memory_gb <= memory_gb + kCapacityTolerance;
   }
 };
 
-// What one task of the job takes.
+// Returns the requirement of one task of the job.
 inline Resources RequirementOf(const model::JobSpec& spec) {
   return {spec.cpus, spec.gpus, spec.memory_gb};
 }
 
-// What an empty machine of the type offers.
+// Returns the resources of an empty machine of the type.
 inline Resources CapacityOf(const model::MachineType& machine_type) {
   return {machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
 }
 
-// How many requirements of `need` (more than 0) an amount covers; negative if the amount is.
+// Returns how many times `amount` covers `need`, rounded down; negative if `amount` is negative.
+// Requires `need` > 0.
 inline double WholeQuotient(double amount, double need) {
   return std::floor(amount / need + kQuotientTolerance);
 }
--- a/src/plan/retry_budget.cc
+++ b/src/plan/retry_budget.cc
@@ -3,17 +3,18 @@
 namespace hallpier::plan {
 namespace {
 
-// Part of all processors that the retries of jobs which fail on every machine may take.
-constexpr double kRetryShare = 0.02;
+// Share of all processors that may be used for the retries of jobs which fail on every machine.
+constexpr double kRetryCpuShare = 0.02;
 
 }  // namespace
 
 bool RetryBudget::TryRetry(const jobs::Job& job) {
   if (!failures_.IsRetryDue(job.spec.id, now_)) return false;
   if (retries_ >= failures_.AvailableRetries(now_)) return false;
-  const double limit = kRetryShare * total_cpus_;
+  const double limit = kRetryCpuShare * total_cpus_;
   const double in_use = used_cpus_ + static_cast<double>(job.placed()) * job.spec.cpus;
-  // While no such job has anything running, one is granted however small the site is.
+  // While no such job has a placed task, one retry is granted even if it exceeds the share, so that
+  // small sites retry as well.
   if (in_use > 0 && in_use + job.spec.cpus > limit) return false;
   ++retries_;
   used_cpus_ = in_use + job.spec.cpus;
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -23,17 +23,18 @@
 namespace hallpier::plan {
 namespace {
 
-// A start within this many seconds counts as now: starts are sums of times that are not exact.
-constexpr double kStartTolerance = 1e-6;
-// A new machine is worth its price for tasks that would otherwise wait this part of its boot time.
-constexpr double kWorthScalingOut = 0.2;
+// A start within this many seconds counts as now, since start times are inexact sums.
+constexpr double kStartToleranceS = 1e-6;
+// A new machine is worth its price for tasks that would otherwise wait for at least this fraction
+// of its boot time.
+constexpr double kScaleOutWaitRatio = 0.2;
 
-// What the mapping gives the tasks of one queued job.
+// The result of the mapping for the tasks of one queued job.
 struct MappedJob {
-  size_t started = 0;        // now
-  size_t starting_soon = 0;  // later, but sooner than a new machine would be worth it
-  std::vector<ExpectedStart> later;
-  std::vector<uint32_t> waiting;  // task numbers, looked up at the first start
+  size_t started = 0;        // tasks that start now
+  size_t starting_soon = 0;  // tasks that start later, but too soon to justify a new machine
+  std::vector<ExpectedStart> later;  // starts of all tasks that do not start now
+  std::vector<uint32_t> waiting;     // indexes of waiting tasks; looked up at the first start
 };
 
 class Round {
@@ -47,7 +48,7 @@
         task_classes_(input, machines_),
         preemption_(input, machines_, queue_, order_) {
     if (input_.scope != nullptr) result_.planned_by_holder.resize(input_.scope->holder_count);
-    if (!input_.IsSingleHolder()) result_.preemptions = EvictFromReclaimedMachines(input_);
+    if (!input_.IsSingleHolder()) result_.preemptions = PlanSpotEvictions(input_);
     result_.waiting_tasks = queue_.waiting_tasks;
     result_.first_job_over_quota = std::move(queue_.first_job_over_quota);
   }
@@ -59,7 +60,7 @@
     bool reserved = false;
     while (begin < jobs.size() && tasks_left > 0) {
       if (!reserved && jobs[begin].job->priority > model::Priority::kUrgent) {
-        ReserveForLatencySensitive(input_.context, machines_.total_cpus, machines_.slots);
+        ReserveForLatencySensitive(input_.context, machines_.total_cpus, machines_.availability);
         reserved = true;
       }
       const size_t end = EndOfRank(begin);
@@ -74,38 +75,38 @@
   }
 
  private:
-  // The end of the queued jobs that have the rank of the one at `begin`.
+  // Returns the end of the range of queued jobs that have the same rank as the one at `begin`.
   size_t EndOfRank(size_t begin) const {
     size_t end = begin;
     while (end < queue_.jobs.size() && queue_.jobs[end].rank == queue_.jobs[begin].rank) ++end;
     return end;
   }
 
-  // Maps the queued jobs from `begin` to `end`. How many tasks were mapped, at most `limit`.
+  // Maps the queued jobs in [begin, end). Returns the number of mapped tasks, at most `limit`.
   size_t PlanRank(size_t begin, size_t end, size_t limit) {
     std::vector<TaskClass> classes;
     for (size_t i = begin; i < end; ++i) {
       classes.push_back(task_classes_.Build(queue_.jobs[i]));
     }
-    const Mapping mapping = MapTasksDuplex(classes, machines_.slots, limit);
+    const Mapping mapping = MapTasksDuplex(classes, machines_.availability, limit);
     std::vector<MappedJob> mapped(classes.size());
     for (const Assignment& assignment : mapping.assignments) {
       const QueuedJob& queued = queue_.jobs[begin + assignment.task_class];
-      MappedJob& of_job = mapped[assignment.task_class];
-      NotePlanned(queued, assignment);
-      if (assignment.start > kStartTolerance) {
-        Defer(assignment, of_job);
+      MappedJob& mapped_job = mapped[assignment.task_class];
+      AddToPlannedByHolder(queued, assignment);
+      if (assignment.start > kStartToleranceS) {
+        Defer(assignment, mapped_job);
       } else {
-        Start(queued, assignment, mapping.assignments.size(), of_job);
+        AddPlacement(queued, assignment, mapping.assignments.size(), mapped_job);
       }
     }
     for (size_t i = 0; i < classes.size(); ++i) {
-      ServeUnstarted(queue_.jobs[begin + i], classes[i], std::move(mapped[i]));
+      HandleUnstartedTasks(queue_.jobs[begin + i], classes[i], std::move(mapped[i]));
     }
     return mapping.assignments.size();
   }
 
-  void NotePlanned(const QueuedJob& queued, const Assignment& assignment) {
+  void AddToPlannedByHolder(const QueuedJob& queued, const Assignment& assignment) {
     if (input_.scope == nullptr) return;
     const size_t holder = machines_.holders[assignment.machine];
     const model::JobSpec& spec = queued.job->spec;
@@ -115,14 +116,14 @@
   void Defer(const Assignment& assignment, MappedJob& mapped) const {
     const bool booting = !machines_.machines[assignment.machine]->has_reported();
     const double boot_s = machines_.machine_types[assignment.machine]->boot_s;
-    if (booting || assignment.start < kWorthScalingOut * boot_s) ++mapped.starting_soon;
+    if (booting || assignment.start < kScaleOutWaitRatio * boot_s) ++mapped.starting_soon;
     mapped.later.push_back({assignment.start, assignment.start + assignment.run_s});
   }
 
-  void Start(const QueuedJob& queued, const Assignment& assignment, size_t assignments,
-             MappedJob& mapped) {
+  void AddPlacement(const QueuedJob& queued, const Assignment& assignment, size_t assignments,
+                    MappedJob& mapped) {
     const jobs::Job& job = *queued.job;
-    // Never more than are mapped: a job may have 100,000 tasks waiting.
+    // Looks up no more tasks than were mapped, since a job may have 100,000 waiting tasks.
     if (mapped.waiting.empty()) mapped.waiting = input_.job_table.WaitingTasks(job, assignments);
     jobs::TaskTransition placement;
     placement.kind = jobs::TaskTransition::Kind::kPlace;
@@ -133,26 +134,27 @@
     result_.placements.push_back(std::move(placement));
   }
 
-  // True if a placement is a retry that delays the next ones.
+  // Returns true if the placement is a retry, which delays the next retries of the job.
   bool IsRetry(const QueuedJob& queued, const std::string& machine) const {
     const std::set<std::string>* failed_on =
         input_.registry.failure_tracker().FailedOn(queued.job->spec.id);
-    return queued.retry || (failed_on != nullptr && failed_on->contains(machine));
+    return queued.is_retry || (failed_on != nullptr && failed_on->contains(machine));
   }
 
-  // Asks for machines, and preempts others, for the tasks of a job that can't start now.
-  void ServeUnstarted(const QueuedJob& queued, const TaskClass& task_class, MappedJob mapped) {
-    // A retry is worth neither a machine nor a preemption.
-    if (queued.retry || input_.IsSingleHolder()) return;
+  // Demands machines and plans preemptions for the tasks of a job that can't start now.
+  void HandleUnstartedTasks(const QueuedJob& queued, const TaskClass& task_class,
+                            MappedJob mapped) {
+    // A retry justifies neither a new machine nor a preemption.
+    if (queued.is_retry || input_.IsSingleHolder()) return;
     const size_t unstarted = queued.tasks - mapped.started;
     const size_t unmet = unstarted - mapped.starting_soon;
     if (unmet > 0) {
       auto demand = DemandFor(queued.job->spec, unmet, input_.context.machine_types);
       if (demand) result_.demands.push_back(std::move(*demand));
     }
-    // Tasks that the mapping left out are never expected to start.
+    // Adds the tasks that the mapping left out; their expected start is infinite.
     mapped.later.resize(std::min(unstarted, max_tasks_));
-    auto preemptions = preemption_.PreemptFor(queued, task_class, std::move(mapped.later));
+    auto preemptions = preemption_.PlanPreemptions(queued, task_class, std::move(mapped.later));
     std::move(preemptions.begin(), preemptions.end(), std::back_inserter(result_.preemptions));
   }
 
@@ -169,15 +171,15 @@
 }  // namespace
 
 size_t MaxTasksPerRound(const config::Settings& settings) {
-  constexpr size_t kLeastTasks = 500;
+  constexpr size_t kMinTasksPerRound = 500;
   const size_t writes = static_cast<size_t>(std::max(settings.txn_ops, 1));
-  return std::max(kLeastTasks, store::TasksPerTextGroup(settings.value_kb) * writes);
+  return std::max(kMinTasksPerRound, store::TasksPerTextGroup(settings.value_kb) * writes);
 }
 
 RoundResult PlanRound(PlanningContext& context, const jobs::JobTable& job_table,
                       const fleet::WorkerRegistry& registry, double now, double time_of_day,
                       const PlacementScope* scope) {
-  const std::vector<const jobs::Job*> jobs = JobsByAge(job_table);
+  const std::vector<const jobs::Job*> jobs = UnfinishedJobsByAge(job_table);
   for (const jobs::Job* job : jobs) {
     if (!job->cancelled && !job->blocked) LearnLatencySensitiveClass(context, *job);
   }
--- a/src/plan/round.h
+++ b/src/plan/round.h
@@ -1,6 +1,7 @@
-// One round: decides which waiting tasks start on which machines, which running tasks are preempted
-// for others, and what new machines are needed. Does no I/O and takes the time as an argument; runs
-// on the thread of its caller. The steps stand in modules of their own beside this one.
+// Plans a scheduling round: which waiting tasks start on which machines, which running tasks are
+// preempted for others, and which new machines are needed. Does no I/O, takes the time as an
+// argument and runs on the caller's thread. The steps are implemented in the other modules of this
+// directory.
 #pragma once
 
 #include <cstddef>
@@ -14,12 +15,13 @@
 
 namespace hallpier::plan {
 
-// Waiting tasks that a round maps: what one transaction can record, and never less than 500.
+// Returns the maximum number of waiting tasks that a round maps: as many as one transaction can
+// record, and at least 500.
 size_t MaxTasksPerRound(const config::Settings& settings);
 
-// Plans one round. `context`: what latency-sensitive job classes need is learned there. `now`:
-// steady time; `time_of_day`: what submissions are stamped with; both in seconds. `scope`: null
-// where machines are not divided.
+// Plans one round. Updates the requirements of latency-sensitive job classes in `context`. `now` is
+// the time of the steady clock, `time_of_day` the wall-clock time in seconds since the Unix epoch,
+// as in submission timestamps; both are in seconds. `scope` is null if machines are not divided.
 RoundResult PlanRound(PlanningContext& context, const jobs::JobTable& job_table,
                       const fleet::WorkerRegistry& registry, double now, double time_of_day,
                       const PlacementScope* scope = nullptr);
--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -1,5 +1,5 @@
-// What one round is planned from. The references belong to the caller of PlanRound() and hold for
-// that call; nothing else changes them meanwhile.
+// The input of one round. The referenced objects are owned by the caller of PlanRound(), outlive
+// that call and are not changed by anything else during it.
 #pragma once
 
 #include "fleet/worker_registry.h"
@@ -13,14 +13,14 @@
   const PlanningContext& context;
   const jobs::JobTable& job_table;
   const fleet::WorkerRegistry& registry;
-  double now = 0;                         // steady time, seconds
-  double time_of_day = 0;                 // what submissions are stamped with, seconds
-  const PlacementScope* scope = nullptr;  // null: machines are not divided
+  double now = 0;                         // time of the steady clock, seconds
+  double time_of_day = 0;                 // wall-clock time, seconds since the Unix epoch
+  const PlacementScope* scope = nullptr;  // null if machines are not divided
 
-  // True for a round of one holder alone.
+  // Returns true if the round is planned for one holder only.
   bool IsSingleHolder() const { return scope != nullptr && scope->single_holder.has_value(); }
-  // Seconds since a job might start: since it was submitted or, if it awaited others, since the
-  // last of these was done.
+  // Returns the seconds since the job became runnable, that is, since its submission or, if it has
+  // dependencies, since the last of them was done.
   double AgeOf(const jobs::Job& job) const { return time_of_day - job.runnable_since; }
 };
 
--- a/src/plan/round_machines.h
+++ b/src/plan/round_machines.h
@@ -1,5 +1,5 @@
-// The machines of a round with their free resources over time: the bins that tasks are packed into.
-// Built once a round and owned by it; refers to the worker registry.
+// The machines of a round with their free resources over time, to which tasks are mapped. Built
+// once per round and owned by it; refers to the worker registry.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 namespace hallpier::plan {
 
-// Numbers the zones, so that the mapping compares numbers rather than names.
+// Assigns numbers to zones so that the mapping compares numbers rather than names.
 class ZoneNumbers {
  public:
-  // A zone that has no number yet gets the next one.
+  // Returns the number of a zone; a new zone gets the next number.
   size_t NumberOf(const std::string& zone) {
     return numbers_.try_emplace(zone, numbers_.size()).first->second;
   }
@@ -28,17 +28,17 @@
   std::map<std::string, size_t> numbers_;
 };
 
-// Machines that may run tasks now, or are booting. All vectors are by the machine's index, in the
+// The machines that may run tasks now or are booting. All vectors are indexed by machine, in the
 // order of the machines' names.
 struct RoundMachines {
   std::vector<const fleet::Machine*> machines;
   std::vector<const model::MachineType*> machine_types;
-  std::vector<size_t> holders;  // 0 where machines are not divided
-  std::vector<MachineAvailability> slots;
+  std::vector<size_t> holders;  // 0 if machines are not divided
+  std::vector<MachineAvailability> availability;
   ZoneNumbers zones;
   double total_cpus = 0;
-  // By team: recorded as placed, but reported as done.
-  std::map<std::string, Resources> ended_by_team;
+  // By team, the resources of attempts that are recorded as placed but reported as done.
+  std::map<std::string, Resources> reported_done_by_team;
 
   size_t size() const { return machines.size(); }
 };
--- a/src/plan/round_result.h
+++ b/src/plan/round_result.h
@@ -1,5 +1,4 @@
-// What a round decides. Plain data, handed to whoever runs the round, which records and carries it
-// out.
+// The decisions of a round. Plain data for the caller, which records and executes them.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +13,16 @@
 
 namespace hallpier::plan {
 
-// Tasks that new machines would serve sooner than those that are there or booting.
+// Demand for new machines by tasks that these would serve sooner than the machines that are up or
+// booting.
 struct CapacityDemand {
   struct Choice {
     std::string machine_type;
-    size_t tasks_per_machine = 1;  // tasks that a machine of the type holds
+    size_t tasks_per_machine = 1;  // tasks that fit on one machine of the type
   };
   std::vector<Choice> choices;  // cheapest per task first
-  std::string zone;             // empty: any
-  bool spot = true;             // may be a spot instance
+  std::string zone;             // empty if any zone will do
+  bool spot = true;             // true if spot instances are allowed
   size_t tasks = 0;
 };
 
@@ -31,21 +31,23 @@
   model::TaskId task;
   uint64_t attempt = 0;
   std::string machine;
-  double grace_s = 0;   // time to write a checkpoint; 0: it is stopped at once
-  std::string for_job;  // who gets the resources; empty: the cloud is about to take the machine
+  double grace_s = 0;   // time to write a checkpoint; 0 to stop it immediately
+  std::string for_job;  // job that gets the resources; empty if the cloud reclaims the machine
 };
 
 struct RoundResult {
   std::vector<jobs::TaskTransition> placements;
   std::vector<Preemption> preemptions;
   std::vector<CapacityDemand> demands;
-  // Jobs that fail on every machine, of which one more task is started; a job for each such task.
+  // Jobs that fail on every machine and of which this round starts one more task; one entry per
+  // task.
   std::vector<std::string> retried_jobs;
-  // Tasks that wait and are within their teams' quotas, placed by this round or not.
+  // Waiting tasks within their teams' quotas, including those that this round places.
   size_t waiting_tasks = 0;
-  // With a scope, by holder and team: what the mapping places there, now or once it is free.
+  // If a scope is set, by holder and team: the resources of all mapped tasks, whether they start
+  // now or later.
   std::vector<std::map<std::string, Resources>> planned_by_holder;
-  // By team, the first job in the order of which the team's quota keeps tasks waiting.
+  // By team, the id of the first job in queue order with tasks that exceed the team's quota.
   std::map<std::string, std::string> first_job_over_quota;
 };
 
--- a/src/plan/run_time.cc
+++ b/src/plan/run_time.cc
@@ -5,10 +5,12 @@
 namespace hallpier::plan {
 namespace {
 
-// A running task that has outlived its prediction is expected to take this part of it more.
-constexpr double kOverrun = 0.1;
-// A service runs until it is cancelled: for more than a day, so that nobody waits for its end.
-constexpr double kServiceRunTime = 1e5;
+// A running task that exceeds its predicted run time is expected to run for this fraction of the
+// prediction longer.
+constexpr double kOverrunRatio = 0.1;
+// A service runs until it is cancelled. The prediction is more than a day, so that no task waits
+// for its end.
+constexpr double kServiceRunTimeS = 1e5;
 
 }  // namespace
 
@@ -20,7 +22,7 @@
 }
 
 double PredictRunTime(const jobs::Job& job, const std::string& machine_type) {
-  if (job.spec.kind == model::JobKind::kService) return kServiceRunTime;
+  if (job.spec.kind == model::JobKind::kService) return kServiceRunTimeS;
   if (auto mean = job.MeanRunTimeS(machine_type)) return *mean;
   if (auto mean = job.MeanRunTimeS()) return *mean;
   return job.spec.estimate_s;
@@ -29,12 +31,12 @@
 double RemainingTime(const RoundInput& input, const jobs::Job& job, const fleet::Machine& machine,
                      const model::TaskId& task, uint64_t attempt) {
   if (input.registry.stop_requests().Contains(task, attempt)) {
-    return job.spec.checkpoint_s + kStopReactions * ReactionTime(input.context);
+    return job.spec.checkpoint_s + kStopReactionRatio * ReactionTime(input.context);
   }
   const double run_s = PredictRunTime(job, machine.machine_type);
   const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
   if (reported == nullptr || reported->state != model::TaskPhase::kRunning) return run_s;
-  return std::max(run_s - (input.now - reported->since), kOverrun * run_s);
+  return std::max(run_s - (input.now - reported->since), kOverrunRatio * run_s);
 }
 
 }  // namespace hallpier::plan
--- a/src/plan/run_time.h
+++ b/src/plan/run_time.h
@@ -1,4 +1,4 @@
-// Predicted run times of tasks, whole and remaining. Pure functions.
+// Predicts the total and remaining run times of tasks. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,20 @@
 
 namespace hallpier::plan {
 
-// What stopping a task takes beyond its checkpoint, as a part of the reaction time.
-inline constexpr double kStopReactions = 1.0 / 3;
+// Time to stop a task, in addition to its checkpoint, as a fraction of the reaction time.
+inline constexpr double kStopReactionRatio = 1.0 / 3;
 
-// The phase of an attempt as its machine reports it; null if the machine reports no such attempt,
-// or another attempt of the task.
+// Returns the state of the attempt as reported by its machine; null if the machine reports no
+// attempt of the task, or a different one.
 const fleet::ReportedTask* FindReported(const fleet::Machine& machine, const model::TaskId& task,
                                         uint64_t attempt);
 
-// Expected run time of a job's task on a machine type, seconds: the learned mean there, else the
-// mean over all types, else the owner's estimate. A service is taken to run for very long.
+// Returns the expected run time, in seconds, of a task of the job on a machine type: the observed
+// mean on that type, else the mean over all types, else the owner's estimate. For a service,
+// returns more than a day.
 double PredictRunTime(const jobs::Job& job, const std::string& machine_type);
 
-// Seconds until a placed attempt frees its resources.
+// Returns the seconds until a placed attempt frees its resources.
 double RemainingTime(const RoundInput& input, const jobs::Job& job, const fleet::Machine& machine,
                      const model::TaskId& task, uint64_t attempt);
 
--- a/src/plan/spot_eviction.cc
+++ b/src/plan/spot_eviction.cc
@@ -4,8 +4,8 @@
 
 namespace hallpier::plan {
 
-std::vector<Preemption> EvictFromReclaimedMachines(const RoundInput& input) {
-  const double stop_s = kStopReactions * ReactionTime(input.context);
+std::vector<Preemption> PlanSpotEvictions(const RoundInput& input) {
+  const double stop_s = kStopReactionRatio * ReactionTime(input.context);
   std::vector<Preemption> preemptions;
   for (const auto& [name, machine] : input.registry.machines()) {
     if (!machine.HasSpotNotice()) continue;
@@ -15,8 +15,8 @@
       if (job == nullptr || input.registry.stop_requests().Contains(task, attempt)) continue;
       if (RemainingTime(input, *job, machine, task, attempt) < time_left - stop_s) continue;
       const model::JobSpec& spec = job->spec;
-      const bool saves = spec.checkpoint_every_s > 0 && spec.checkpoint_s < time_left;
-      preemptions.push_back({task, attempt, name, saves ? spec.checkpoint_s : 0, {}});
+      const bool takes_checkpoint = spec.checkpoint_every_s > 0 && spec.checkpoint_s < time_left;
+      preemptions.push_back({task, attempt, name, takes_checkpoint ? spec.checkpoint_s : 0, {}});
     }
   }
   return preemptions;
--- a/src/plan/spot_eviction.h
+++ b/src/plan/spot_eviction.h
@@ -1,4 +1,4 @@
-// Graceful eviction from spot instances that the cloud is about to take back. Pure.
+// Graceful eviction from spot instances that the cloud is about to reclaim. Pure function.
 #pragma once
 
 #include <vector>
@@ -8,9 +8,9 @@
 
 namespace hallpier::plan {
 
-// Preempts what runs on machines with a spot notice and can't end in time: it writes a checkpoint,
-// if there is time for one, and starts again elsewhere now rather than after the machine is found
-// to be gone.
-std::vector<Preemption> EvictFromReclaimedMachines(const RoundInput& input);
+// Returns preemptions of the attempts on machines with a spot notice that can't end in time. A
+// preempted task writes a checkpoint if there is time for one, and can restart elsewhere now rather
+// than after the machine is found to be gone.
+std::vector<Preemption> PlanSpotEvictions(const RoundInput& input);
 
 }  // namespace hallpier::plan
--- a/src/plan/starvation.cc
+++ b/src/plan/starvation.cc
@@ -7,25 +7,27 @@
 namespace hallpier::plan {
 namespace {
 
-// Tasks that ask for next to no processor are counted with this much, so that the share bounds
-// their number as well.
-constexpr double kLeastCpus = 0.01;
-// A job of which tasks are done or placed has had a turn: it starves after this many bounds.
-constexpr double kBoundsOnceBegun = 2;
+// Tasks that require less are counted with this many processors, so that the share also bounds the
+// number of tasks that require hardly any processors.
+constexpr double kMinAccountedCpus = 0.01;
+// A job with tasks that are done or placed has been served before, so its bound is multiplied by
+// this factor.
+constexpr double kStartedJobBoundFactor = 2;
 
 }  // namespace
 
 size_t StarvationGuard::TasksServedFirst(const jobs::Job& job) {
   const config::OperatorOptions& operators = *input_.context.operators;
-  const bool begun = job.done() + job.placed() > 0;
-  const double bound_s = (begun ? kBoundsOnceBegun : 1) * operators.starve_s;
+  const bool has_started = job.done() + job.placed() > 0;
+  const double bound_s = (has_started ? kStartedJobBoundFactor : 1) * operators.starve_s;
   if (input_.AgeOf(job) < bound_s) return 0;
-  const double need = std::max(job.spec.cpus, kLeastCpus);
-  const double left =
+  const double need = std::max(job.spec.cpus, kMinAccountedCpus);
+  const double cpus_left =
       operators.starve_share * total_cpus_ - used_cpus_ - static_cast<double>(job.placed()) * need;
-  // At least one task if no job has been served first yet: small sites are served, too.
-  const size_t least = used_cpus_ == 0 && !begun ? 1 : 0;
-  const size_t tasks = std::max(least, static_cast<size_t>(std::max(0.0, left / need)));
+  // A job that has not started gets at least one task if no other job has used the share, so that
+  // jobs do not starve on small sites either.
+  const size_t min_tasks = used_cpus_ == 0 && !has_started ? 1 : 0;
+  const size_t tasks = std::max(min_tasks, static_cast<size_t>(std::max(0.0, cpus_left / need)));
   const size_t used = job.placed() + std::min<size_t>(tasks, job.waiting());
   used_cpus_ += static_cast<double>(used) * need;
   return tasks;
--- a/src/plan/starvation.h
+++ b/src/plan/starvation.h
@@ -1,6 +1,6 @@
-// Keeps jobs from starving: whatever the order says, a steady stream of heavier, smaller or more
-// urgent work must not keep a job out for ever. Once a job has waited for the operators' bound, the
-// oldest such jobs are served first, with a set share of all processors. One object a round.
+// Prevents starvation: regardless of the job order, a steady stream of heavier, smaller or more
+// urgent work must not delay a job indefinitely. Jobs that have waited for the operators' bound are
+// served first, oldest first, within a configured share of all processors. One object per round.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
 
 class StarvationGuard {
  public:
-  // `total_cpus`: of all machines of the round.
+  // `total_cpus`: processors of all machines of the round.
   StarvationGuard(const RoundInput& input, double total_cpus)
       : input_(input), total_cpus_(total_cpus) {}
 
-  // How many tasks of a job that waits are served first; 0: the job has its usual place in the
-  // order. Jobs are to be asked for oldest first: each uses up part of the share.
+  // Returns how many tasks of a waiting job are served first; 0 if the job keeps its usual place in
+  // the order. Must be called for the oldest job first, since each call uses up part of the share.
   size_t TasksServedFirst(const jobs::Job& job);
 
  private:
   const RoundInput& input_;
   const double total_cpus_;
-  double used_cpus_ = 0;  // by the jobs that have waited beyond the bound
+  double used_cpus_ = 0;  // by jobs that have waited beyond the bound
 };
 
 }  // namespace hallpier::plan
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -10,10 +10,10 @@
 namespace hallpier::plan {
 namespace {
 
-// Where the placed tasks of a job are.
+// The zones of the placed tasks of a job.
 struct PlacedByZone {
-  std::map<std::string, size_t> tasks;  // by zone
-  bool unknown = false;                 // one is on a machine of which nothing is known
+  std::map<std::string, size_t> tasks;  // number of placed tasks by zone
+  bool unknown = false;                 // true if a task is on a machine that is not registered
 };
 
 PlacedByZone CountPlacedByZone(const jobs::Job& job, const fleet::WorkerRegistry& registry) {
@@ -32,8 +32,8 @@
   return placed;
 }
 
-// Seconds that fetching the image takes; 0 if the machine has it. `image`: its number, if any
-// machine is known to have it.
+// Returns the seconds that fetching the image takes; 0 if the machine has it. `image`: the number
+// of the image; std::nullopt if no machine is known to have it.
 double FetchTime(const model::JobSpec& spec, std::optional<size_t> image,
                  const fleet::Machine& machine, const model::MachineType& machine_type) {
   const bool present = image && *image < machine.images.size() && machine.images[*image];
@@ -48,22 +48,24 @@
   TaskClass task_class;
   task_class.need = RequirementOf(spec);
   task_class.count = queued.tasks;
-  // Whole machines stay free for large tasks. Urgent tasks start faster where little else starts.
+  // Packing keeps whole machines free for large tasks. Urgent tasks are not packed, since they
+  // start faster on machines where few other tasks start.
   task_class.pack = queued.job->priority > model::Priority::kUrgent;
   task_class.one_zone = spec.one_zone;
   const fleet::FailureTracker& failures = input_.registry.failure_tracker();
   const std::set<std::string>* failed_on = failures.FailedOn(spec.id);
   if (failed_on != nullptr && FailedOnAllMachines(spec, *failed_on)) {
-    // There is no machine that it has not failed on: it is retried there, but not at once.
+    // No allowed machine is left on which the job has not failed, so it is retried on machines
+    // where it has failed, after a delay.
     failed_on = nullptr;
-    if (!queued.retry) task_class.count = failures.IsRetryDue(spec.id, input_.now) ? 1 : 0;
+    if (!queued.is_retry) task_class.count = failures.IsRetryDue(spec.id, input_.now) ? 1 : 0;
   }
   task_class.run_s = RunTimes(*queued.job, failed_on);
   if (spec.one_zone || spec.spread) ConstrainZones(*queued.job, task_class);
   return task_class;
 }
 
-// True if a job has failed on every machine that it allows.
+// Returns true if the job has failed on every machine that its constraints allow.
 bool TaskClassBuilder::FailedOnAllMachines(const model::JobSpec& spec,
                                            const std::set<std::string>& failed_on) const {
   return std::all_of(machines_.machines.begin(), machines_.machines.end(),
@@ -72,8 +74,9 @@
                      });
 }
 
-// By holder, whether it may place tasks of a job; empty: all machines of the round are open to it.
-std::vector<char> TaskClassBuilder::HoldersAllowed(const jobs::Job& job) const {
+// Returns, by holder, whether it may place tasks of the job; empty if the job may use all machines
+// of the round.
+std::vector<char> TaskClassBuilder::AllowedHolders(const jobs::Job& job) const {
   std::vector<char> allowed;
   if (input_.scope == nullptr || input_.scope->single_holder) return allowed;
   for (size_t holder = 0; holder < input_.scope->holder_count; ++holder) {
@@ -82,8 +85,9 @@
   return allowed;
 }
 
-// Expected run time of a job's task on each machine, with the image's fetch where the machine lacks
-// it. `failed_on`: machines that it must not run on; null: none.
+// Returns the expected run time of a task of the job on each machine, including the time to fetch
+// the image where the machine lacks it. `failed_on`: machines on which it must not run; null if
+// there are none.
 std::vector<double> TaskClassBuilder::RunTimes(const jobs::Job& job,
                                                const std::set<std::string>* failed_on) const {
   const model::JobSpec& spec = job.spec;
@@ -92,14 +96,15 @@
     predicted[&machine_type] = PredictRunTime(job, machine_type.name);
   }
   const std::optional<size_t> image = input_.registry.image_index().Find(spec.image);
-  const std::vector<char> allowed_holders = HoldersAllowed(job);
+  const std::vector<char> allowed_holders = AllowedHolders(job);
   std::vector<double> run_times;
   run_times.reserve(machines_.size());
   for (size_t i = 0; i < machines_.size(); ++i) {
     const fleet::Machine& machine = *machines_.machines[i];
     const model::MachineType& machine_type = *machines_.machine_types[i];
-    const bool closed = !allowed_holders.empty() && allowed_holders[machines_.holders[i]] == 0;
-    if (closed || !AllowsMachine(spec, machine) ||
+    const bool holder_forbidden =
+        !allowed_holders.empty() && allowed_holders[machines_.holders[i]] == 0;
+    if (holder_forbidden || !AllowsMachine(spec, machine) ||
         (failed_on != nullptr && failed_on->contains(machine.name))) {
       run_times.push_back(kNotAllowed);
       continue;
@@ -109,25 +114,25 @@
   return run_times;
 }
 
-// Where the zones of a job's tasks depend on each other, the tasks that are placed already decide
-// what is left for the others.
+// Derives the zone constraints of the waiting tasks from the zones of the job's placed tasks.
 void TaskClassBuilder::ConstrainZones(const jobs::Job& job, TaskClass& task_class) {
   const model::JobSpec& spec = job.spec;
   const PlacedByZone placed = CountPlacedByZone(job, input_.registry);
-  // While a task is on a machine of which nothing is known, its zone is not known either.
+  // While a task is placed on an unregistered machine, its zone is unknown and no more tasks may be
+  // mapped.
   if (placed.unknown || (spec.one_zone && placed.tasks.size() > 1)) task_class.count = 0;
   if (spec.one_zone && placed.tasks.size() == 1) {
     task_class.fixed_zone = machines_.zones.NumberOf(placed.tasks.begin()->first);
   }
   if (!spec.spread) return;
-  // No zone takes more than half of the tasks, rounded up.
-  const size_t most = (spec.tasks + 1) / 2;
-  task_class.zone_allowance.assign(machines_.zones.size(), most);
+  // No zone may run more than half of the tasks, rounded up.
+  const size_t max_per_zone = (spec.tasks + 1) / 2;
+  task_class.zone_allowance.assign(machines_.zones.size(), max_per_zone);
   for (const auto& [zone, tasks] : placed.tasks) {
     const size_t number = machines_.zones.NumberOf(zone);
-    // A zone that got its number just now has no machine in this round.
+    // A zone whose number was assigned just now has no machine in this round.
     if (number >= task_class.zone_allowance.size()) continue;
-    task_class.zone_allowance[number] -= std::min(tasks, most);
+    task_class.zone_allowance[number] -= std::min(tasks, max_per_zone);
   }
 }
 
--- a/src/plan/task_classes.h
+++ b/src/plan/task_classes.h
@@ -1,6 +1,6 @@
-// Describes the waiting tasks of a job as a class for the mapping: on which machines they may run
-// and for how long, and how they are spread over zones. One object a round; refers to the round's
-// input and machines.
+// Describes the waiting tasks of a job as a class for the mapping: the machines on which they may
+// run, their run times there, and their zone constraints. One object per round; refers to the
+// round's input and machines.
 #pragma once
 
 #include <set>
@@ -16,7 +16,7 @@
 
 class TaskClassBuilder {
  public:
-  // `machines`: zones of placed tasks that have no number yet get one there.
+  // Adds the zones of placed tasks that have no number yet to `machines`.
   TaskClassBuilder(const RoundInput& input, RoundMachines& machines)
       : input_(input), machines_(machines) {}
 
@@ -25,7 +25,7 @@
  private:
   bool FailedOnAllMachines(const model::JobSpec& spec,
                            const std::set<std::string>& failed_on) const;
-  std::vector<char> HoldersAllowed(const jobs::Job& job) const;
+  std::vector<char> AllowedHolders(const jobs::Job& job) const;
   std::vector<double> RunTimes(const jobs::Job& job, const std::set<std::string>* failed_on) const;
   void ConstrainZones(const jobs::Job& job, TaskClass& task_class);
 
--- a/src/plan/task_mapping.cc
+++ b/src/plan/task_mapping.cc
@@ -9,23 +9,24 @@
 namespace hallpier::plan {
 namespace {
 
-// In how many steps of the task's run time it is compared how much longer a machine would be in
-// use.
+// The extra time for which a task keeps a machine in use is compared in this many steps per run
+// time of the task.
 constexpr double kExtensionSteps = 4;
 constexpr double kMillisecondsPerSecond = 1e3;
 
-// What a class would get on a machine when it was last evaluated.
+// The placement of a task of a class on one machine, as of its last evaluation.
 struct Candidate {
   double completion;
-  int64_t completion_ms;  // in whole milliseconds
+  int64_t completion_ms;  // `completion` in whole milliseconds
   double start;
-  double extension;  // how much longer the machine would be in use, where the class packs
-  double free_cpus;  // where the class packs
+  double extension;  // steps by which the machine's use would be extended; 0 unless `pack` is set
+  double free_cpus;  // free processors now; 0 unless `pack` is set
   size_t machine;
 
-  // Of equal completions the machine that would be in use anyway, then the fullest, then the first
-  // one: so that whole machines come free for tasks that need one. Completions are compared in
-  // whole milliseconds: that is an order, as a comparison with a tolerance would not be.
+  // Among equal completion times, prefers the machine that is in use anyway, then the fullest, then
+  // the first one, so that whole machines become free for tasks that need one. Completion times are
+  // compared in whole milliseconds because that is a strict weak order; a comparison with a
+  // tolerance is not.
   friend bool operator>(const Candidate& left, const Candidate& right) {
     if (left.completion_ms != right.completion_ms) return left.completion_ms > right.completion_ms;
     if (left.extension != right.extension) return left.extension > right.extension;
@@ -37,9 +38,9 @@
   }
 };
 
-// The candidates of one class, as a heap with the best on top. Reservations only ever take
-// resources, so a candidate can become worse but never better: the best one is found by evaluating
-// the top of the heap again, not every machine.
+// The candidate machines of one class, as a heap with the best on top. Reservations only ever take
+// resources, so a candidate can become worse but never better. The best one is therefore found by
+// re-evaluating the top of the heap rather than every machine.
 class CandidateHeap {
  public:
   CandidateHeap(const TaskClass& task_class, const std::vector<MachineAvailability>& machines)
@@ -56,20 +57,20 @@
     Refresh();
   }
 
-  // Null if no task is left, or none fits anywhere.
+  // Returns null if no task is left to map, or none fits on any machine.
   const Candidate* best() const {
     return tasks_left_ == 0 || heap_.empty() ? nullptr : &heap_.front();
   }
 
-  // The best candidate is assigned to a task of the class.
-  void TakeBest() {
+  // Assigns the best candidate to a task of the class.
+  void AssignBest() {
     --tasks_left_;
     const size_t zone = machines_[heap_.front().machine].zone;
     if (task_class_.one_zone) fixed_zone_ = zone;
     if (!zone_allowance_.empty()) --zone_allowance_[zone];
   }
 
-  // Evaluates the top again until it is up to date.
+  // Re-evaluates the top of the heap until its evaluation is current.
   void Refresh() {
     while (tasks_left_ > 0 && !heap_.empty()) {
       const Candidate top = heap_.front();
@@ -87,10 +88,10 @@
   }
 
  private:
-  // What a task of the class would get on the machine; false if it can never run there. Fills
-  // `candidate` in place: with std::optional as the result GCC 12 compiles the heap's comparisons
-  // to conditional moves, which wait for memory, and a round of 4,000 machines took a quarter to a
-  // half longer.
+  // Evaluates the machine for a task of the class; returns false if the task can never run there.
+  // Fills `candidate` in place: with a std::optional result, GCC 12 compiles the heap's comparisons
+  // to conditional moves, which wait for memory, and a round with 4,000 machines took 25 to 50 %
+  // longer.
   bool Evaluate(size_t machine, Candidate* candidate) const {
     const double run_s = task_class_.run_s[machine];
     if (run_s < 0) return false;
@@ -105,9 +106,9 @@
                   .free_cpus = 0,
                   .machine = machine};
     if (!task_class_.pack) return true;
-    // In steps, so that small differences do not spread tasks over half-empty machines.
-    const double longer_s = std::max(0.0, run_s - timeline.last_change());
-    candidate->extension = std::ceil(longer_s * kExtensionSteps / run_s);
+    // Rounded to steps, so that small differences do not spread tasks over half-empty machines.
+    const double extension_s = std::max(0.0, run_s - timeline.last_change());
+    candidate->extension = std::ceil(extension_s * kExtensionSteps / run_s);
     candidate->free_cpus = timeline.free_now().cpus;
     return true;
   }
@@ -130,8 +131,8 @@
                                         : left.completion > right.completion;
 }
 
-// The class whose best candidate is assigned next; the first of equals. Nothing if no class has a
-// candidate.
+// Returns the class whose best candidate is assigned next, the first one among equals; std::nullopt
+// if no class has a candidate.
 std::optional<size_t> NextClass(MappingOrder order, const std::vector<CandidateHeap>& heaps) {
   const Candidate* chosen = nullptr;
   size_t chosen_class = 0;
@@ -180,9 +181,9 @@
     timeline.Reserve(start, run_s, task_class.need);
     mapping.assignments.push_back({*chosen, machine, start, run_s});
     mapping.cost += run_s + start;
-    heaps[*chosen].TakeBest();
-    // Only the classes whose best candidate is this machine, and the one that has less allowance
-    // left in its zones, must be evaluated again.
+    heaps[*chosen].AssignBest();
+    // Only two kinds of classes need a re-evaluation: those whose best candidate is this machine,
+    // and the class of the task, which now has less zone allowance left.
     for (size_t i = 0; i < heaps.size(); ++i) {
       const Candidate* best = heaps[i].best();
       if (best != nullptr && (i == *chosen || best->machine == machine)) heaps[i].Refresh();
@@ -193,17 +194,17 @@
 
 Mapping MapTasksDuplex(const std::vector<TaskClass>& classes,
                        std::vector<MachineAvailability>& machines, size_t limit) {
-  // Tasks that are all alike leave nothing to order.
+  // With a single class both orders give the same mapping.
   if (classes.size() == 1) return MapTasks(MappingOrder::kMinMin, classes, machines, limit);
   TimelineUndoLog min_min_log(machines.size());
   Mapping min_min = MapTasks(MappingOrder::kMinMin, classes, machines, limit, &min_min_log);
   min_min_log.Exchange(machines);
   TimelineUndoLog min_max_log(machines.size());
   Mapping min_max = MapTasks(MappingOrder::kMinMax, classes, machines, limit, &min_max_log);
-  // A mapping that serves more tasks is better however much they add to the sum.
-  const bool more = min_max.assignments.size() > min_min.assignments.size();
-  const bool same = min_max.assignments.size() == min_min.assignments.size();
-  if (more || (same && min_max.cost < min_min.cost)) return min_max;
+  // A mapping that serves more tasks is better even if the additional tasks raise its cost.
+  const bool serves_more = min_max.assignments.size() > min_min.assignments.size();
+  const bool serves_as_many = min_max.assignments.size() == min_min.assignments.size();
+  if (serves_more || (serves_as_many && min_max.cost < min_min.cost)) return min_max;
   min_max_log.Exchange(machines);
   min_min_log.Exchange(machines);
   return min_min;
--- a/src/plan/task_mapping.h
+++ b/src/plan/task_mapping.h
@@ -1,6 +1,6 @@
-// Maps waiting tasks to machines by expected completion: min-min, min-max, and Duplex, which keeps
-// the better of both (Collins & George 2001, see docs/design.md). Does no I/O and keeps no state;
-// a call changes the timelines that it is given and nothing else.
+// Maps waiting tasks to machines by expected completion time with the heuristics min-min, min-max
+// and Duplex, which keeps the better of both mappings (Collins & George 2001, see docs/design.md).
+// Does no I/O and keeps no state; a call changes only the timelines that are passed to it.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,26 @@
 
 namespace hallpier::plan {
 
-// The bin that tasks are packed into: one machine, with what is free there over time.
+// A machine to which tasks are mapped, with its free resources over time.
 struct MachineAvailability {
   ResourceTimeline timeline;
   size_t zone = 0;
 };
 
-// In TaskClass::run_s: the class may not run on the machine.
+// Value in TaskClass::run_s for a machine on which the class must not run.
 inline constexpr double kNotAllowed = -1;
 
-// Tasks that are alike: one evaluation serves them all.
+// Tasks with the same requirements and run times, so that one evaluation holds for all of them.
 struct TaskClass {
-  Resources need;  // of one task
-  size_t count = 0;
-  std::vector<double> run_s;  // expected run time by machine; negative: not allowed there
-  bool pack = false;          // of equal completions it prefers a machine that is in use anyway
-  bool one_zone = false;      // all tasks in the same zone
-  // With one_zone: the zone of the tasks that are placed already, if there are any.
+  Resources need;             // requirement of one task
+  size_t count = 0;           // number of tasks
+  std::vector<double> run_s;  // expected run time by machine; negative if it must not run there
+  bool pack = false;          // prefers machines already in use if completion times are equal
+  bool one_zone = false;      // all tasks must run in the same zone
+  // If `one_zone`: the zone of the job's tasks that are already placed; std::nullopt if there are
+  // none.
   std::optional<size_t> fixed_zone;
-  // By zone, how many more tasks it may take; empty: any number.
+  // By zone, the number of further tasks that may run there; empty if zones are not limited.
   std::vector<size_t> zone_allowance;
 };
 
@@ -43,22 +44,22 @@
 
 struct Mapping {
   std::vector<Assignment> assignments;
-  double cost = 0;  // summed run times and delays, seconds
+  double cost = 0;  // sum of all run times and start delays, seconds
 };
 
-// Which class is served next, by the completion of its best candidate: the one that ends first, or
-// the one that ends last.
+// Selects the class to serve next by the completion time of its best candidate machine: the
+// earliest (min-min) or the latest (min-max).
 enum class MappingOrder { kMinMin, kMinMax };
 
-// The timelines of machines as they were before a mapping changed them.
+// Keeps the timelines of machines from before a mapping changed them.
 class TimelineUndoLog {
  public:
   explicit TimelineUndoLog(size_t machines) : saved_(machines, false) {}
 
-  // Keeps the machine's timeline, at the first call for that machine only.
+  // Saves the machine's timeline; later calls for the same machine have no effect.
   void Save(size_t machine, const ResourceTimeline& timeline);
-  // Exchanges the saved timelines and those of the machines: called once it undoes the mapping,
-  // called again it redoes it.
+  // Swaps the saved timelines with those of the machines: the first call undoes the mapping, the
+  // second one redoes it.
   void Exchange(std::vector<MachineAvailability>& machines);
 
  private:
@@ -70,14 +71,15 @@
   std::vector<Snapshot> snapshots_;
 };
 
-// Maps at most `limit` tasks in one order and reserves their resources. What does not fit anywhere
-// stays out. `undo_log`: gets what is needed to undo the mapping; null: it is not undone.
+// Maps at most `limit` tasks in one order and reserves their resources. Tasks that fit on no
+// machine are left out. `undo_log` receives the timelines that are needed to undo the mapping; null
+// if the mapping need not be undone.
 Mapping MapTasks(MappingOrder order, const std::vector<TaskClass>& classes,
                  std::vector<MachineAvailability>& machines, size_t limit,
                  TimelineUndoLog* undo_log = nullptr);
 
-// Maps in both orders and keeps the mapping that serves more tasks or, if both serve as many, the
-// one of less cost. `machines` is left as that mapping has it.
+// Maps in both orders and returns the mapping that serves more tasks or, if both serve the same
+// number, the one with the lower cost. `machines` holds the reservations of the returned mapping.
 Mapping MapTasksDuplex(const std::vector<TaskClass>& classes,
                        std::vector<MachineAvailability>& machines, size_t limit);
 
--- a/src/plan/team_quota.cc
+++ b/src/plan/team_quota.cc
@@ -6,7 +6,7 @@
 namespace hallpier::plan {
 namespace {
 
-// How many of `tasks` tasks that take `need` each have enough in `left`.
+// Returns how many of `tasks` tasks that require `need` each are covered by `left`.
 size_t TasksWithin(double left, double need, size_t tasks) {
   if (need <= 0 || left == std::numeric_limits<double>::infinity()) return tasks;
   return static_cast<size_t>(std::max(0.0, WholeQuotient(left, need)));
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-TeamQuotas TeamQuotas::FromTeamLimits(const std::vector<config::Team>& teams,
-                                      const std::vector<const jobs::Job*>& jobs,
-                                      const std::map<std::string, Resources>& ended_by_team) {
+TeamQuotas TeamQuotas::FromTeamLimits(
+    const std::vector<config::Team>& teams, const std::vector<const jobs::Job*>& jobs,
+    const std::map<std::string, Resources>& reported_done_by_team) {
   TeamQuotas quotas;
   for (const config::Team& team : teams) {
     Account& account = quotas.accounts_[team.name];
@@ -29,7 +29,7 @@
     account.cpus_left -= placed * job->spec.cpus;
     account.gpus_left -= placed * job->spec.gpus;
   }
-  for (const auto& [team, resources] : ended_by_team) {
+  for (const auto& [team, resources] : reported_done_by_team) {
     quotas.accounts_[team].cpus_left += resources.cpus;
     quotas.accounts_[team].gpus_left += resources.gpus;
   }
--- a/src/plan/team_quota.h
+++ b/src/plan/team_quota.h
@@ -1,5 +1,5 @@
-// Quota and guarantee accounts of all teams within one round. Processors and GPUs are accounted
-// for, memory is not. Owned by the round that it is made for; one thread.
+// The accounts of all teams' quotas and guarantees within one round. Covers processors and GPUs,
+// but not memory. Owned by one round and used by one thread.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +16,29 @@
 
 class TeamQuotas {
  public:
-  // The teams' limits, less all that is placed. `jobs`: all unfinished ones. `ended_by_team`: what
-  // is recorded as placed although its tasks are done.
+  // Returns accounts with the teams' limits, less all placed tasks. `jobs`: all unfinished jobs.
+  // `reported_done_by_team`: resources of tasks that are recorded as placed although they are done.
   static TeamQuotas FromTeamLimits(const std::vector<config::Team>& teams,
                                    const std::vector<const jobs::Job*>& jobs,
-                                   const std::map<std::string, Resources>& ended_by_team);
-  // What is left of each team's share of a holder. A team that is not named has no limit.
+                                   const std::map<std::string, Resources>& reported_done_by_team);
+  // Returns accounts with the given allowances: the remainder of each team's share of one holder. A
+  // team without an entry has no limit.
   static TeamQuotas FromAllowances(const std::map<std::string, Resources>& allowances);
 
-  // Charges the unfinished tasks of a job to its team's guarantee; jobs are charged oldest first.
-  // True if all that is charged so far, this job included, is within the guarantee. `team`: null if
-  // the settings don't name it; it then has none.
+  // Charges the unfinished tasks of a job to its team's guarantee. Must be called for the oldest
+  // job first. Returns true if the guarantee covers all charges so far, including this job. `team`
+  // is null if the settings don't contain the team, which then has no guarantee.
   bool ChargeGuarantee(const jobs::Job& job, const config::Team* team);
 
-  // Takes up to `tasks` tasks off the quota of their team. How many there was enough left for.
+  // Charges up to `tasks` tasks to their team's quota. Returns how many of them the remaining quota
+  // covers.
   size_t Admit(const model::JobSpec& spec, size_t tasks);
 
  private:
   struct Account {
     double cpus_left = std::numeric_limits<double>::infinity();
     double gpus_left = std::numeric_limits<double>::infinity();
-    Resources guarantee_used;  // by what is left of the jobs charged so far
+    Resources guarantee_used;  // unfinished tasks of the jobs charged so far
   };
   std::map<std::string, Account> accounts_;  // by team
 };
