--- a/src/controller/copy_confirmation.cc
+++ b/src/controller/cache_revalidation.cc
@@ -1,4 +1,4 @@
-#include "controller/copy_confirmation.h"
+#include "controller/cache_revalidation.h"
 
 namespace hallpier::controller {
 namespace {
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -48,7 +48,7 @@
   async::Scope& term = *term_;
   bool sent = true;
   do {
-    queue_.OnAttempt(machine);
+    queue_.OnCommandsCollected(machine);
     sent = co_await SendOnce(machine);
   } while (sent && !term.cancelled() && queue_.NeedsRepeat(machine));
   queue_.Finish(machine);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "config/operator_options.h"
-#include "controller/copy_confirmation.h"
+#include "controller/cache_revalidation.h"
 
 namespace hallpier::controller {
 namespace {
--- a/src/controller/direct_command_queue.h
+++ b/src/controller/direct_command_queue.h
@@ -22,7 +22,7 @@
   // command to it is under way, which is to be repeated, or there is no room yet.
   bool Request(const std::string& machine);
   // An active machine's commands are collected now: they include all that was requested so far.
-  void OnAttempt(const std::string& machine) { requested_.erase(machine); }
+  void OnCommandsCollected(const std::string& machine) { requested_.erase(machine); }
   // True if commands were requested for an active machine since its last attempt.
   bool NeedsRepeat(const std::string& machine) const { return requested_.contains(machine); }
   // The commands to an active machine are done with.
--- a/src/controller/oversized_writes.h
+++ b/src/controller/oversized_writes.h
@@ -22,7 +22,7 @@
   // True if these writes were rejected alone, with the same sizes.
   bool IsRejected(const std::vector<model::KeyWrite>& writes) const;
   // Keys whose writes must share a transaction with no others.
-  const std::set<std::string>& alone() const { return alone_; }
+  const std::set<std::string>& isolated_keys() const { return alone_; }
 
  private:
   // What a rejection for size depends on; not on the times that are in final records.
--- a/src/controller/state_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "controller/state_dispatcher.h"
+#include "controller/record_dispatcher.h"
 
 #include <optional>
 
--- a/src/controller/replan_policy.cc
+++ b/src/controller/replan_policy.cc
@@ -2,8 +2,8 @@
 
 namespace hallpier::controller {
 
-bool ReplanPolicy::ReplanInsteadOf(const jobs::Transaction& transaction, bool round_requested,
-                                   double now) {
+bool ReplanPolicy::ShouldReplan(const jobs::Transaction& transaction, bool round_requested,
+                                double now) {
   // Urgent work may go before anything that ranks behind the ends of jobs.
   if (urgent_work_ && transaction.priority > jobs::WritePriority::kJobEnd) return true;
   // Background writes are dropped for anything new, except for one transaction in each interval: on
--- a/src/controller/replan_policy.h
+++ b/src/controller/replan_policy.h
@@ -16,11 +16,11 @@
   // Prod or urgent work has come that no round has considered yet.
   void OnUrgentWork() { urgent_work_ = true; }
   // A round begins, which considers all that has come so far.
-  void OnRoundBegins() { urgent_work_ = false; }
+  void OnRoundStarted() { urgent_work_ = false; }
   // True if a transaction, and all behind it, is to be dropped in favour of a new round.
   // `round_requested`: something new has come since the round began. `now`: steady time, s. False
   // means that the transaction is sent.
-  bool ReplanInsteadOf(const jobs::Transaction& transaction, bool round_requested, double now);
+  bool ShouldReplan(const jobs::Transaction& transaction, bool round_requested, double now);
 
  private:
   const double background_interval_s_;
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -67,8 +67,8 @@
 TransactionCommitter::Hooks RoundRunner::CommitHooks() {
   TransactionCommitter::Hooks hooks;
   hooks.replan_instead = [this](const jobs::Transaction& transaction) {
-    return replan_policy_.ReplanInsteadOf(transaction, parts_.trigger.requested(),
-                                          services_.scope->loop().Now());
+    return replan_policy_.ShouldReplan(transaction, parts_.trigger.requested(),
+                                       services_.scope->loop().Now());
   };
   hooks.describe = [this](const jobs::Transaction& transaction) {
     return DescribeFinishedJobs(transaction, *services_.job_table, services_.time_of_day());
@@ -82,7 +82,7 @@
 }
 
 void RoundRunner::BeginTerm() {
-  replan_policy_.OnRoundBegins();
+  replan_policy_.OnRoundStarted();
   committer_.Reset();
   parts_.trigger.Request();  // for what the former leader left undone
 }
@@ -125,7 +125,7 @@
   const bool prepared = co_await Prepare(term);
   if (!prepared) co_return;
   const double began = term.loop().Now();
-  replan_policy_.OnRoundBegins();
+  replan_policy_.OnRoundStarted();
   parts_.registry.UpdateObservations(*services_.job_table);
   std::vector<jobs::TaskTransition> transitions =
       fleet::CollectTaskTransitions(parts_.registry, *services_.job_table, began);
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -26,7 +26,7 @@
   limits.task_end_max_wait_s = services_.settings->heartbeat_interval_s;
   limits.packed_groups = services_.formats->packed_groups_enabled();
   limits.time_of_day = services_.time_of_day();
-  limits.isolated_keys = &oversized_.alone();
+  limits.isolated_keys = &oversized_.isolated_keys();
   return limits;
 }
 
--- a/tests/direct_command_queue_test.cc
+++ b/tests/direct_command_queue_test.cc
@@ -34,11 +34,11 @@
 TEST(DirectCommandQueue, RepeatsWhatIsRequestedDuringACommand) {
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-1"));
-  queue.OnAttempt("vm-1");
+  queue.OnCommandsCollected("vm-1");
   EXPECT_FALSE(queue.NeedsRepeat("vm-1"));
   EXPECT_FALSE(queue.Request("vm-1")) << "one command at a time for each machine";
   EXPECT_TRUE(queue.NeedsRepeat("vm-1"));
-  queue.OnAttempt("vm-1");
+  queue.OnCommandsCollected("vm-1");
   EXPECT_FALSE(queue.NeedsRepeat("vm-1"));
 }
 
@@ -48,7 +48,7 @@
   EXPECT_FALSE(queue.Request("vm-2"));
   queue.Finish("vm-1");
   EXPECT_TRUE(queue.Request("vm-2")) << "there is room before its turn comes";
-  queue.OnAttempt("vm-2");
+  queue.OnCommandsCollected("vm-2");
   EXPECT_EQ(queue.StartNext(), std::nullopt);
   queue.Finish("vm-2");
   EXPECT_EQ(queue.StartNext(), std::nullopt);
@@ -61,7 +61,7 @@
   EXPECT_FALSE(queue.Request("vm-3"));
   queue.Finish("vm-1");
   EXPECT_TRUE(queue.Request("vm-3"));
-  queue.OnAttempt("vm-3");
+  queue.OnCommandsCollected("vm-3");
   EXPECT_FALSE(queue.Request("vm-3"));
   queue.Finish("vm-2");
   EXPECT_EQ(queue.StartNext(), std::nullopt) << "its command is under way";
--- a/tests/oversized_writes_test.cc
+++ b/tests/oversized_writes_test.cc
@@ -13,7 +13,7 @@
   const Writes together = {{"key-1", "1234", 0}, {"key-2", "12", 0}};
   EXPECT_FALSE(oversized.IsRejected(together));
   EXPECT_FALSE(oversized.OnRejected(together));
-  EXPECT_EQ(oversized.alone(), (std::set<std::string>{"key-1", "key-2"}));
+  EXPECT_EQ(oversized.isolated_keys(), (std::set<std::string>{"key-1", "key-2"}));
   EXPECT_FALSE(oversized.IsRejected({together[0]})) << "alone it may pass";
 }
 
@@ -36,7 +36,7 @@
   oversized.OnRejected(write);
   oversized.Clear();
   EXPECT_FALSE(oversized.IsRejected(write));
-  EXPECT_TRUE(oversized.alone().empty());
+  EXPECT_TRUE(oversized.isolated_keys().empty());
 }
 
 }  // namespace
