--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -15,10 +15,10 @@
 namespace hallpier::controller {
 namespace {
 
-// Views are sent this often within the lease of a block, at the least.
-constexpr double kViewsPerLease = 4;
-// Views to one node whose acknowledgement is awaited.
-constexpr size_t kMaxUnacknowledged = 64;
+// The minimum number of views sent within the lease of a block.
+constexpr double kMinViewsPerLease = 4;
+// Maximum number of views to one node that await an acknowledgement.
+constexpr size_t kMaxUnacknowledgedViews = 64;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     : services_(services),
       registry_(registry),
       context_(context),
-      lending_(*services.settings, services.operators->blocks) {
+      lending_(*services.settings, services.operator_options->blocks) {
   for (const std::string& node : services.settings->OtherNodes()) links_[node];
 }
 
@@ -36,21 +36,21 @@
   term_ = &term;
   retry_grants_.clear();
   for (auto& [node, link] : links_) link = Link();
-  last_pause_ = Now();
+  last_pause_end_ = Now();
   lending_.BeginTerm(services_.election->token(), *services_.block_records, Now());
-  term.Spawn(SendRegularly());
+  term.Spawn(SendViewsPeriodically());
 }
 
-void BlockCoordinator::OnMember(const std::string& node,
-                                const std::optional<membership::MemberRecord>& record) {
-  // A suspect may still refute; if it does not answer, its lease runs out first.
+void BlockCoordinator::OnMemberRecord(const std::string& node,
+                                      const std::optional<membership::MemberRecord>& record) {
+  // A suspect may still refute the suspicion; if it doesn't respond, its lease expires first.
   const bool present = record && (record->state == model::MemberState::kAlive ||
                                   record->state == model::MemberState::kSuspect);
   lending_.holders().OnMember(node,
                               present ? std::optional(record->incarnation.session) : std::nullopt);
 }
 
-void BlockCoordinator::OnLink(const std::string& node) {
+void BlockCoordinator::OnLinkChanged(const std::string& node) {
   auto it = links_.find(node);
   if (it != links_.end()) it->second = Link();
 }
@@ -67,49 +67,50 @@
   link.unacknowledged.erase(link.unacknowledged.begin(), std::next(sent));
 }
 
-blocks::CopyState BlockCoordinator::Copy() const {
+blocks::CopyState BlockCoordinator::CurrentCopyState() const {
   return {services_.cache->revision(), services_.election->token()};
 }
 
-double BlockCoordinator::WidenS() const {
-  return services_.operators->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
+double BlockCoordinator::WideningIntervalS() const {
+  return services_.operator_options->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
 }
 
 double BlockCoordinator::ViewIntervalS() const {
-  return services_.operators->blocks.lease_ratio * services_.settings->heartbeat_interval_s /
-         kViewsPerLease;
+  return services_.operator_options->blocks.lease_ratio * services_.settings->heartbeat_interval_s /
+         kMinViewsPerLease;
 }
 
-bool BlockCoordinator::MayPlaceOnAll() const {
+bool BlockCoordinator::MayPlaceOnAllMachines() const {
   return !divided() && services_.cache->revision() >= services_.block_records->newest();
 }
 
 std::optional<size_t> BlockCoordinator::HolderIndex(uint64_t session) const {
-  return services_.block_records->Holding(services_.settings->node, session, Copy());
+  return services_.block_records->Holding(services_.settings->node, session, CurrentCopyState());
 }
 
 plan::PlacementScope BlockCoordinator::WholeScope() const {
-  return services_.block_records->WholeScope(WidenS(), services_.time_of_day());
+  return services_.block_records->WholeScope(WideningIntervalS(), services_.time_of_day());
 }
 
 plan::PlacementScope BlockCoordinator::HolderScope(size_t holder) const {
-  return services_.block_records->HolderScope(holder, WidenS(), services_.time_of_day(),
+  return services_.block_records->HolderScope(holder, WideningIntervalS(), services_.time_of_day(),
                                               *services_.settings, *services_.job_table);
 }
 
-void BlockCoordinator::CheckPause() {
+void BlockCoordinator::HandlePause() {
   const double resumed_at = term_->loop().resumed_at();
-  if (resumed_at <= last_pause_) return;
-  last_pause_ = resumed_at;
+  if (resumed_at <= last_pause_end_) return;
+  last_pause_end_ = resumed_at;
   lending_.holders().OnPause(Now());
 }
 
 async::Task<> BlockCoordinator::ReviewAfterRound(const plan::RoundResult& round,
                                                  const plan::PlacementScope* scope) {
-  CheckPause();
+  HandlePause();
   co_await ReviewDivision();
   if (term_->cancelled()) co_return;
-  // A plan that was made for another number of holders says nothing of the present ones' shares.
+  // The shares of the current holders can't be derived from a plan for a different number of
+  // holders.
   const size_t holders = services_.block_records->division().record().holders.size();
   if (scope != nullptr && scope->holder_count == holders) {
     GrantRetries(round, *scope);
@@ -121,10 +122,11 @@
 
 async::Task<> BlockCoordinator::ReviewDivision() {
   const bool all_understand = services_.formats->AllUnderstandBlocks();
-  auto change = lending_.ReviewDivision(*services_.block_records, Copy(), all_understand, Now());
+  auto change =
+      lending_.ReviewDivision(*services_.block_records, CurrentCopyState(), all_understand, Now());
   if (!change) co_return;
   spdlog::info("blocks: division record={}", change->writes[0].value);
-  co_await Write(std::move(*change));
+  co_await CommitChange(std::move(*change));
 }
 
 async::Task<> BlockCoordinator::ReviewShares(const plan::RoundResult& round,
@@ -132,18 +134,19 @@
   const blocks::WriteLimits limits = {
       static_cast<size_t>(services_.formats->max_transaction_writes()),
       services_.formats->max_value_bytes()};
-  auto change = lending_.ReviewShares(*services_.block_records, Copy(), *services_.job_table,
-                                      registry_, context_, round, scope, limits);
+  auto change =
+      lending_.ReviewShares(*services_.block_records, CurrentCopyState(), *services_.job_table,
+                            registry_, context_, round, scope, limits);
   if (!change) co_return;
   for (const model::KeyWrite& write : change->writes) {
     spdlog::debug("blocks: share key={} record={}", write.key, write.value);
   }
-  co_await Write(std::move(*change));
+  co_await CommitChange(std::move(*change));
 }
 
-async::Task<> BlockCoordinator::Write(blocks::RecordChange change) {
-  // Without an answer it may be carried out late. Its preconditions name every record of blocks and
-  // shares, so that nothing that was decided since stands beside it.
+async::Task<> BlockCoordinator::CommitChange(blocks::RecordChange change) {
+  // A transaction without a response may be executed late. Its preconditions cover every record of
+  // blocks and shares, so it can't take effect alongside a later decision.
   auto result = co_await services_.client->Commit(change.preconditions, change.writes,
                                                   store::RequestPriority::kUrgent);
   if (term_->cancelled()) co_return;
@@ -196,13 +199,13 @@
       link.unacknowledged[view.sequence] = Now();
       services_.send(node, view);
     }
-    while (link.unacknowledged.size() > kMaxUnacknowledged) {
+    while (link.unacknowledged.size() > kMaxUnacknowledgedViews) {
       link.unacknowledged.erase(link.unacknowledged.begin());
     }
   }
 }
 
-async::Task<> BlockCoordinator::SendRegularly() {
+async::Task<> BlockCoordinator::SendViewsPeriodically() {
   async::Scope& term = *term_;
   while (!term.cancelled()) {
     async::Sleep pause(term, ViewIntervalS());
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -1,6 +1,6 @@
-// The leader's duties where machines are divided among controllers (docs/team-limits.md): it
-// assigns blocks to holders and takes them back, lends holders shares of the teams' quotas, and
-// sends them views of their machines. Owned by the leader; its routine ends with the term.
+// Divides the machines among the controllers on behalf of the leader (docs/team-limits.md): assigns
+// blocks of machines to holders and takes them back, lends holders shares of the teams' quotas, and
+// sends them views of their machines. Owned by the leader; its coroutine ends with the term.
 #pragma once
 
 #include <cstdint>
@@ -22,58 +22,65 @@
 
 class BlockCoordinator {
  public:
-  // All references must outlive this.
+  // All references must outlive this object.
   BlockCoordinator(const NodeServices& services, const fleet::WorkerRegistry& registry,
                    const plan::PlanningContext& context);
 
-  // A term begins; its duties end with the scope.
+  // Starts the work of a term, which ends when the scope is cancelled.
   void BeginTerm(async::Scope& term);
-  // A member's record has changed; nothing: it was deleted, or can't be read.
-  void OnMember(const std::string& node, const std::optional<membership::MemberRecord>& record);
-  // The link to a node was made or has broken.
-  void OnLink(const std::string& node);
+  // Handles a change of a member's record. `record` is std::nullopt if the record was deleted or
+  // can't be decoded.
+  void OnMemberRecord(const std::string& node,
+                      const std::optional<membership::MemberRecord>& record);
+  // Handles a link to a node that was established or lost.
+  void OnLinkChanged(const std::string& node);
+  // Handles a holder's acknowledgement of a view.
   void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
 
-  // True while blocks have holders, by the records as they are known here.
+  // True while blocks have holders, according to the records known to this node.
   bool divided() const { return services_.block_records->division().divided(); }
-  // True if the leader may place on all machines, under the quotas themselves: no block has a
-  // holder, and the copy of the records has all that was placed while some had.
-  bool MayPlaceOnAll() const;
-  // This node's index among the holders; nothing: it may not place on a block of its own now.
-  // `session`: of this process in the membership.
+  // True if the leader may place on all machines, limited by the full quotas: no block has a
+  // holder, and the watch cache contains every placement that was made while some block had one.
+  bool MayPlaceOnAllMachines() const;
+  // Returns this node's index among the holders, or std::nullopt if it may not place on a block
+  // now. `session` is the membership session of this process.
   std::optional<size_t> HolderIndex(uint64_t session) const;
-  // The scopes of a plan over all machines, and of one over a holder's block.
+  // Return the scope of a plan over all machines and of a plan over one holder's block.
   plan::PlacementScope WholeScope() const;
   plan::PlacementScope HolderScope(size_t holder) const;
 
-  // After a plan over all machines: writes what has to change in the division and the shares, and
-  // sends holders what is new. `scope`: the one of the plan; null: machines were not divided.
+  // Called after a plan over all machines: writes the necessary changes of the division and the
+  // shares, and sends holders their updates. `scope` is the scope of the plan, null if the machines
+  // were not divided.
   async::Task<> ReviewAfterRound(const plan::RoundResult& round, const plan::PlacementScope* scope);
 
  private:
-  // What was sent to a node by its present link.
+  // The views that were sent to a node over its current link.
   struct Link {
     blocks::ViewSender sender;
-    // Steady times of views without an acknowledgement, by sequence number.
+    // When the views without an acknowledgement were sent (steady time), by sequence number.
     std::map<uint64_t, double> unacknowledged;
   };
-  // A holder that may retry a job which fails on every machine.
+  // Permits a holder to retry a job that fails on every machine.
   struct RetryGrant {
     size_t holder = 0;
     double expires_at = 0;  // steady time
   };
-  // Sends views at regular intervals, so that holders' leases are renewed without rounds.
-  async::Task<> SendRegularly();
-  void CheckPause();
+  // Sends views at regular intervals, so that holders' leases are renewed even without rounds.
+  async::Task<> SendViewsPeriodically();
+  // Tells the lending state about a pause of this process that it has not handled yet.
+  void HandlePause();
   async::Task<> ReviewDivision();
   async::Task<> ReviewShares(const plan::RoundResult& round, const plan::PlacementScope& scope);
-  async::Task<> Write(blocks::RecordChange change);
+  async::Task<> CommitChange(blocks::RecordChange change);
   void GrantRetries(const plan::RoundResult& round, const plan::PlacementScope& scope);
   std::set<std::string> RetriesGrantedTo(size_t holder) const;
   void SendViews();
-  blocks::CopyState Copy() const;
-  double WidenS() const;         // blocks::Division::MayPlace
-  double ViewIntervalS() const;  // between two views at the most
+  blocks::CopyState CurrentCopyState() const;
+  // Seconds after which one more holder may place a waiting job (blocks::Division::MayPlace).
+  double WideningIntervalS() const;
+  // Maximum seconds between two views.
+  double ViewIntervalS() const;
   double Now() const { return services_.scope->loop().Now(); }
 
   const NodeServices& services_;
@@ -81,10 +88,10 @@
   const plan::PlanningContext& context_;
   blocks::Lending lending_;
   async::Scope* term_ = nullptr;
-  std::map<std::string, Link> links_;               // to all other nodes of the settings
+  std::map<std::string, Link> links_;               // to all other nodes in the settings
   std::map<std::string, RetryGrant> retry_grants_;  // by job
   double views_sent_at_ = 0;
-  double last_pause_ = 0;  // end of the last pause of the process that was taken into account
+  double last_pause_end_ = 0;  // end of the last handled pause of the process
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -10,11 +10,11 @@
 namespace hallpier::controller {
 namespace {
 
-// A copy that has not been confirmed for so many heartbeat intervals, and a call's time limit, is
-// no longer current: a watch is asked anew at least once in each.
-constexpr double kCurrentHeartbeats = 2;
-// A round looks at the records at least this often in a heartbeat interval, whatever happens.
-constexpr double kRoundsPerHeartbeat = 2;
+// The watch cache is no longer current if it has not been confirmed for this many heartbeat
+// intervals plus the timeout of one call: a watch is renewed at least once per interval.
+constexpr double kMaxCacheAgeHeartbeats = 2;
+// The minimum number of rounds per heartbeat interval, with or without requests.
+constexpr double kMinRoundsPerHeartbeat = 2;
 constexpr double kMsPerS = 1000;
 
 fleet::WorkerRegistry::Options RegistryOptions(const config::Settings& settings) {
@@ -38,14 +38,14 @@
       machines_(RegistryOptions(*services.settings)),
       committer_(services, CommitHooks(trigger_)) {
   context_.settings = services.settings;
-  context_.operators = services.operators;
+  context_.operators = services.operator_options;
 }
 
 bool BlockPlacementLoop::CanPlace() const {
-  const double current_s =
-      kCurrentHeartbeats * services_.settings->heartbeat_interval_s + services_.client->timeout_s();
+  const double max_cache_age_s = kMaxCacheAgeHeartbeats * services_.settings->heartbeat_interval_s +
+                                 services_.client->timeout_s();
   return services_.cache->loaded() && !services_.client->down() &&
-         Now() - services_.cache->current_as_of() <= current_s;
+         Now() - services_.cache->current_as_of() <= max_cache_age_s;
 }
 
 std::optional<wire::BlockAcknowledgement> BlockPlacementLoop::OnView(const wire::BlockView& view) {
@@ -56,8 +56,8 @@
 }
 
 std::optional<size_t> BlockPlacementLoop::HolderIndex() const {
-  // A leader places in its own rounds. After a pause the copy must be complete anew: tasks may have
-  // been cancelled meanwhile.
+  // A leader places in its own rounds. After a pause the watch cache must first catch up: tasks may
+  // have been cancelled in the meantime.
   const bool paused = services_.cache->current_as_of() < services_.scope->loop().resumed_at();
   if (services_.election->leading() || paused || services_.formats->change_pending()) {
     return std::nullopt;
@@ -69,16 +69,17 @@
 async::Task<> BlockPlacementLoop::Run() {
   async::Scope& scope = *services_.scope;
   while (!scope.cancelled()) {
-    async::Sleep gap(scope, RoundGapS(*services_.settings, *services_.operators, planning_s_));
+    async::Sleep gap(scope,
+                     RoundGapS(*services_.settings, *services_.operator_options, last_planning_s_));
     co_await gap;
     if (!trigger_.requested()) {
       auto wait =
-          trigger_.Await(scope, services_.settings->heartbeat_interval_s / kRoundsPerHeartbeat);
+          trigger_.Await(scope, services_.settings->heartbeat_interval_s / kMinRoundsPerHeartbeat);
       co_await wait;
     }
     if (scope.cancelled()) break;
     trigger_.Clear();
-    co_await Round();
+    co_await RunRound();
   }
 }
 
@@ -86,20 +87,21 @@
   const double now = Now();
   const double time_of_day = services_.time_of_day();
   context_.machine_types = *services_.machine_types;
-  const double widen_s =
-      services_.operators->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
+  const double widening_interval_s =
+      services_.operator_options->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
   const plan::PlacementScope scope = services_.block_records->HolderScope(
-      holder, widen_s, time_of_day, *services_.settings, *services_.job_table);
+      holder, widening_interval_s, time_of_day, *services_.settings, *services_.job_table);
   plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, machines_.registry(),
                                            now, time_of_day, &scope);
-  planning_s_ = Now() - now;
+  last_planning_s_ = Now() - now;
   return plan;
 }
 
-async::Task<> BlockPlacementLoop::Round() {
+async::Task<> BlockPlacementLoop::RunRound() {
   async::Scope& scope = *services_.scope;
-  const double budget_s = services_.operators->round_s;
-  // Even if another holds the block now: the records show whether these placements counted.
+  const double budget_s = services_.operator_options->round_s;
+  // Resolved even if another node holds the block now: the records show whether these placements
+  // were committed.
   const bool resolved = co_await committer_.ResolveUnanswered(scope, budget_s);
   if (scope.cancelled()) co_return;
   if (!resolved) {
@@ -114,7 +116,7 @@
   }
   if (plan.placements.empty()) co_return;
   spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *holder, plan.waiting_tasks,
-               plan.placements.size(), planning_s_ * kMsPerS);
+               plan.placements.size(), last_planning_s_ * kMsPerS);
   jobs::TransactionLimits limits =
       committer_.Limits(services_.block_records->PlacementPreconditions(*holder));
   limits.placements_only = true;
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -1,6 +1,6 @@
-// What a controller that holds a block of machines does without leading: rounds over its block,
-// under its shares of the teams' quotas. It records placements; the leader has them started. Owned
-// by the controller; runs as one routine of the node's scope.
+// Runs the scheduling rounds of a follower that holds a block of machines: it plans over its block,
+// limited by its shares of the teams' quotas, and records the placements; the leader has the tasks
+// started. Owned by the controller; runs as one coroutine of the node's scope.
 #pragma once
 
 #include <optional>
@@ -17,22 +17,22 @@
 
 class BlockPlacementLoop {
  public:
-  // `services` must outlive this.
+  // `services` must outlive this object.
   explicit BlockPlacementLoop(const NodeServices& services);
 
-  // The routine: runs until the node's scope is cancelled.
+  // Runs until the node's scope is cancelled.
   async::Task<> Run();
-  // Something happened that a round should consider.
+  // Requests a round after an event that it should consider.
   void RequestRound() { trigger_.Request(); }
-  // A view of machines from the leader, and its acknowledgement. Nothing: the sender has been
-  // followed by another leader.
+  // Handles a view of machines from the leader. Returns the acknowledgement, or std::nullopt if the
+  // sender has been succeeded by another leader.
   std::optional<wire::BlockAcknowledgement> OnView(const wire::BlockView& view);
 
  private:
-  async::Task<> Round();
-  // This node's index among the holders, if it may place now.
+  async::Task<> RunRound();
+  // Returns this node's index among the holders, or std::nullopt if it may not place now.
   std::optional<size_t> HolderIndex() const;
-  // True if the store answers this node and its copy of the records is current.
+  // True if the key-value store responds to this node and the watch cache is current.
   bool CanPlace() const;
   plan::RoundResult Plan(size_t holder);
   double Now() const { return services_.scope->loop().Now(); }
@@ -42,7 +42,7 @@
   plan::PlanningContext context_;
   RoundTrigger trigger_;
   TransactionCommitter committer_;
-  double planning_s_ = 0;  // how long the last round took to plan
+  double last_planning_s_ = 0;  // planning time of the last round
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/cache_revalidation.h
+++ b/src/controller/cache_revalidation.h
@@ -1,4 +1,4 @@
-// Confirms the copy of the records after a pause of the process, without waiting for its watch.
+// Revalidates the watch cache after a pause of the process, without waiting for its watch.
 #pragma once
 
 #include "async/wait.h"
@@ -7,9 +7,10 @@
 
 namespace hallpier::controller {
 
-// The routine: runs until the node's scope is cancelled. `retry_s`: seconds between two attempts.
-// Both references must outlive that scope's routines.
-async::Task<> ConfirmCopyAfterPauses(const NodeServices& services,
-                                     store::LinearizableRead& linearizable_read, double retry_s);
+// Runs until the node's scope is cancelled. `retry_s` is the delay between two attempts. Both
+// references must outlive the coroutines of that scope.
+async::Task<> RevalidateCacheAfterPauses(const NodeServices& services,
+                                         store::LinearizableRead& linearizable_read,
+                                         double retry_s);
 
 }  // namespace hallpier::controller
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -20,8 +20,8 @@
     const std::string& node) {
   watermark_.OnCacheConfirmed(services_.cache->current_as_of());
   const double now = services_.scope->loop().Now();
-  const bool out_of_touch = services_.client->down() || watermark_.CacheIsStale(now);
-  if (!services_.election->leading() || !out_of_touch) return std::nullopt;
+  const bool needs_reports = services_.client->down() || watermark_.CacheIsStale(now);
+  if (!services_.election->leading() || !needs_reports) return std::nullopt;
   return watermark_.RequestFor(node, services_.cache->revision());
 }
 
@@ -33,27 +33,28 @@
     const uint64_t version = services_.cache->Version(store::JobKey(id));
     if (version > request.beyond) report.cancelled.push_back({id, version});
   }
-  // A process that was restarted and has read nothing since does not know what its predecessor
-  // acknowledged. Nor is it known yet what becomes of a cancellation that is being recorded:
-  // without an answer it is acknowledged to nobody, and whoever reads it later has it in its copy
-  // before it acknowledges it.
+  // The report is incomplete if this process was restarted and has not loaded the records since: it
+  // does not know which cancellations its predecessor acknowledged. It is also incomplete while a
+  // cancellation is being recorded, since the outcome is not known yet. A cancellation whose write
+  // gets no response is acknowledged to no user, and a node that reads it later has it in its watch
+  // cache before it acknowledges it.
   report.complete = services_.cache->loaded() && pending_cancellations_() == 0 &&
                     report.cancelled.size() <= wire::kMaxCancellations;
   if (!report.complete) report.cancelled.clear();
   return report;
 }
 
-void CancellationExchange::OnReport(const std::string& node, double asked,
+void CancellationExchange::OnReport(const std::string& node, double requested_at,
                                     const wire::CancellationReport& report) {
-  // Applied first: leases may be renewed on the strength of the report only once the commands that
-  // stop its tasks go out.
+  // The cancellations are applied first: the report may extend the renewal of leases only once the
+  // commands that stop the cancelled tasks are being sent.
   for (const wire::Cancellation& cancellation : report.cancelled) OnCancellation(cancellation);
-  watermark_.OnCancellationReport(node, asked, report);
+  watermark_.OnCancellationReport(node, requested_at, report);
 }
 
 void CancellationExchange::OnCancellation(const wire::Cancellation& cancellation) const {
-  // A job that is not known here has no tasks of ours; its record will arrive with the
-  // cancellation.
+  // A job that is unknown here has no tasks that this node manages; its record will arrive with the
+  // cancellation included.
   auto record = services_.job_table->CancelledRecord(cancellation.job);
   if (!record) return;
   spdlog::info("cancel: reported by a peer job={}", cancellation.job);
--- a/src/controller/cancellation_exchange.h
+++ b/src/controller/cancellation_exchange.h
@@ -1,6 +1,7 @@
-// Exchanges cancellations with the other nodes, so that a leader which the key-value store does not
-// answer learns of those that others have acknowledged to users. Guards the renewal of workers'
-// leases (election/cancellation_watermark.h). Owned by the controller; does no I/O of its own.
+// Exchanges cancellations with the other nodes, so that a leader that can't reach the key-value
+// store learns of the cancellations that others have acknowledged to users. Decides whether
+// workers' leases may be renewed (election/cancellation_watermark.h). Owned by the controller; does
+// no I/O.
 #pragma once
 
 #include <functional>
@@ -15,17 +16,19 @@
 
 class CancellationExchange {
  public:
-  // `pending_cancellations`: how many cancellations this node is recording just now. `services`
-  // must outlive this.
+  // `pending_cancellations` returns the number of cancellations that this node is currently
+  // recording. `services` must outlive this object.
   CancellationExchange(const NodeServices& services, std::function<int()> pending_cancellations);
 
-  // What a node is to be asked for now; nothing: there is no need, or this node does not lead.
+  // Returns the request to send to a node now, or std::nullopt if no report is needed or this node
+  // does not lead.
   std::optional<wire::CancellationReportRequest> RequestFor(const std::string& node);
-  // The answer to a leader that the key-value store does not answer.
+  // Returns the response to a leader that can't reach the key-value store.
   wire::CancellationReport Report(const wire::CancellationReportRequest& request) const;
-  // A node's answer to a request that was sent at `asked` (steady time, s).
-  void OnReport(const std::string& node, double asked, const wire::CancellationReport& report);
-  // A cancellation that was recorded by way of another node, ahead of the watch.
+  // Handles a node's response to a request that was sent at `requested_at` (steady time, s).
+  void OnReport(const std::string& node, double requested_at,
+                const wire::CancellationReport& report);
+  // Applies a cancellation that another node has recorded, ahead of the watch.
   void OnCancellation(const wire::Cancellation& cancellation) const;
   // True while workers' leases may be renewed without missing an acknowledged cancellation.
   bool MayRenewWorkerLeases();
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -9,18 +9,18 @@
 namespace hallpier::controller {
 namespace {
 
-// A direct command is given up after this part of a heartbeat interval: the answer to the next
-// heartbeat is better.
+// Timeout of a direct command as a fraction of the heartbeat interval: after that, the response to
+// the next heartbeat delivers the commands sooner.
 constexpr double kCommandTimeoutRatio = 0.9;
-// Connections for direct commands, in use and kept, as a part of this machine's sockets.
-constexpr double kCommandSockets = 0.08;
-// A worker's report lists what its machine runs, which does not grow with the fleet.
-constexpr size_t kMaxWorkerBody = size_t{256} * 1024;
+// Fraction of this machine's sockets for direct commands, including idle connections.
+constexpr double kCommandSocketShare = 0.08;
+// A worker's report lists the tasks on its machine, so its size does not grow with the fleet.
+constexpr size_t kMaxWorkerBodyBytes = size_t{256} * 1024;
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-size_t MaxActive(const config::Settings& settings) {
-  return std::max<size_t>(1, static_cast<size_t>(kCommandSockets * settings.max_sockets));
+size_t MaxActiveMachines(const config::Settings& settings) {
+  return std::max<size_t>(1, static_cast<size_t>(kCommandSocketShare * settings.max_sockets));
 }
 
 }  // namespace
@@ -31,9 +31,9 @@
       registry_(registry),
       commands_(commands),
       trigger_(trigger),
-      max_active_(MaxActive(*services.settings)),
-      queue_(max_active_),
-      workers_(1, kMaxWorkerBody, max_active_) {}
+      max_active_machines_(MaxActiveMachines(*services.settings)),
+      queue_(max_active_machines_),
+      worker_client_(1, kMaxWorkerBodyBytes, max_active_machines_) {}
 
 void CommandDispatcher::BeginTerm(async::Scope& term) {
   term_ = &term;
@@ -59,9 +59,9 @@
   }
 }
 
-bool CommandDispatcher::Reachable(const fleet::Machine* machine) {
-  // A worker that did not answer the last direct command gets the next one in the answer to its
-  // heartbeat: machines that hang would otherwise occupy the connections that others wait for.
+bool CommandDispatcher::IsReachable(const fleet::Machine* machine) {
+  // A worker that did not answer the last direct command gets the next one in the response to its
+  // heartbeat: unresponsive machines would otherwise occupy connections that others wait for.
   return machine != nullptr && !machine->endpoint.empty() && machine->has_reported() &&
          !machine->agent.unreachable;
 }
@@ -69,26 +69,27 @@
 async::Task<bool> CommandDispatcher::SendOnce(std::string machine) {
   async::Scope& term = *term_;
   fleet::Machine* worker = registry_.Find(machine);
-  if (!Reachable(worker) || !services_.election->MayAct()) co_return false;
+  if (!IsReachable(worker) || !services_.election->MayAct()) co_return false;
   const model::FencingToken token = registry_.token();
   auto commands = commands_.CommandsFor(*worker, true);
-  // Its heartbeat has fetched them meanwhile, or they have to wait for the copy. A worker that does
-  // not know our token yet is sent it all the same.
-  if (commands.empty() && (worker->agent.token == token || !commands_.CopyIsCurrent()))
+  // No commands: a heartbeat has fetched them in the meantime, or they have to wait until the watch
+  // cache is current. With a current cache, a worker that does not know our token yet is sent the
+  // token even without commands.
+  if (commands.empty() && (worker->agent.token == token || !commands_.CacheIsCurrent()))
     co_return false;
   wire::HttpRequest request{.method = "POST",
                             .target = "/commands",
                             .body = wire::WriteCommands(token, worker->agent.epoch, commands)};
-  auto response = co_await workers_.Call(
+  auto response = co_await worker_client_.Call(
       term, worker->endpoint, std::move(request),
       kCommandTimeoutRatio * services_.settings->heartbeat_interval_s, false);
   const bool answered = response && (response->status == kOk || response->status == kConflict);
-  if (answered) OnAnswer(response->body, token);
+  if (answered) OnWorkerReport(response->body, token);
   fleet::OnDirectCommandFinished(registry_, machine, commands, token, answered);
   co_return true;
 }
 
-void CommandDispatcher::OnAnswer(const std::string& body, model::FencingToken token) {
+void CommandDispatcher::OnWorkerReport(const std::string& body, model::FencingToken token) {
   auto report = wire::ReadHeartbeat(body);
   if (!report) return;
   if (report->token > token) services_.election->OnTokenSeen(report->token);
--- a/src/controller/command_dispatcher.h
+++ b/src/controller/command_dispatcher.h
@@ -1,5 +1,5 @@
-// Sends workers their commands without waiting for their heartbeats. Owned by the leader; its
-// routines end with the term.
+// Sends commands to workers directly, without waiting for their heartbeats. Owned by the leader;
+// its coroutines end with the term.
 #pragma once
 
 #include <string>
@@ -16,32 +16,34 @@
 
 class CommandDispatcher {
  public:
-  // All references must outlive this.
+  // All references must outlive this object.
   CommandDispatcher(const NodeServices& services, fleet::WorkerRegistry& registry,
                     CommandSource& commands, RoundTrigger& trigger);
 
-  // A term begins; all routines of the former one have ended.
+  // Starts a term. All coroutines of the previous term have ended.
   void BeginTerm(async::Scope& term);
-  // Sends a machine its commands as soon as there is room (DirectCommandQueue).
+  // Sends a machine its commands as soon as the limit of active machines allows
+  // (DirectCommandQueue).
   void Send(const std::string& machine);
 
  private:
-  // Sends to one machine until nothing is left to send.
+  // Sends commands to one machine until none are left.
   async::Task<> SendUntilDone(std::string machine);
-  // Sends one command. False: there is nothing to send, or the machine is not to be sent any.
+  // Sends the machine's current commands in one request. Returns false if there are none or if none
+  // may be sent to the machine.
   async::Task<bool> SendOnce(std::string machine);
-  // True if a machine is known, reports, and has answered its last direct command.
-  static bool Reachable(const fleet::Machine* machine);
-  // Takes in a worker's answer. `token`: the one that the command was sent under.
-  void OnAnswer(const std::string& body, model::FencingToken token);
+  // True if a machine is known, has reported, and has answered its last direct command.
+  static bool IsReachable(const fleet::Machine* machine);
+  // Handles the report in a worker's response. `token` is the token that the command was sent with.
+  void OnWorkerReport(const std::string& body, model::FencingToken token);
 
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
   CommandSource& commands_;
   RoundTrigger& trigger_;
-  const size_t max_active_;
+  const size_t max_active_machines_;
   DirectCommandQueue queue_;
-  net::HttpClient workers_;
+  net::HttpClient worker_client_;
   async::Scope* term_ = nullptr;
 };
 
--- a/src/controller/command_source.h
+++ b/src/controller/command_source.h
@@ -1,5 +1,5 @@
-// Computes the commands for a worker, as far as the copy of the records allows it now. Owned by the
-// leader; does no I/O.
+// Computes the commands for a worker from the watch cache, as far as the cache is current. Owned by
+// the leader; does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,25 @@
 
 class CommandSource {
  public:
-  // Both references must outlive this.
+  // Both references must outlive this object.
   CommandSource(const NodeServices& services, fleet::WorkerRegistry& registry)
       : services_(services), registry_(registry) {}
 
-  // A term begins, under the election's present token.
+  // Starts a term with the election's current token.
   void BeginTerm();
-  // True if the copy of the records may be acted upon. It may lag behind what the former leader
-  // wrote last: until it has passed this leader's own first write, tasks that it lacks would be
-  // stopped, or forgotten, as unrecorded. After a pause of the process it must be complete anew: a
-  // task may have been cancelled meanwhile.
-  bool CopyIsCurrent() const;
-  // The commands for a machine. `direct`: for a direct command, which WorkerRegistry::FinishDirect
-  // must follow; else for the answer to a heartbeat.
+  // True if decisions may be based on the watch cache. The cache may lag behind the last writes of
+  // the previous leader: until it has passed the first write of this leader, tasks that it lacks
+  // would be stopped or forgotten as unrecorded. After a pause of the process it must catch up
+  // again, since a task may have been cancelled in the meantime.
+  bool CacheIsCurrent() const;
+  // Returns the commands for a machine. `direct`: they are for a direct command, which must be
+  // followed by WorkerRegistry::FinishDirect; otherwise they are for the response to a heartbeat.
   std::vector<model::WorkerCommand> CommandsFor(fleet::Machine& machine, bool direct);
 
  private:
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
-  uint64_t term_revision_ = 0;  // of the write that began the term
+  uint64_t term_revision_ = 0;  // revision of the write that started the term
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -11,21 +11,21 @@
 namespace hallpier::controller {
 namespace {
 
-constexpr size_t kMaxRequestBody = size_t{64} * 1024;
-// The largest answer of the key-value store that is read, as a part of this machine's memory.
-constexpr double kBodyShare = 1.0 / 8;
-// Connections that a node accepts, as parts of its sockets. Direct commands have a part of their
-// own (CommandDispatcher); the rest is for calls to the key-value store, the cloud and the other
-// nodes.
-constexpr double kWorkerSockets = 0.74;
-constexpr double kUserSockets = 0.14;
+constexpr size_t kMaxRequestBodyBytes = size_t{64} * 1024;
+// Size limit of a response of the key-value store, as a fraction of this machine's memory.
+constexpr double kResponseMemoryShare = 1.0 / 8;
+// Connections that a node accepts, as fractions of its sockets. Direct commands have a separate
+// fraction (CommandDispatcher); the rest is for calls to the key-value store, the cloud and the
+// other nodes.
+constexpr double kWorkerSocketShare = 0.74;
+constexpr double kUserSocketShare = 0.14;
 constexpr double kStateTimeoutS = 1.0;
-// Users' reads wait for the copy of the records no longer than this; there must be time left to
-// read the record itself.
-constexpr double kBarrierS = 0.6 * kStateTimeoutS;
-// A request must be complete, and a silent connection may be closed for others, after this many
-// heartbeat intervals.
-constexpr double kRequestHeartbeats = 3;
+// Time limit for a user's read to wait until the watch cache has caught up. It is below the timeout
+// so that time remains to read the record itself.
+constexpr double kReadBarrierTimeoutS = 0.6 * kStateTimeoutS;
+// Heartbeat intervals after which a request must be complete, and after which a silent connection
+// may be closed in favour of another.
+constexpr double kRequestTimeoutHeartbeats = 3;
 
 double TimeOfDay() {
   using std::chrono::duration;
@@ -43,26 +43,29 @@
   }
   options.size = settings.size;
   options.timeout_s = kStateTimeoutS;
-  options.max_body = static_cast<size_t>(settings.memory_mb * kBodyShare * 1024 * 1024);
+  options.max_body = static_cast<size_t>(settings.memory_mb * kResponseMemoryShare * 1024 * 1024);
   return options;
 }
 
-// What this node records that it understands (store::RecordFormats).
-uint64_t NodeFormatOf(const config::OperatorOptions& operators) {
-  if (operators.blocks.enabled) return store::kBlocksFormat;
-  return operators.membership.enabled ? store::kMembershipFormat : store::kCancellationReportFormat;
+// Returns the record format that this node declares to understand (store::RecordFormats).
+uint64_t NodeFormatOf(const config::OperatorOptions& operator_options) {
+  if (operator_options.blocks.enabled) return store::kBlocksFormat;
+  return operator_options.membership.enabled ? store::kMembershipFormat
+                                             : store::kCancellationReportFormat;
 }
 
-// Neither many users nor many workers keep the others, or the health checks, from a node.
+// Limits connections so that neither users nor workers can exhaust the connections of each other or
+// of the health checks.
 net::HttpServer::Limits ServerLimits(const config::Settings& settings) {
-  const auto workers = static_cast<size_t>(settings.max_sockets * kWorkerSockets);
-  const auto users = static_cast<size_t>(settings.max_sockets * kUserSockets);
+  const auto workers = static_cast<size_t>(settings.max_sockets * kWorkerSocketShare);
+  const auto users = static_cast<size_t>(settings.max_sockets * kUserSocketShare);
   net::HttpServer::Limits limits;
   limits.max_connections = workers + users;
-  limits.max_body = kMaxRequestBody;
-  // A worker that sends nothing for as long has lost its lease; users ask far more often.
+  limits.max_body = kMaxRequestBodyBytes;
+  // A worker that sends nothing for this long has lost its lease; users send requests far more
+  // often.
   limits.idle_s = settings.lease_s;
-  limits.request_s = settings.heartbeat_interval_s * kRequestHeartbeats;
+  limits.request_s = settings.heartbeat_interval_s * kRequestTimeoutHeartbeats;
   limits.quiet_s = limits.request_s;
   auto from_worker = [](const wire::HttpRequest& request) {
     return request.path() == RequestRouter::kHeartbeatPath;
@@ -77,46 +80,49 @@
 
 }  // namespace
 
-// Parts refer to others that are constructed later. None of them uses these before the loop runs.
+// Some components refer to others that are constructed later, but none of them uses these before
+// the loop runs.
 Controller::Controller(async::EventLoop& loop, config::Settings settings,
-                       config::OperatorOptions operators)
+                       config::OperatorOptions operator_options)
     : settings_(std::move(settings)),
-      operators_(operators),
-      root_(loop),
-      shutdown_(root_),
+      operator_options_(operator_options),
+      root_scope_(loop),
+      shutdown_(root_scope_),
       job_table_(store::TasksPerTextGroup(settings_.value_kb)),
-      client_(root_, StateOptions(settings_)),
-      cache_(root_, client_, settings_.heartbeat_interval_s,
+      client_(root_scope_, StateOptions(settings_)),
+      cache_(root_scope_, client_, settings_.heartbeat_interval_s,
              [this](const std::string& key, const std::string& value) {
-               state_dispatcher_.OnRecord(key, value);
+               record_dispatcher_.OnRecordChanged(key, value);
              }),
-      formats_(root_, settings_, client_, cache_, NodeFormatOf(operators_)),
-      dependency_outcomes_(root_, client_, cache_, job_table_, [this] { leader_.RequestRound(); }),
+      formats_(root_scope_, settings_, client_, cache_, NodeFormatOf(operator_options_)),
+      dependency_outcomes_(root_scope_, client_, cache_, job_table_,
+                           [this] { leader_.RequestRound(); }),
       election_policy_(membership_, cancellations_, peers_),
-      election_(root_, settings_, operators_, client_, cache_, election_policy_,
-                [this](async::Scope& term) { leader_.Begin(term); }),
+      election_(root_scope_, settings_, operator_options_, client_, cache_, election_policy_,
+                [this](async::Scope& term) { leader_.BeginTerm(term); }),
       services_(MakeServices()),
-      cancellations_(services_, [this] { return users_.cancelling(); }),
-      membership_(operators_.membership.enabled ? MakeMembership() : nullptr),
+      cancellations_(services_, [this] { return user_api_.cancelling(); }),
+      membership_(operator_options_.membership.enabled ? MakeMembership() : nullptr),
       leader_(services_),
-      block_holder_(operators_.blocks.enabled ? std::make_unique<BlockPlacementLoop>(services_)
-                                              : nullptr),
-      linearizable_read_(root_, client_, cache_, kBarrierS),
-      users_(UserApiDependencies()),
-      router_(services_, leader_, users_, membership_, peers_),
-      server_(root_, ServerLimits(settings_),
+      block_placement_(operator_options_.blocks.enabled
+                           ? std::make_unique<BlockPlacementLoop>(services_)
+                           : nullptr),
+      linearizable_read_(root_scope_, client_, cache_, kReadBarrierTimeoutS),
+      user_api_(UserApiDependencies()),
+      router_(services_, leader_, user_api_, membership_, peers_),
+      server_(root_scope_, ServerLimits(settings_),
               [this](wire::HttpRequest request) { return router_.Handle(std::move(request)); }),
-      peers_(root_, settings_, PeerHooks()),
-      state_dispatcher_(services_, leader_, dependency_outcomes_, membership_, block_holder_) {
+      peers_(root_scope_, settings_, PeerHooks()),
+      record_dispatcher_(services_, leader_, dependency_outcomes_, membership_, block_placement_) {
   loop.WatchPauses(election_.MaxRenewalGapS());
   client_.SetRelay([this](wire::HttpRequest request) { return peers_.Relay(std::move(request)); });
 }
 
 NodeServices Controller::MakeServices() {
   NodeServices services;
-  services.scope = &root_;
+  services.scope = &root_scope_;
   services.settings = &settings_;
-  services.operators = &operators_;
+  services.operator_options = &operator_options_;
   services.client = &client_;
   services.cache = &cache_;
   services.formats = &formats_;
@@ -135,7 +141,7 @@
 std::unique_ptr<membership::Service> Controller::MakeMembership() {
   membership::Service::Dependencies dependencies;
   dependencies.settings = &settings_;
-  dependencies.options = &operators_.membership;
+  dependencies.options = &operator_options_.membership;
   dependencies.client = &client_;
   dependencies.cache = &cache_;
   dependencies.election = &election_;
@@ -143,8 +149,8 @@
   dependencies.understands = [this](const std::string& node) {
     return formats_.UnderstandsMembership(node);
   };
-  dependencies.machines = [this] { return leader_.ReportingMachines(); };
-  return std::make_unique<membership::Service>(root_, std::move(dependencies));
+  dependencies.machines = [this] { return leader_.ReportingMachineCount(); };
+  return std::make_unique<membership::Service>(root_scope_, std::move(dependencies));
 }
 
 api::UserApi::Deps Controller::UserApiDependencies() {
@@ -158,7 +164,7 @@
   dependencies.machine_types = &machine_types_;
   dependencies.time_of_day = TimeOfDay;
   dependencies.settled = [this](std::string id, double limit_s) {
-    return dependency_outcomes_.AwaitKnown(std::move(id), limit_s);
+    return dependency_outcomes_.AwaitResolved(std::move(id), limit_s);
   };
   dependencies.announce = [this](const std::string& id, uint64_t version) {
     peers_.Announce({{id, version}});
@@ -178,14 +184,14 @@
     if (membership_) membership_->OnRefused(node);
   };
   AddCancellationHooks(&hooks);
-  if (operators_.membership.enabled) AddMembershipHooks(&hooks);
-  if (operators_.blocks.enabled) AddBlockHooks(&hooks);
+  if (operator_options_.membership.enabled) AddMembershipHooks(&hooks);
+  if (operator_options_.blocks.enabled) AddBlockHooks(&hooks);
   return hooks;
 }
 
 void Controller::AddBlockHooks(net::PeerMesh::Hooks* hooks) {
   hooks->on_block_view = [this](const wire::BlockView& view) {
-    return block_holder_->OnView(view);
+    return block_placement_->OnView(view);
   };
   hooks->on_block_acknowledged = [this](const std::string& node,
                                         const wire::BlockAcknowledgement& answer) {
@@ -196,10 +202,10 @@
 void Controller::AddMembershipHooks(net::PeerMesh::Hooks* hooks) {
   hooks->on_link = [this](const std::string& node, bool connected) {
     membership_->OnLink(node, connected);
-    if (leader_.blocks() != nullptr) leader_.blocks()->OnLink(node);
+    if (leader_.blocks() != nullptr) leader_.blocks()->OnLinkChanged(node);
   };
-  hooks->on_status_answered = [this](const std::string& node, double asked) {
-    membership_->OnStatusAnswered(node, asked);
+  hooks->on_status_answered = [this](const std::string& node, double requested_at) {
+    membership_->OnStatusAnswered(node, requested_at);
   };
   hooks->on_member_probe = [this](const wire::MemberProbe& probe) {
     return membership_->OnProbe(probe);
@@ -220,9 +226,9 @@
   hooks->cancellation_report = [this](const wire::CancellationReportRequest& request) {
     return cancellations_.Report(request);
   };
-  hooks->on_cancellation_report = [this](const std::string& node, double asked,
+  hooks->on_cancellation_report = [this](const std::string& node, double requested_at,
                                          const wire::CancellationReport& report) {
-    cancellations_.OnReport(node, asked, report);
+    cancellations_.OnReport(node, requested_at, report);
   };
   hooks->on_cancelled = [this](const wire::CancelNotice& notice) {
     cancellations_.OnCancellation(notice.cancelled);
@@ -241,13 +247,13 @@
 bool Controller::Start(std::string* error) {
   if (!server_.Listen(settings_.listen, error)) return false;
   if (!peers_.Start(error)) return false;
-  root_.Spawn(cache_.Run());
-  root_.Spawn(formats_.Run());
-  root_.Spawn(dependency_outcomes_.Run());
-  root_.Spawn(election_.Run());
-  if (membership_) root_.Spawn(membership_->Run());
-  if (block_holder_) root_.Spawn(block_holder_->Run());
-  root_.Spawn(ConfirmCopyAfterPauses(services_, linearizable_read_, kStateTimeoutS));
+  root_scope_.Spawn(cache_.Run());
+  root_scope_.Spawn(formats_.Run());
+  root_scope_.Spawn(dependency_outcomes_.Run());
+  root_scope_.Spawn(election_.Run());
+  if (membership_) root_scope_.Spawn(membership_->Run());
+  if (block_placement_) root_scope_.Spawn(block_placement_->Run());
+  root_scope_.Spawn(RevalidateCacheAfterPauses(services_, linearizable_read_, kStateTimeoutS));
   spdlog::info("start: listening node={} address={}", settings_.node, settings_.listen);
   return true;
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One controller node: owns the parts, connects them, and starts and ends their routines.
+// One controller node: owns the components, connects them, and starts and ends their coroutines.
 // Everything runs on the thread of one event loop.
 #pragma once
 
@@ -35,11 +35,13 @@
 class Controller {
  public:
   // `loop` must outlive the controller.
-  Controller(async::EventLoop& loop, config::Settings settings, config::OperatorOptions operators);
+  Controller(async::EventLoop& loop, config::Settings settings,
+             config::OperatorOptions operator_options);
 
-  // Listens and starts all routines. False, with a reason in `error`, if it can't listen.
+  // Listens and starts all coroutines. Returns false and sets `error` to the reason if it can't
+  // listen.
   bool Start(std::string* error);
-  // Ends every routine in order, then calls `done`. A repeated call does nothing.
+  // Ends every coroutine in order, then calls `done`. A repeated call does nothing.
   void Shutdown(std::function<void()> done);
 
  private:
@@ -53,8 +55,8 @@
   wire::PeerStatus Status() const;
 
   const config::Settings settings_;
-  const config::OperatorOptions operators_;
-  async::Scope root_;  // of all routines
+  const config::OperatorOptions operator_options_;
+  async::Scope root_scope_;  // of all coroutines of the node
   NodeShutdown shutdown_;
   jobs::JobTable job_table_;
   std::vector<model::MachineType> machine_types_;
@@ -67,15 +69,15 @@
   election::LeaderElection election_;
   const NodeServices services_;
   CancellationExchange cancellations_;
-  std::unique_ptr<membership::Service> membership_;  // null: it is off
+  std::unique_ptr<membership::Service> membership_;  // null if it is disabled
   Leader leader_;
-  std::unique_ptr<BlockPlacementLoop> block_holder_;  // null: blocks are off
+  std::unique_ptr<BlockPlacementLoop> block_placement_;  // null if blocks are disabled
   store::LinearizableRead linearizable_read_;
-  api::UserApi users_;
+  api::UserApi user_api_;
   RequestRouter router_;
   net::HttpServer server_;
   net::PeerMesh peers_;
-  StateDispatcher state_dispatcher_;
+  RecordDispatcher record_dispatcher_;
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -6,9 +6,9 @@
 namespace hallpier::controller {
 namespace {
 
-// Reads under way at a time: they share the store's limits with users' reads.
+// Maximum number of concurrent reads, which share the store's rate limits with users' reads.
 constexpr size_t kMaxReads = 8;
-// Seconds after which what could not be read is tried again.
+// Seconds before a failed read is retried.
 constexpr double kRetryS = 0.5;
 
 }  // namespace
@@ -19,13 +19,14 @@
 
 async::Task<> DependencyOutcomes::Run() {
   while (!scope_.cancelled()) {
-    const auto& unknown = job_table_.dependency_graph().unresolved();
+    const auto& unresolved = job_table_.dependency_graph().unresolved();
     if (cache_.loaded()) {
-      for (auto it = unknown.begin(); it != unknown.end() && reading_.size() < kMaxReads; ++it) {
+      for (auto it = unresolved.begin(); it != unresolved.end() && reading_.size() < kMaxReads;
+           ++it) {
         if (reading_.insert(*it).second) scope_.Spawn(Read(*it));
       }
     }
-    if (unknown.empty()) {
+    if (unresolved.empty()) {
       auto wait = wake_.Await(scope_);
       co_await wait;
     } else {
@@ -35,12 +36,12 @@
   }
 }
 
-async::Task<bool> DependencyOutcomes::AwaitKnown(std::string job, double limit_s) {
+async::Task<bool> DependencyOutcomes::AwaitResolved(std::string job, double limit_s) {
   const double deadline = scope_.loop().Now() + limit_s;
   while (!job_table_.dependency_graph().UpstreamResolved(job)) {
     const double left_s = deadline - scope_.loop().Now();
     if (left_s <= 0 || scope_.cancelled()) co_return false;
-    auto wait = outcome_known_.Await(scope_, left_s);
+    auto wait = outcome_read_.Await(scope_, left_s);
     co_await wait;
   }
   co_return true;
@@ -52,10 +53,10 @@
   if (record) {
     job_table_.SetFinalRecord(job, *record);
     on_outcome_();
-    outcome_known_.Notify();
+    outcome_read_.Notify();
   } else {
-    // Not there: its end has not reached the copy yet, or could not be read. The jobs that depend
-    // on it go on waiting.
+    // Not found, because the end of the job has not reached the watch cache yet, or not readable.
+    // The dependent jobs keep waiting.
     async::Sleep pause(scope_, kRetryS);
     co_await pause;
   }
--- a/src/controller/dependency_outcomes.h
+++ b/src/controller/dependency_outcomes.h
@@ -1,6 +1,6 @@
-// Reads how the jobs ended that others depend on. Final records are not part of the copy of the
-// records, and only those that unfinished jobs name are kept: each is read once, by every node, so
-// that a node which takes the lead knows them already. Owned by the controller; its routines end
+// Reads the outcomes of finished jobs that other jobs depend on. The watch cache does not contain
+// final records, and only those that unfinished jobs depend on are kept. Every node reads each of
+// them once, so that a new leader already knows them. Owned by the controller; its coroutines end
 // with the node's scope.
 #pragma once
 
@@ -17,7 +17,8 @@
 
 class DependencyOutcomes {
  public:
-  // All references must outlive this. `on_outcome` is called whenever one more is known.
+  // All references must outlive this object. `on_outcome` is called after each outcome that was
+  // read.
   DependencyOutcomes(async::Scope& scope, store::Client& client, store::WatchCache& cache,
                      jobs::JobTable& job_table, std::function<void()> on_outcome)
       : scope_(scope),
@@ -26,12 +27,12 @@
         job_table_(job_table),
         on_outcome_(std::move(on_outcome)) {}
 
-  // The routine: runs until the scope is cancelled.
+  // Runs until the scope is cancelled.
   async::Task<> Run();
-  // True once every outcome that a job depends on is known; false if that takes longer than
-  // `limit_s` seconds.
-  async::Task<bool> AwaitKnown(std::string job, double limit_s);
-  // A job's record has changed or was deleted.
+  // Waits until every outcome that a job depends on is known. Returns false if that takes longer
+  // than `limit_s` seconds.
+  async::Task<bool> AwaitResolved(std::string job, double limit_s);
+  // Handles a job record that was changed or deleted.
   void OnJobsChanged();
 
  private:
@@ -42,9 +43,10 @@
   store::WatchCache& cache_;
   jobs::JobTable& job_table_;
   const std::function<void()> on_outcome_;
-  std::set<std::string> reading_;  // jobs whose final record is being read, or is read again soon
+  // Jobs whose final record is being read, or whose read waits for a retry.
+  std::set<std::string> reading_;
   async::Event wake_;
-  async::Event outcome_known_;
+  async::Event outcome_read_;
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/direct_command_queue.cc
+++ b/src/controller/direct_command_queue.cc
@@ -15,7 +15,7 @@
     requested_.insert(machine);
     return false;
   }
-  if (active_.size() < max_active_) {
+  if (active_.size() < max_active_machines_) {
     active_.insert(machine);
     return true;
   }
@@ -24,7 +24,7 @@
 }
 
 std::optional<std::string> DirectCommandQueue::StartNext() {
-  while (!waiting_.empty() && active_.size() < max_active_) {
+  while (!waiting_.empty() && active_.size() < max_active_machines_) {
     std::string next = std::move(waiting_.front());
     waiting_.pop_front();
     if (requested_.erase(next) > 0 && Request(next)) return next;
--- a/src/controller/direct_command_queue.h
+++ b/src/controller/direct_command_queue.h
@@ -1,6 +1,6 @@
-// Which machines get a direct command next: one at a time for each machine, and a bounded number of
-// machines at a time. A round may have commands for every machine there is; without the bound they
-// would take the sockets that workers and users connect by. Does no I/O.
+// Decides which machines get a direct command next: one command at a time for each machine, and a
+// bounded number of machines at a time. A round may have commands for every machine; without the
+// bound they would take the sockets that workers and users need to connect. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,33 @@
 
 class DirectCommandQueue {
  public:
-  // `max_active`: machines with a command under way at a time; at least 1.
-  explicit DirectCommandQueue(size_t max_active) : max_active_(max_active) {}
+  // `max_active_machines` is the maximum number of machines with a command in flight; at least 1.
+  explicit DirectCommandQueue(size_t max_active_machines)
+      : max_active_machines_(max_active_machines) {}
 
-  // Forgets everything: a term begins.
+  // Removes all entries, at the start of a term.
   void Clear();
-  // A machine has new commands. True: it is active now, and the caller sends them. False: another
-  // command to it is under way, which is to be repeated, or there is no room yet.
+  // Requests a command for a machine. Returns true if the machine is now active, in which case the
+  // caller must send its commands. Returns false if another command to it is in flight, after which
+  // the caller must send again, or if the maximum number of machines is active.
   bool Request(const std::string& machine);
-  // An active machine's commands are collected now: they include all that was requested so far.
+  // Called when an active machine's commands are computed: they include all requests so far.
   void OnCommandsCollected(const std::string& machine) { requested_.erase(machine); }
-  // True if commands were requested for an active machine since its last attempt.
+  // True if commands were requested for an active machine since they were last computed.
   bool NeedsRepeat(const std::string& machine) const { return requested_.contains(machine); }
-  // The commands to an active machine are done with.
+  // Makes a machine inactive after its last command.
   void Finish(const std::string& machine) { active_.erase(machine); }
-  // Makes the machine active that has waited longest, if there is room. Nothing: none waits, or
-  // there is no room. To be called until it returns nothing after each Finish().
+  // Makes the machine active that has waited longest. Returns std::nullopt if no machine waits or
+  // if the maximum number is active. Must be called after each Finish() until it returns
+  // std::nullopt.
   std::optional<std::string> StartNext();
 
  private:
-  const size_t max_active_;
-  std::set<std::string> active_;     // machines with a command under way
-  std::set<std::string> requested_;  // machines with commands that no attempt has collected yet
-  // Of these, the machines that waited for room when they were requested, oldest first. An entry
-  // whose machine is no longer in requested_ has been served meanwhile.
+  const size_t max_active_machines_;
+  std::set<std::string> active_;     // machines with a command in flight
+  std::set<std::string> requested_;  // machines with requests that no computed commands cover yet
+  // Machines that could not become active when they were requested, oldest first. An entry whose
+  // machine is no longer in requested_ has been served in the meantime.
   std::deque<std::string> waiting_;
 };
 
--- a/src/controller/finished_jobs.h
+++ b/src/controller/finished_jobs.h
@@ -1,4 +1,4 @@
-// What a transaction says of jobs that it makes final. Does no I/O.
+// Extracts the jobs that a transaction makes final. Does no I/O.
 #pragma once
 
 #include <string>
@@ -10,12 +10,14 @@
 
 namespace hallpier::controller {
 
-// Takes the final records among these writes into the table. A job's final record is written with
-// the deletion of its record, so that jobs which depend on it need no read of their own.
+// Adds the final records among these writes to the table. The transaction that deletes a job's
+// record also writes its final record, so the outcome need not be read separately for dependent
+// jobs.
 void RecordFinishedJobs(const std::vector<model::KeyWrite>& writes, jobs::JobTable& job_table);
 
-// Log lines on the jobs that a transaction makes final. To be taken before it is sent: the watch
-// may delete the jobs before the answer comes. `time_of_day`: seconds since the epoch.
+// Returns log lines for the jobs that a transaction makes final. Must be called before the
+// transaction is sent: the watch may remove the jobs from the table before the response arrives.
+// `time_of_day` is in seconds since the epoch.
 std::vector<std::string> DescribeFinishedJobs(const jobs::Transaction& transaction,
                                               const jobs::JobTable& job_table, double time_of_day);
 
--- a/src/controller/heartbeat_handler.cc
+++ b/src/controller/heartbeat_handler.cc
@@ -19,10 +19,10 @@
   if (registry_.OnHeartbeat(report, now, false)) trigger_.Request();
   fleet::Machine* machine = registry_.Find(report.machine);
   std::vector<model::WorkerCommand> commands;
-  // A heartbeat that was overtaken by a newer one is answered without commands.
-  const bool newest = machine->IsNewestStatus(report);
-  if (newest) commands = commands_.CommandsFor(*machine, false);
-  // Noted before the answer goes out: the worker may count its lease as renewed from here on.
+  // A heartbeat that arrives after a newer one gets a response without commands.
+  const bool is_newest = machine->IsNewestStatus(report);
+  if (is_newest) commands = commands_.CommandsFor(*machine, false);
+  // Recorded before the response is sent: from now on the worker may consider its lease renewed.
   registry_.OnResponseSent(report, commands, now);
   return {.status = kOk, .body = wire::WriteHeartbeatResponse(registry_.token(), commands)};
 }
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -1,4 +1,4 @@
-// Answers workers' heartbeats on the leader: takes in what a worker reports, and replies with its
+// Handles workers' heartbeats on the leader: applies a worker's report and responds with its
 // commands. Owned by the leader.
 #pragma once
 
@@ -13,14 +13,14 @@
 
 class HeartbeatHandler {
  public:
-  // All references must outlive this.
+  // All references must outlive this object.
   HeartbeatHandler(const NodeServices& services, fleet::WorkerRegistry& registry,
                    CommandSource& commands, RoundTrigger& trigger)
       : services_(services), registry_(registry), commands_(commands), trigger_(trigger) {}
 
-  // The answer to a heartbeat: 200 with commands, which renews the worker's lease, or 421 if the
-  // worker knows a higher token, which ends our term. Only to be called while this node leads and
-  // LeaderElection::MayAct holds.
+  // Returns the response to a heartbeat: 200 with commands, which renews the worker's lease, or 421
+  // if the worker knows a higher token, which ends our term. Requires that this node leads and that
+  // LeaderElection::MayAct is true.
   wire::HttpResponse OnHeartbeat(const model::Heartbeat& report);
 
  private:
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -9,28 +9,28 @@
 namespace hallpier::controller {
 namespace {
 
-// Retries of jobs that fail on every machine take at most this part of the store's writes; each
-// takes two of them, its placement and its end.
+// Maximum fraction of the store's write rate for retries of jobs that fail on every machine. Each
+// retry takes two writes: its placement and its end.
 constexpr double kRetryWriteShare = 0.1;
 constexpr double kWritesPerRetry = 2;
 
 fleet::WorkerRegistry::Options RegistryOptions(const config::Settings& settings,
-                                               const config::OperatorOptions& operators) {
+                                               const config::OperatorOptions& operator_options) {
   fleet::WorkerRegistry::Options options;
   options.heartbeat_interval_s = settings.heartbeat_interval_s;
   options.lease_s = settings.lease_s;
   options.list_lag_s = settings.list_lag_s;
-  options.silent_ratio = operators.silent_ratio;
+  options.silent_ratio = operator_options.silent_ratio;
   options.retries_per_s =
       kRetryWriteShare * settings.SmallestStateLimits().write_rps / kWritesPerRetry;
-  options.terminations_per_s = ScalingLoop::kReturnsPerCall * settings.cloud_rps;
+  options.terminations_per_s = ScalingLoop::kMaxReturnsPerCall * settings.cloud_rps;
   return options;
 }
 
-plan::PlanningContext ContextOf(const NodeServices& services) {
+plan::PlanningContext MakeContext(const NodeServices& services) {
   plan::PlanningContext context;
   context.settings = services.settings;
-  context.operators = services.operators;
+  context.operators = services.operator_options;
   return context;
 }
 
@@ -38,13 +38,13 @@
 
 Leader::Leader(const NodeServices& services)
     : services_(services),
-      registry_(RegistryOptions(*services.settings, *services.operators)),
-      context_(ContextOf(services)),
+      registry_(RegistryOptions(*services.settings, *services.operator_options)),
+      context_(MakeContext(services)),
       commands_(services, registry_),
       dispatcher_(services, registry_, commands_, trigger_),
       heartbeats_(services, registry_, commands_, trigger_),
       scaling_(services, registry_, context_, trigger_),
-      blocks_(services.operators->blocks.enabled
+      blocks_(services.operator_options->blocks.enabled
                   ? std::make_unique<BlockCoordinator>(services, registry_, context_)
                   : nullptr),
       rounds_(services, {.registry = registry_,
@@ -55,7 +55,7 @@
                          .trigger = trigger_,
                          .blocks = blocks_.get()}) {}
 
-void Leader::Begin(async::Scope& term) {
+void Leader::BeginTerm(async::Scope& term) {
   term_ = &term;
   const election::LeaderElection& election = *services_.election;
   registry_.BeginTerm(election.token(), term.loop().Now(), election.predecessor_answers_until());
@@ -84,11 +84,11 @@
   trigger_.Request();
 }
 
-void Leader::OnTasksChanged(const store::TaskGroupKeyName& key) {
+void Leader::OnTaskGroupChanged(const store::TaskGroupKeyName& key) {
   if (!blocks_ || !InTerm()) return;
   const jobs::Job* job = services_.job_table->Find(key.job);
   if (job == nullptr) return;
-  // The key names one part of a group, or all of them.
+  // The key names either one part of a group or the whole group.
   const uint32_t parts = job->groups.layout().parts_per_whole;
   const uint32_t first = key.task_group * parts + key.part.value_or(0);
   const uint32_t end = key.part ? first + 1 : first + parts;
@@ -103,7 +103,7 @@
   }
 }
 
-size_t Leader::ReportingMachines() const {
+size_t Leader::ReportingMachineCount() const {
   const auto& machines = registry_.machines();
   return static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second.has_reported() && !entry.second.cloud.terminating;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,6 +1,6 @@
-// What a node does while it leads: it owns the parts that run rounds, command workers, rent and
-// return machines, and divide the machines into blocks. Owned by the controller; lives as long as
-// the node, while its routines live for a term. Runs on the thread of the event loop.
+// Runs the work of the leader: owns the components that run rounds, send commands to workers, rent
+// and return machines, and divide the machines into blocks. Owned by the controller; lives as long
+// as the node, while its coroutines live for one term. Runs on the thread of the event loop.
 #pragma once
 
 #include <memory>
@@ -25,29 +25,30 @@
 
 class Leader {
  public:
-  // `services` must outlive this.
+  // `services` must outlive this object.
   explicit Leader(const NodeServices& services);
 
-  // Starts the duties of a term; they end with its scope.
-  void Begin(async::Scope& term);
-  // A job's record has changed; the next round considers it.
+  // Starts the work of a term, which ends when its scope is cancelled.
+  void BeginTerm(async::Scope& term);
+  // Handles a change of a job's record, which the next round considers.
   void OnJobChanged(const std::string& id);
-  // The records of a group of tasks have changed. Where others place, this is how the leader learns
-  // which machines have tasks to start.
-  void OnTasksChanged(const store::TaskGroupKeyName& key);
-  // Something happened that a round should consider: room, or the end of an awaited job.
+  // Handles a change of a task group's record. If other nodes place tasks too, the leader learns
+  // this way which machines have tasks to start.
+  void OnTaskGroupChanged(const store::TaskGroupKeyName& key);
+  // Requests a round after an event that it should consider, such as free capacity or the end of an
+  // awaited job.
   void RequestRound() { trigger_.Request(); }
-  // A worker's heartbeat, and the answer to it (HeartbeatHandler::OnHeartbeat).
+  // Returns the response to a worker's heartbeat (HeartbeatHandler::OnHeartbeat).
   wire::HttpResponse OnHeartbeat(const model::Heartbeat& report) {
     return heartbeats_.OnHeartbeat(report);
   }
-  // Machines that are up and should report here.
-  size_t ReportingMachines() const;
-  // Null where blocks are off.
+  // Returns the number of machines that have reported and are not being terminated.
+  size_t ReportingMachineCount() const;
+  // Null if blocks are disabled.
   BlockCoordinator* blocks() { return blocks_.get(); }
 
  private:
-  // True once a term has begun and while this node leads.
+  // True while this node leads and after a term has been started here.
   bool InTerm() const { return services_.election->leading() && term_ != nullptr; }
 
   const NodeServices& services_;
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -1,5 +1,6 @@
-// What a controller's parts say about leading: the membership on taking the lead, the peers on
-// outages, and the exchange of cancellations on renewing workers' leases.
+// The controller's answers to the election: the membership decides whether this node may become the
+// leader, the peers confirm outages, and the exchange of cancellations decides whether workers'
+// leases may be renewed.
 #pragma once
 
 #include <memory>
@@ -15,8 +16,8 @@
 
 class NodeElectionPolicy : public election::ElectionPolicy {
  public:
-  // Only refers to its arguments, which may be constructed after it but must outlive it.
-  // `membership`: null while membership is off, which lets any node lead at once.
+  // Stores references to its arguments, which may be constructed after it but must outlive it.
+  // `membership` is null if the membership is disabled; then any node may lead at once.
   NodeElectionPolicy(const std::unique_ptr<membership::Service>& membership,
                      CancellationExchange& cancellations, const net::PeerMesh& peers)
       : membership_(membership), cancellations_(cancellations), peers_(peers) {}
@@ -26,7 +27,7 @@
     return membership_ ? membership_->LeadPreconditions() : std::vector<model::Precondition>();
   }
   double AcquireDelayS() const override { return membership_ ? membership_->TakeDelayS() : 0; }
-  // Only a member yields since it is refused alone.
+  // Only with a membership does a leader yield because the key-value store refuses it alone.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
   bool OutageConfirmedByAll() const override { return peers_.AllConfirmOutage(); }
--- a/src/controller/node_services.h
+++ b/src/controller/node_services.h
@@ -1,5 +1,5 @@
-// What the parts of a controller work with. The controller owns all of it, fills this in once, and
-// outlives its parts. Used on the thread of the event loop only.
+// Dependencies that the components of a controller share. The controller owns all of them, sets
+// this struct once, and outlives its components. Used on the thread of the event loop only.
 #pragma once
 
 #include <functional>
@@ -21,23 +21,23 @@
 namespace hallpier::controller {
 
 struct NodeServices {
-  // Of the node's routines; cancelled when the node ends.
+  // The scope of the node's coroutines; cancelled when the node shuts down.
   async::Scope* scope;
   const config::Settings* settings;
-  const config::OperatorOptions* operators;
+  const config::OperatorOptions* operator_options;
   store::Client* client;
   store::WatchCache* cache;
   store::RecordFormats* formats;
   jobs::JobTable* job_table;
-  // As recorded in the key-value store; empty: not known yet.
+  // The machine types recorded in the key-value store; empty if not known yet.
   std::vector<model::MachineType>* machine_types;
   blocks::BlockRecords* block_records;
   election::LeaderElection* election;
-  // Seconds since the epoch.
+  // Returns the wall-clock time in seconds since the epoch.
   std::function<double()> time_of_day;
-  // The session of this process in the membership; 0: it has none.
+  // Returns the membership session of this process, or 0 if it has none.
   std::function<uint64_t()> session;
-  // Puts a message on the link to a node; does nothing while there is no link.
+  // Sends a message over the link to a node; does nothing while there is no link.
   std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
 };
 
--- a/src/controller/node_shutdown.h
+++ b/src/controller/node_shutdown.h
@@ -1,5 +1,6 @@
-// Ends a node in order: it leaves the membership, which hands over the lead, then every routine is
-// cancelled and awaited. Owned by the controller; runs on the thread of the event loop.
+// Shuts a node down in order: the node leaves the membership, which hands over leadership, then
+// every coroutine is cancelled and awaited. Owned by the controller; runs on the thread of the
+// event loop.
 #pragma once
 
 #include <functional>
@@ -11,11 +12,11 @@
 
 class NodeShutdown {
  public:
-  // `routines`: the scope of all routines of the node.
+  // `routines` is the scope of all coroutines of the node.
   explicit NodeShutdown(async::Scope& routines) : routines_(routines), scope_(routines.loop()) {}
 
-  // Starts the shutdown, once; a repeated call does nothing. `membership`: null while it is off.
-  // `done` is called when no routine of the node runs any more.
+  // Starts the shutdown; a repeated call does nothing. `membership` is null if it is disabled.
+  // `done` is called after all coroutines of the node have ended.
   void Begin(membership::Service* membership, std::function<void()> done);
 
  private:
@@ -24,7 +25,7 @@
   async::Task<> Join(std::function<void()> done);
 
   async::Scope& routines_;
-  async::Scope scope_;  // of the shutdown itself, which outlives the others
+  async::Scope scope_;  // of the shutdown's coroutines, which outlive the node's
   bool begun_ = false;
 };
 
--- a/src/controller/oversized_writes.cc
+++ b/src/controller/oversized_writes.cc
@@ -11,16 +11,16 @@
 }
 
 void OversizedWrites::Clear() {
-  alone_.clear();
+  isolated_keys_.clear();
   rejected_.clear();
 }
 
 bool OversizedWrites::OnRejected(const std::vector<model::KeyWrite>& writes) {
-  if (alone_.contains(writes[0].key)) {
+  if (isolated_keys_.contains(writes[0].key)) {
     rejected_[writes[0].key] = SizesOf(writes);
     return true;
   }
-  for (const model::KeyWrite& write : writes) alone_.insert(write.key);
+  for (const model::KeyWrite& write : writes) isolated_keys_.insert(write.key);
   return false;
 }
 
--- a/src/controller/oversized_writes.h
+++ b/src/controller/oversized_writes.h
@@ -1,5 +1,5 @@
-// Remembers which writes the key-value store has rejected as malformed, in all likelihood for their
-// size. Does no I/O.
+// Tracks the writes that the key-value store has rejected as malformed, most likely because of
+// their size. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,18 +14,21 @@
 
 class OversizedWrites {
  public:
-  // Forgets everything: a term begins.
+  // Removes all entries, at the start of a term.
   void Clear();
-  // A transaction of these writes was rejected. What was together goes alone from now on; what was
-  // alone is not sent again while it has the same size. True: it was alone.
+  // Records that a transaction of these writes was rejected. If the first key was not isolated yet,
+  // isolates all keys, so that their writes share no transaction with others from now on, and
+  // returns false. If it was, the writes are not sent again while they have the same sizes; returns
+  // true.
   bool OnRejected(const std::vector<model::KeyWrite>& writes);
-  // True if these writes were rejected alone, with the same sizes.
+  // True if these writes were rejected in an isolated transaction, with the same sizes.
   bool IsRejected(const std::vector<model::KeyWrite>& writes) const;
-  // Keys whose writes must share a transaction with no others.
-  const std::set<std::string>& isolated_keys() const { return alone_; }
+  // Keys whose writes must not share a transaction with other writes.
+  const std::set<std::string>& isolated_keys() const { return isolated_keys_; }
 
  private:
-  // What a rejection for size depends on; not on the times that are in final records.
+  // The parts of a write that a rejection for size depends on. Values are not compared, so other
+  // times in a final record make no difference.
   struct WriteSize {
     std::string key;
     size_t value_bytes;
@@ -33,8 +36,8 @@
   };
   static std::vector<WriteSize> SizesOf(const std::vector<model::KeyWrite>& writes);
 
-  std::set<std::string> alone_;
-  std::map<std::string, std::vector<WriteSize>> rejected_;  // by the first key
+  std::set<std::string> isolated_keys_;
+  std::map<std::string, std::vector<WriteSize>> rejected_;  // by the first key of the writes
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -6,7 +6,7 @@
 
 namespace hallpier::controller {
 
-void StateDispatcher::OnRecord(const std::string& key, const std::string& value) {
+void RecordDispatcher::OnRecordChanged(const std::string& key, const std::string& value) {
   std::visit(store::Overloaded{
                  [&](const store::LeaderKeyName&) { OnLeader(value); },
                  [&](const store::MemberKeyName& name) { OnMember(name.node, value); },
@@ -23,63 +23,65 @@
                  [&](const store::JobKeyName& name) { OnJob(name, value); },
                  [&](const store::TaskGroupKeyName& name) { OnTaskGroup(name, value); },
                  [&](const store::FencingTokenKeyName&) {
-                   // A node without peers can learn of it in no other way: a new token of its own
-                   // whose write got no answer and was carried out late makes every commit fail.
+                   // A node without peers can't learn of a token in any other way. If its own write
+                   // of a new token gets no response and is executed late, every commit fails until
+                   // the node learns of that token.
                    services_.election->OnTokenSeen(services_.cache->fencing_token());
                  },
-                 // Final records are not watched.
+                 // The watch does not cover final records.
                  [](const store::FinalKeyName&) {},
-                 // A key of a newer version.
+                 // A key of a newer software version.
                  [](const store::UnknownKeyName&) {},
              },
              store::ParseKey(key));
 }
 
-void StateDispatcher::OnLeader(const std::string& value) {
+void RecordDispatcher::OnLeader(const std::string& value) {
   services_.election->OnLeaderRecord(value);
   if (membership_) membership_->OnLeaderRecord();
 }
 
-void StateDispatcher::OnMember(const std::string& node, const std::string& value) {
+void RecordDispatcher::OnMember(const std::string& node, const std::string& value) {
   if (membership_) membership_->OnRecord(node, value);
   if (leader_.blocks() == nullptr) return;
-  leader_.blocks()->OnMember(node, value.empty() ? std::nullopt : membership::ReadMember(value));
+  leader_.blocks()->OnMemberRecord(node,
+                                   value.empty() ? std::nullopt : membership::ReadMember(value));
 }
 
-void StateDispatcher::OnDivision(const std::string& key, const std::string& value) {
+void RecordDispatcher::OnDivision(const std::string& key, const std::string& value) {
   blocks::BlockRecords& records = *services_.block_records;
   records.PutDivision(value, services_.cache->Version(key));
-  services_.client->SetOthersPlace(services_.operators->blocks.enabled &&
+  services_.client->SetOthersPlace(services_.operator_options->blocks.enabled &&
                                    records.division().divided());
-  RequestHolderRound();
+  RequestBlockRound();
 }
 
-void StateDispatcher::OnShare(const std::string& node, const std::string& key,
-                              const std::string& value) {
+void RecordDispatcher::OnShare(const std::string& node, const std::string& key,
+                               const std::string& value) {
   services_.block_records->PutShare(node, value, services_.cache->Version(key));
-  RequestHolderRound();
+  RequestBlockRound();
 }
 
-void StateDispatcher::OnMachineTypes(uint32_t page, const std::string& value) {
+void RecordDispatcher::OnMachineTypes(uint32_t page, const std::string& value) {
   machine_type_pages_.Put(page, value);
   if (auto all = machine_type_pages_.All()) *services_.machine_types = std::move(*all);
 }
 
-void StateDispatcher::OnJob(const store::JobKeyName& key, const std::string& value) {
+void RecordDispatcher::OnJob(const store::JobKeyName& key, const std::string& value) {
   services_.job_table->Apply(key, value);
   dependency_outcomes_.OnJobsChanged();
   leader_.OnJobChanged(key.job);
-  RequestHolderRound();
+  RequestBlockRound();
 }
 
-void StateDispatcher::OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value) {
+void RecordDispatcher::OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value) {
   services_.job_table->Apply(key, value);
-  leader_.OnTasksChanged(key);
-  RequestHolderRound();
+  leader_.OnTaskGroupChanged(key);
+  RequestBlockRound();
 }
 
-void StateDispatcher::RequestHolderRound() {
-  if (block_holder_) block_holder_->RequestRound();
+void RecordDispatcher::RequestBlockRound() {
+  if (block_placement_) block_placement_->RequestRound();
 }
 
 }  // namespace hallpier::controller
--- a/src/controller/record_dispatcher.h
+++ b/src/controller/record_dispatcher.h
@@ -1,5 +1,5 @@
-// Passes each change of a record, as the watch brings it, to the parts of the node that depend on
-// records of its kind. Owned by the controller; called by the watch's routine.
+// Dispatches each record change from the watch to the components of the node that depend on records
+// of that kind. Owned by the controller; called by the watch's coroutine.
 #pragma once
 
 #include <memory>
@@ -16,22 +16,22 @@
 
 namespace hallpier::controller {
 
-class StateDispatcher {
+class RecordDispatcher {
  public:
-  // Only refers to its arguments, which may be constructed after it but must outlive it. Null
-  // pointers in `membership` and `block_holder`: these parts are off.
-  StateDispatcher(const NodeServices& services, Leader& leader,
-                  DependencyOutcomes& dependency_outcomes,
-                  const std::unique_ptr<membership::Service>& membership,
-                  const std::unique_ptr<BlockPlacementLoop>& block_holder)
+  // Stores references to its arguments, which may be constructed after it but must outlive it.
+  // `membership` and `block_placement` are null if these components are disabled.
+  RecordDispatcher(const NodeServices& services, Leader& leader,
+                   DependencyOutcomes& dependency_outcomes,
+                   const std::unique_ptr<membership::Service>& membership,
+                   const std::unique_ptr<BlockPlacementLoop>& block_placement)
       : services_(services),
         leader_(leader),
         dependency_outcomes_(dependency_outcomes),
         membership_(membership),
-        block_holder_(block_holder) {}
+        block_placement_(block_placement) {}
 
-  // A record has changed; an empty value: it was deleted.
-  void OnRecord(const std::string& key, const std::string& value);
+  // Handles a record that was changed, or deleted if the value is empty.
+  void OnRecordChanged(const std::string& key, const std::string& value);
 
  private:
   void OnLeader(const std::string& value);
@@ -41,14 +41,14 @@
   void OnMachineTypes(uint32_t page, const std::string& value);
   void OnJob(const store::JobKeyName& key, const std::string& value);
   void OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value);
-  // Something changed that the round of a block's holder should consider.
-  void RequestHolderRound();
+  // Requests a round of this node as the holder of a block, after a change that it should consider.
+  void RequestBlockRound();
 
   const NodeServices& services_;
   Leader& leader_;
   DependencyOutcomes& dependency_outcomes_;
   const std::unique_ptr<membership::Service>& membership_;
-  const std::unique_ptr<BlockPlacementLoop>& block_holder_;
+  const std::unique_ptr<BlockPlacementLoop>& block_placement_;
   store::MachineTypePages machine_type_pages_;
 };
 
--- a/src/controller/replan_policy.cc
+++ b/src/controller/replan_policy.cc
@@ -4,13 +4,13 @@
 
 bool ReplanPolicy::ShouldReplan(const jobs::Transaction& transaction, bool round_requested,
                                 double now) {
-  // Urgent work may go before anything that ranks behind the ends of jobs.
-  if (urgent_work_ && transaction.priority > jobs::WritePriority::kJobEnd) return true;
-  // Background writes are dropped for anything new, except for one transaction in each interval: on
-  // a busy day there is always something new, and no write may be put off for ever.
+  // Urgent work takes precedence over all writes with a lower priority than the ends of jobs.
+  if (urgent_work_pending_ && transaction.priority > jobs::WritePriority::kJobEnd) return true;
+  // Background writes are dropped if any round is requested, except for one transaction per
+  // interval: under load, rounds are always requested, and no write may be delayed indefinitely.
   if (transaction.priority < jobs::WritePriority::kCleanup) return false;
-  if (round_requested && now < last_background_at_ + background_interval_s_) return true;
-  last_background_at_ = now;
+  if (round_requested && now < last_background_sent_at_ + background_interval_s_) return true;
+  last_background_sent_at_ = now;
   return false;
 }
 
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -21,10 +21,10 @@
 
 enum class Endpoint { kHeartbeat, kReady, kJobs, kJob, kCancelJob, kUnknown };
 
-// What the path of a request names.
+// The endpoint and the job that the path of a request refers to.
 struct Target {
   Endpoint endpoint = Endpoint::kUnknown;
-  std::string job;  // of kJob and kCancelJob
+  std::string job;  // for kJob and kCancelJob
 };
 
 Target ParseTarget(const std::string& path) {
@@ -41,8 +41,8 @@
   return {Endpoint::kJob, std::move(job)};
 }
 
-// The one method that an endpoint takes.
-std::string_view MethodOf(Endpoint endpoint) {
+// Returns the only method that an endpoint accepts.
+std::string_view AllowedMethod(Endpoint endpoint) {
   return endpoint == Endpoint::kReady || endpoint == Endpoint::kJob ? "GET" : "POST";
 }
 
@@ -53,12 +53,13 @@
 }  // namespace
 
 async::Task<wire::HttpResponse> RequestRouter::Handle(wire::HttpRequest request) {
-  const double began = services_.scope->loop().Now();
+  const double started_at = services_.scope->loop().Now();
   const bool from_user = request.path() != kHeartbeatPath && request.path() != kReadyPath;
   wire::HttpResponse response = co_await Route(std::move(request));
-  // Read before a pause of the process, it may be older by now than what another node has answered.
-  const bool good = response.status < kFirstErrorStatus;
-  if (from_user && good && services_.scope->loop().resumed_at() > began) {
+  // If the data was read before a pause of the process, another node may have returned newer data
+  // in the meantime.
+  const bool succeeded = response.status < kFirstErrorStatus;
+  if (from_user && succeeded && services_.scope->loop().resumed_at() > started_at) {
     response = Unavailable("this node was paused");
   }
   co_return response;
@@ -69,35 +70,36 @@
   if (target.endpoint == Endpoint::kUnknown) {
     co_return wire::HttpResponse{.status = kNotFound, .body = wire::WriteError("no such path")};
   }
-  if (request.method != MethodOf(target.endpoint)) {
+  if (request.method != AllowedMethod(target.endpoint)) {
     co_return wire::HttpResponse{.status = kMethodNotAllowed, .body = wire::WriteError("method")};
   }
-  if (target.endpoint == Endpoint::kHeartbeat) co_return AnswerHeartbeat(request.body);
-  if (target.endpoint == Endpoint::kReady) co_return AnswerReady();
+  if (target.endpoint == Endpoint::kHeartbeat) co_return HandleHeartbeat(request.body);
+  if (target.endpoint == Endpoint::kReady) co_return HandleReady();
   wire::HttpResponse response;
   if (target.endpoint == Endpoint::kJobs) {
-    response = co_await users_.Submit(std::move(request.body));
+    response = co_await user_api_.Submit(std::move(request.body));
   } else if (target.endpoint == Endpoint::kJob) {
-    response = co_await users_.Poll(std::move(target.job));
+    response = co_await user_api_.Poll(std::move(target.job));
   } else {
-    response = co_await users_.Cancel(std::move(target.job));
+    response = co_await user_api_.Cancel(std::move(target.job));
   }
   co_return response;
 }
 
 bool RequestRouter::Ready() const {
   if (!services_.cache->loaded()) return false;
-  // Refused alone, with no peer to relay by: users are better served elsewhere. While the store is
-  // out for all nodes, leaving the load balancer would only make the return slower.
+  // If the store refuses only this node and no peer can relay its requests, other nodes serve users
+  // better. While the store is down for all nodes, leaving the load balancer would only delay the
+  // recovery.
   return !services_.client->down() || peers_.AnyReachesState() || peers_.AllConfirmOutage() ||
          services_.settings->seeds.empty();
 }
 
-wire::HttpResponse RequestRouter::AnswerReady() const {
+wire::HttpResponse RequestRouter::HandleReady() const {
   return {.status = Ready() ? kOk : kUnavailable, .body = "{}"};
 }
 
-wire::HttpResponse RequestRouter::AnswerHeartbeat(const std::string& body) {
+wire::HttpResponse RequestRouter::HandleHeartbeat(const std::string& body) {
   if (membership_) membership_->OnWorkerReport();
   const election::LeaderElection& election = *services_.election;
   if (!election.leading()) {
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -1,5 +1,5 @@
-// Answers the HTTP requests that reach a node: workers' heartbeats, users' requests and health
-// checks. Owned by the controller; runs in the routines of its HTTP server.
+// Routes the HTTP requests to a node: workers' heartbeats, users' requests and health checks. Owned
+// by the controller; runs in the coroutines of its HTTP server.
 #pragma once
 
 #include <memory>
@@ -21,30 +21,31 @@
   static constexpr std::string_view kHeartbeatPath = "/checkin";
   static constexpr std::string_view kReadyPath = "/ready";
 
-  // Only refers to its arguments, which may be constructed after it but must outlive it.
-  // `membership`: null while membership is off.
-  RequestRouter(const NodeServices& services, Leader& leader, api::UserApi& users,
+  // Stores references to its arguments, which may be constructed after it but must outlive it.
+  // `membership` is null if the membership is disabled.
+  RequestRouter(const NodeServices& services, Leader& leader, api::UserApi& user_api,
                 const std::unique_ptr<membership::Service>& membership, const net::PeerMesh& peers)
       : services_(services),
         leader_(leader),
-        users_(users),
+        user_api_(user_api),
         membership_(membership),
         peers_(peers) {}
 
-  // Answers a request: 404 for an unknown path, 405 for a method that its path does not take, and
-  // 503 in place of a user's good answer that a pause of this process has made an old one.
+  // Returns the response to a request: 404 for an unknown path, 405 for a method that its path does
+  // not accept, and 503 instead of a successful response to a user if this process was paused while
+  // it handled the request, since the response may be out of date.
   async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
 
  private:
   async::Task<wire::HttpResponse> Route(wire::HttpRequest request);
-  // True if users are to be sent to this node.
+  // True if the load balancer should send users' requests to this node.
   bool Ready() const;
-  wire::HttpResponse AnswerReady() const;
-  wire::HttpResponse AnswerHeartbeat(const std::string& body);
+  wire::HttpResponse HandleReady() const;
+  wire::HttpResponse HandleHeartbeat(const std::string& body);
 
   const NodeServices& services_;
   Leader& leader_;
-  api::UserApi& users_;
+  api::UserApi& user_api_;
   const std::unique_ptr<membership::Service>& membership_;
   const net::PeerMesh& peers_;
 };
--- a/src/controller/round_interval.cc
+++ b/src/controller/round_interval.cc
@@ -7,18 +7,18 @@
 namespace hallpier::controller {
 namespace {
 
-// Rounds that something new calls for come at least this part of the reaction time apart...
-constexpr double kMinGap = 1.0 / 12;
-// ...and leave this many times their own planning time to everything else.
-constexpr double kGapPerPlanning = 5;
+// Minimum gap before a requested round, as a fraction of the reaction time.
+constexpr double kMinGapRatio = 1.0 / 12;
+// Gap as a multiple of the planning time, so that most of the time is left for other work.
+constexpr double kGapPlanningRatio = 5;
 
 }  // namespace
 
-double RoundGapS(const config::Settings& settings, const config::OperatorOptions& operators,
+double RoundGapS(const config::Settings& settings, const config::OperatorOptions& operator_options,
                  double planning_s) {
-  const double min_gap_s = kMinGap * config::ReactionTimeS(settings, operators);
-  return std::clamp(kGapPerPlanning * planning_s, min_gap_s,
-                    std::max(operators.round_s, min_gap_s));
+  const double min_gap_s = kMinGapRatio * config::ReactionTimeS(settings, operator_options);
+  return std::clamp(kGapPlanningRatio * planning_s, min_gap_s,
+                    std::max(operator_options.round_s, min_gap_s));
 }
 
 }  // namespace hallpier::controller
--- a/src/controller/round_interval.h
+++ b/src/controller/round_interval.h
@@ -1,4 +1,4 @@
-// How far apart scheduling rounds are. Does no I/O.
+// Computes the gap between scheduling rounds. Does no I/O.
 #pragma once
 
 #include "config/operator_options.h"
@@ -6,9 +6,9 @@
 
 namespace hallpier::controller {
 
-// Seconds from the end of a round to the next, if something new calls for one. `planning_s`: how
-// long the last round took to plan, in seconds.
-double RoundGapS(const config::Settings& settings, const config::OperatorOptions& operators,
+// Returns the minimum seconds from the end of a round to the start of the next requested one.
+// `planning_s` is the planning time of the last round in seconds.
+double RoundGapS(const config::Settings& settings, const config::OperatorOptions& operator_options,
                  double planning_s);
 
 }  // namespace hallpier::controller
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -19,11 +19,12 @@
 namespace hallpier::controller {
 namespace {
 
-// Background writes are sent at least this often, as a part of a heartbeat interval (ReplanPolicy).
-constexpr double kBackgroundInterval = 1.0 / 4;
+// Maximum interval between background writes, as a fraction of the heartbeat interval
+// (ReplanPolicy).
+constexpr double kBackgroundIntervalRatio = 1.0 / 4;
 constexpr double kMsPerS = 1000;
 
-// Tasks that come back from one machine for one reason make one log line.
+// Tasks requeued from one machine for one reason are logged in one line.
 struct RequeueGroup {
   std::string machine;
   std::string reason;
@@ -62,11 +63,11 @@
     : services_(services),
       parts_(parts),
       committer_(services, CommitHooks()),
-      replan_policy_(kBackgroundInterval * services.settings->heartbeat_interval_s) {}
+      replan_policy_(kBackgroundIntervalRatio * services.settings->heartbeat_interval_s) {}
 
 TransactionCommitter::Hooks RoundRunner::CommitHooks() {
   TransactionCommitter::Hooks hooks;
-  hooks.replan_instead = [this](const jobs::Transaction& transaction) {
+  hooks.should_replan = [this](const jobs::Transaction& transaction) {
     return replan_policy_.ShouldReplan(transaction, parts_.trigger.requested(),
                                        services_.scope->loop().Now());
   };
@@ -84,79 +85,82 @@
 void RoundRunner::BeginTerm() {
   replan_policy_.OnRoundStarted();
   committer_.Reset();
-  parts_.trigger.Request();  // for what the former leader left undone
+  parts_.trigger.Request();  // for the unfinished work of the previous leader
 }
 
 async::Task<> RoundRunner::Run(async::Scope& term) {
   while (!term.cancelled()) {
-    co_await AwaitDue(term);
+    co_await AwaitNextRound(term);
     if (term.cancelled()) break;
     parts_.trigger.Clear();
-    co_await Round(term);
+    co_await RunRound(term);
   }
 }
 
-async::Task<> RoundRunner::AwaitDue(async::Scope& term) {
-  const double gap_s = RoundGapS(*services_.settings, *services_.operators, planning_s_);
+async::Task<> RoundRunner::AwaitNextRound(async::Scope& term) {
+  const double gap_s =
+      RoundGapS(*services_.settings, *services_.operator_options, last_planning_s_);
   async::Sleep gap(term, gap_s);
   co_await gap;
   if (!parts_.trigger.requested()) {
-    auto wait = parts_.trigger.Await(term, std::max(0.0, services_.operators->round_s - gap_s));
+    auto wait =
+        parts_.trigger.Await(term, std::max(0.0, services_.operator_options->round_s - gap_s));
     co_await wait;
   }
-  // Looked at last: the process may have been paused in any of the waits.
-  while (!term.cancelled() && !parts_.commands.CopyIsCurrent()) {
+  // Checked last: the process may have been paused during any of the waits above.
+  while (!term.cancelled() && !parts_.commands.CacheIsCurrent()) {
     auto wait = services_.cache->changed().Await(term, services_.settings->heartbeat_interval_s);
     co_await wait;
   }
 }
 
-async::Task<bool> RoundRunner::Prepare(async::Scope& term) {
+async::Task<bool> RoundRunner::PrepareRound(async::Scope& term) {
   if (fleet::NeedsHigherToken(parts_.registry, *services_.job_table)) {
     const bool raised = co_await services_.election->RaiseToken();
     if (raised) parts_.registry.SetToken(services_.election->token());
   }
-  const bool resolved = co_await committer_.ResolveUnanswered(term, services_.operators->round_s);
+  const bool resolved =
+      co_await committer_.ResolveUnanswered(term, services_.operator_options->round_s);
   if (!resolved) parts_.trigger.Request();
   co_return resolved;
 }
 
-async::Task<> RoundRunner::Round(async::Scope& term) {
-  const bool prepared = co_await Prepare(term);
+async::Task<> RoundRunner::RunRound(async::Scope& term) {
+  const bool prepared = co_await PrepareRound(term);
   if (!prepared) co_return;
-  const double began = term.loop().Now();
+  const double started_at = term.loop().Now();
   replan_policy_.OnRoundStarted();
   parts_.registry.UpdateObservations(*services_.job_table);
   std::vector<jobs::TaskTransition> transitions =
-      fleet::CollectTaskTransitions(parts_.registry, *services_.job_table, began);
+      fleet::CollectTaskTransitions(parts_.registry, *services_.job_table, started_at);
   LogRequeued(transitions);
   std::optional<plan::PlacementScope> scope;
   if (parts_.blocks != nullptr && parts_.blocks->divided()) scope = parts_.blocks->WholeScope();
   const plan::PlacementScope* plan_scope = scope ? &*scope : nullptr;
-  plan::RoundResult plan = Plan(began, plan_scope);
+  plan::RoundResult plan = Plan(started_at, plan_scope);
   parts_.scaling.SetDemands(std::move(plan.demands));
-  Preempt(plan.preemptions);
+  RequestPreemptions(plan.preemptions);
   PlacementDecision decision = co_await DecidePlacements(term, plan, plan_scope);
   if (term.cancelled()) co_return;
   for (const std::string& job : plan.retried_jobs) {
     spdlog::info("retry: one task of a job that fails on every machine job={}", job);
-    parts_.registry.failure_tracker().OnRetry(job, began);
+    parts_.registry.failure_tracker().OnRetry(job, started_at);
   }
   LogRound(plan, decision.placements);
-  // One write for all that a group of tasks has to say: the store takes few of them.
+  // All transitions of a task group are combined into one write: the store's write rate is limited.
   std::move(decision.placements.begin(), decision.placements.end(),
             std::back_inserter(transitions));
   co_await Commit(term, std::move(transitions), std::move(decision.preconditions));
 }
 
-plan::RoundResult RoundRunner::Plan(double began, const plan::PlacementScope* scope) {
+plan::RoundResult RoundRunner::Plan(double started_at, const plan::PlacementScope* scope) {
   plan::RoundResult plan = plan::PlanRound(parts_.context, *services_.job_table, parts_.registry,
-                                           began, services_.time_of_day(), scope);
-  planning_s_ = services_.scope->loop().Now() - began;
+                                           started_at, services_.time_of_day(), scope);
+  last_planning_s_ = services_.scope->loop().Now() - started_at;
   return plan;
 }
 
-void RoundRunner::Preempt(const std::vector<plan::Preemption>& preemptions) {
+void RoundRunner::RequestPreemptions(const std::vector<plan::Preemption>& preemptions) {
   for (const plan::Preemption& preemption : preemptions) {
     parts_.registry.stop_requests().Add(preemption.task, preemption.attempt, preemption.grace_s);
     spdlog::debug("preempt: task={} attempt={} machine={} reason={}",
@@ -176,13 +180,13 @@
   }
   co_await parts_.blocks->ReviewAfterRound(plan, scope);
   if (term.cancelled()) co_return decision;
-  if (scope == nullptr && parts_.blocks->MayPlaceOnAll()) {
+  if (scope == nullptr && parts_.blocks->MayPlaceOnAllMachines()) {
     decision.placements = std::move(plan.placements);
     co_return decision;
   }
   const std::optional<size_t> holder = parts_.blocks->HolderIndex(services_.session());
   if (!holder) {
-    // Until the copy has passed what was just written, or while this node holds no block.
+    // The watch cache has not passed the latest writes yet, or this node holds no block.
     parts_.trigger.Request();
     co_return decision;
   }
@@ -190,11 +194,11 @@
 }
 
 RoundRunner::PlacementDecision RoundRunner::PlaceOnOwnBlock(size_t holder) {
-  const plan::PlacementScope own = parts_.blocks->HolderScope(holder);
-  const double began = services_.scope->loop().Now();
+  const plan::PlacementScope own_scope = parts_.blocks->HolderScope(holder);
+  const double started_at = services_.scope->loop().Now();
   plan::RoundResult plan = plan::PlanRound(parts_.context, *services_.job_table, parts_.registry,
-                                           began, services_.time_of_day(), &own);
-  planning_s_ += services_.scope->loop().Now() - began;
+                                           started_at, services_.time_of_day(), &own_scope);
+  last_planning_s_ += services_.scope->loop().Now() - started_at;
   return {std::move(plan.placements), services_.block_records->PlacementPreconditions(holder)};
 }
 
@@ -209,14 +213,14 @@
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
   auto transactions = jobs::BuildTransactions(*services_.job_table, transitions, limits, version);
   LogTransactions(transactions);
-  co_await committer_.Commit(term, std::move(transactions), services_.operators->round_s);
+  co_await committer_.Commit(term, std::move(transactions), services_.operator_options->round_s);
 }
 
 void RoundRunner::LogRound(const plan::RoundResult& plan,
                            const std::vector<jobs::TaskTransition>& placements) const {
   if (!placements.empty() || !plan.preemptions.empty()) {
     spdlog::info("round: waiting={} placed={} preempted={} plan_ms={:.1f}", plan.waiting_tasks,
-                 placements.size(), plan.preemptions.size(), planning_s_ * kMsPerS);
+                 placements.size(), plan.preemptions.size(), last_planning_s_ * kMsPerS);
   }
   for (const jobs::TaskTransition& placement : placements) {
     spdlog::debug("place: task={} attempt={} machine={}", model::TaskName(placement.task),
--- a/src/controller/round_runner.h
+++ b/src/controller/round_runner.h
@@ -1,6 +1,6 @@
-// Runs the leader's rounds: when a round is due, it reconciles the records with what workers
-// report, plans, has tasks preempted, and commits what was decided. Owned by the leader; its
-// routine ends with the term.
+// Runs the leader's rounds: when a round is due, it reconciles the records with the workers'
+// reports, plans, requests preemptions, and commits the decisions. Owned by the leader; its
+// coroutine ends with the term.
 #pragma once
 
 #include <optional>
@@ -24,7 +24,7 @@
 
 class RoundRunner {
  public:
-  // The other parts of the leader, which must outlive this.
+  // The other components of the leader, which must outlive this object.
   struct Parts {
     fleet::WorkerRegistry& registry;
     plan::PlanningContext& context;
@@ -32,39 +32,39 @@
     CommandDispatcher& dispatcher;
     ScalingLoop& scaling;
     RoundTrigger& trigger;
-    BlockCoordinator* blocks;  // null: blocks are off
+    BlockCoordinator* blocks;  // null if blocks are disabled
   };
   RoundRunner(const NodeServices& services, Parts parts);
 
-  // A term begins.
+  // Starts a term.
   void BeginTerm();
-  // Prod or urgent work has come that no round has considered yet.
+  // Called when prod or urgent work arrives that no round has considered yet.
   void OnUrgentWork() { replan_policy_.OnUrgentWork(); }
-  // The routine of a term: ends with the scope.
+  // Runs the rounds of a term until its scope is cancelled.
   async::Task<> Run(async::Scope& term);
 
  private:
-  // What this node places itself, and under which preconditions it is recorded.
+  // The placements that this node makes itself, and the preconditions for recording them.
   struct PlacementDecision {
     std::vector<jobs::TaskTransition> placements;
     std::vector<model::Precondition> preconditions;
   };
   TransactionCommitter::Hooks CommitHooks();
-  // Waits until a round is due and the copy of the records is current.
-  async::Task<> AwaitDue(async::Scope& term);
-  async::Task<> Round(async::Scope& term);
-  // Voids lost start commands where they stand in the way, and resolves transactions that got no
-  // answer. False: no round can be planned yet.
-  async::Task<bool> Prepare(async::Scope& term);
-  plan::RoundResult Plan(double began, const plan::PlacementScope* scope);
-  void Preempt(const std::vector<plan::Preemption>& preemptions);
-  // Has the holders' blocks and shares reviewed, and decides what this node itself places. `scope`:
-  // the one of the plan; null: machines were not divided.
+  // Waits until a round is due and the watch cache is current.
+  async::Task<> AwaitNextRound(async::Scope& term);
+  async::Task<> RunRound(async::Scope& term);
+  // Voids lost start commands that block progress, and resolves transactions without a response.
+  // Returns false if no round can be planned yet.
+  async::Task<bool> PrepareRound(async::Scope& term);
+  plan::RoundResult Plan(double started_at, const plan::PlacementScope* scope);
+  void RequestPreemptions(const std::vector<plan::Preemption>& preemptions);
+  // Has the holders' blocks and shares reviewed, and decides the placements of this node itself.
+  // `scope` is the scope of the plan, null if the machines were not divided.
   async::Task<PlacementDecision> DecidePlacements(async::Scope& term, plan::RoundResult& plan,
                                                   const plan::PlacementScope* scope);
-  // The placements of this node's own block.
+  // Returns the placements on this node's own block.
   PlacementDecision PlaceOnOwnBlock(size_t holder);
-  // Turns a round's transitions into transactions and sends them.
+  // Builds transactions from the transitions of a round and sends them.
   async::Task<> Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                        std::vector<model::Precondition> preconditions);
   void LogRound(const plan::RoundResult& plan,
@@ -74,7 +74,7 @@
   const Parts parts_;
   TransactionCommitter committer_;
   ReplanPolicy replan_policy_;
-  double planning_s_ = 0;  // how long the last round took to plan
+  double last_planning_s_ = 0;  // planning time of the last round
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/round_trigger.h
+++ b/src/controller/round_trigger.h
@@ -1,5 +1,5 @@
-// Remembers that a round is wanted and wakes the routine that runs rounds. One waiter; used on the
-// thread of the event loop.
+// Records requests for a round and wakes the coroutine that runs rounds. Supports one waiter; used
+// on the thread of the event loop.
 #pragma once
 
 #include "async/wait.h"
@@ -8,15 +8,15 @@
 
 class RoundTrigger {
  public:
-  // Something happened that a round should consider.
+  // Requests a round after an event that it should consider.
   void Request() {
     requested_ = true;
     event_.Notify();
   }
   bool requested() const { return requested_; }
-  // A round begins: it considers all that was requested so far.
+  // Called when a round starts, which covers all requests so far.
   void Clear() { requested_ = false; }
-  // Awaitable: until the next request, or for `limit_s` seconds.
+  // Returns an awaitable for the next request, with a timeout of `limit_s` seconds.
   async::Event::Waiter Await(async::Scope& scope, double limit_s) {
     return event_.Await(scope, limit_s);
   }
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -21,34 +21,35 @@
 namespace {
 
 constexpr double kCloudTimeoutS = 5;
-// Part of the cloud's request limit that is used at all, and the calls that may come at once.
-constexpr double kRateShare = 0.8;
-constexpr double kRateBurst = 2.0;
+// Fraction of the cloud's rate limit that this node uses, and the burst of the limiter in calls.
+constexpr double kRateLimitShare = 0.8;
+constexpr double kRateLimitBurst = 2.0;
 constexpr size_t kCloudConnections = 2;
-// Part of the cloud's request limit that the regular listing may use.
-constexpr double kListShare = 0.2;
-// Lists in a heartbeat interval, where they take few calls.
-constexpr double kListsPerHeartbeat = 3;
-// Machine types are asked for anew after this many heartbeat intervals.
-constexpr double kMachineTypeHeartbeats = 20;
-// A leader that hears too few workers leaves the lead to another for this part of their lease.
-constexpr double kResignRatio = 1.0;
-// A page of the list of machines has 500 of them at the most, however large the fleet.
-constexpr size_t kMaxCloudBody = size_t{1024} * 1024;
+// Fraction of the cloud's rate limit for the periodic list of machines.
+constexpr double kListRateShare = 0.2;
+// Lists per heartbeat interval while a list takes few calls; a long list is requested less often.
+constexpr double kMaxListsPerHeartbeat = 3;
+// Heartbeat intervals between two requests for the machine types.
+constexpr double kMachineTypeRefreshHeartbeats = 20;
+// A leader that receives reports from too few workers resigns and stays out of the election for
+// this fraction of the workers' lease.
+constexpr double kResignLeaseRatio = 1.0;
+// A page of the list has at most 500 machines, whatever the size of the fleet.
+constexpr size_t kMaxCloudBodyBytes = size_t{1024} * 1024;
 constexpr int kOk = 200;
 
-// What the cloud may run out of.
-struct Offer {
+// A capacity pool of the cloud, which may be exhausted.
+struct CapacityPool {
   std::string machine_type;
   std::string zone;
   bool spot;
-  bool operator<(const Offer& other) const {
+  bool operator<(const CapacityPool& other) const {
     return std::tie(machine_type, zone, spot) <
            std::tie(other.machine_type, other.zone, other.spot);
   }
 };
 
-Offer OfferOf(const model::ScaleOutRequest& request) {
+CapacityPool CapacityPoolOf(const model::ScaleOutRequest& request) {
   return {request.machine_type, request.zone, request.spot};
 }
 
@@ -60,12 +61,12 @@
       registry_(registry),
       context_(context),
       trigger_(trigger),
-      autoscaler_(*services.settings, *services.operators),
-      cloud_(kCloudConnections, kMaxCloudBody),
-      rate_limiter_(services.settings->cloud_rps * kRateShare, kRateBurst, 0) {}
+      autoscaler_(*services.settings, *services.operator_options),
+      cloud_client_(kCloudConnections, kMaxCloudBodyBytes),
+      rate_limiter_(services.settings->cloud_rps * kRateLimitShare, kRateLimitBurst, 0) {}
 
-async::Task<std::optional<wire::HttpResponse>> ScalingLoop::Call(async::Scope& term,
-                                                                 wire::HttpRequest request) {
+async::Task<std::optional<wire::HttpResponse>> ScalingLoop::CallCloud(async::Scope& term,
+                                                                      wire::HttpRequest request) {
   const double wait_s =
       rate_limiter_.Acquire(term.loop().Now(), 1, store::RequestPriority::kUrgent, kCloudTimeoutS);
   if (wait_s < 0) co_return std::nullopt;
@@ -74,20 +75,21 @@
     co_await pause;
   }
   const bool repeatable = request.method == "GET";
-  // The lead may have gone to another node meanwhile, and a pause may have made the plan an old
-  // one.
+  // During the wait, another node may have become the leader, or a pause of the process may have
+  // made the plan out of date.
   if (!repeatable && !services_.election->MayAct()) co_return std::nullopt;
-  auto response = co_await cloud_.Call(term, services_.settings->cloud, std::move(request),
-                                       kCloudTimeoutS, repeatable);
+  auto response = co_await cloud_client_.Call(term, services_.settings->cloud, std::move(request),
+                                              kCloudTimeoutS, repeatable);
   co_return response;
 }
 
 async::Task<> ScalingLoop::RefreshMachineTypes(async::Scope& term) {
   const double now = term.loop().Now();
-  const double interval_s = kMachineTypeHeartbeats * services_.settings->heartbeat_interval_s;
-  if (machine_types_at_ >= 0 && now - machine_types_at_ < interval_s) co_return;
+  const double interval_s =
+      kMachineTypeRefreshHeartbeats * services_.settings->heartbeat_interval_s;
+  if (machine_types_read_at_ >= 0 && now - machine_types_read_at_ < interval_s) co_return;
   wire::HttpRequest request{.method = "GET", .target = "/flavors", .body = {}};
-  auto response = co_await Call(term, std::move(request));
+  auto response = co_await CallCloud(term, std::move(request));
   if (!response || response->status != kOk) co_return;
   auto document = wire::ParseObject(response->body);
   auto machine_types = document ? wire::ReadMachineTypes(*document) : std::nullopt;
@@ -95,9 +97,9 @@
     spdlog::warn("cloud: unreadable list of machine types bytes={}", response->body.size());
     co_return;
   }
-  machine_types_at_ = now;
+  machine_types_read_at_ = now;
   context_.machine_types = std::move(*machine_types);
-  // Spot prices move all the time; the other nodes need to know only what could run.
+  // Spot prices change constantly; the other nodes only need to know which jobs could run.
   auto recorded = context_.machine_types;
   for (model::MachineType& type : recorded) type.spot_price = type.price;
   if (wire::WriteMachineTypes(recorded) == wire::WriteMachineTypes(*services_.machine_types)) {
@@ -110,12 +112,12 @@
                                               std::vector<model::MachineType> types) {
   auto pages = store::WriteMachineTypePages(types, services_.formats->max_value_bytes());
   const auto page_count = static_cast<uint32_t>(pages.size());
-  // Versions without pipelines know one page only, and the pages that are left of a longer list
-  // would be taken for a part of this one.
+  // Software versions without pipelines read only one page. Pages that remain from a longer list
+  // would be read as part of this one, so they are deleted.
   uint32_t end = page_count;
   while (services_.cache->Version(store::MachineTypesKey(end)) != 0) ++end;
   bool written = true;
-  // The first page last: it says that the others are there.
+  // The first page is written last: it indicates that the others are complete.
   for (uint32_t page = end; page-- > 0 && written;) {
     const std::string key = store::MachineTypesKey(page);
     const std::string value = page < page_count ? pages[page] : std::string();
@@ -126,22 +128,23 @@
     if (term.cancelled()) co_return;
     written = result.ok();
     if (result.ok()) services_.cache->Apply(key, value, result.value.revision);
-    // Rejected as it is, it can wait for its usual turn.
-    if (!result.ok() && result.status != store::Status::kInvalid) machine_types_at_ = -1;
+    // A write that was rejected as invalid would fail again, so it waits for the next regular
+    // refresh.
+    if (!result.ok() && result.status != store::Status::kInvalid) machine_types_read_at_ = -1;
   }
   trigger_.Request();
 }
 
 async::Task<bool> ScalingLoop::ListMachines(async::Scope& term) {
-  const double asked = term.loop().Now();
+  const double requested_at = term.loop().Now();
   std::vector<model::CloudMachine> machines;
-  std::string last;
+  std::string last_listed;
   list_pages_ = 0;
   while (!term.cancelled()) {
     std::string target = "/rentals?limit=500";
-    if (!last.empty()) target += "&from=" + wire::EscapeQuery(last);
+    if (!last_listed.empty()) target += "&from=" + wire::EscapeQuery(last_listed);
     wire::HttpRequest request{.method = "GET", .target = std::move(target), .body = {}};
-    auto response = co_await Call(term, std::move(request));
+    auto response = co_await CallCloud(term, std::move(request));
     if (!response || response->status != kOk) co_return false;
     ++list_pages_;
     auto page = wire::ReadMachineList(response->body);
@@ -151,10 +154,10 @@
     }
     for (model::CloudMachine& machine : page->machines) machines.push_back(std::move(machine));
     if (!page->more || page->machines.empty()) break;
-    last = machines.back().machine;
+    last_listed = machines.back().machine;
   }
   if (term.cancelled()) co_return false;
-  registry_.OnCloudList(machines, asked, term.loop().Now());
+  registry_.OnCloudList(machines, requested_at, term.loop().Now());
   co_return true;
 }
 
@@ -165,18 +168,18 @@
                                    max_requests, term.loop().Now());
   requests = fleet::Autoscaler::LimitBooting(registry_, context_.machine_types, term.loop().Now(),
                                              std::move(requests));
-  // An offer that turns out to have no more is not asked for again.
-  std::set<Offer> exhausted;
+  // Pools without remaining capacity are not requested from again.
+  std::set<CapacityPool> exhausted;
   for (const model::ScaleOutRequest& request : requests) {
-    if (exhausted.contains(OfferOf(request))) continue;
+    if (exhausted.contains(CapacityPoolOf(request))) continue;
     if (term.cancelled() || !services_.election->MayAct()) co_return;
     const RentResult result = co_await Rent(term, request);
     if (result == RentResult::kFailed) co_return;
-    if (result == RentResult::kServed) continue;
+    if (result == RentResult::kFulfilled) continue;
     autoscaler_.OnCapacityShortage(request, term.loop().Now());
-    exhausted.insert(OfferOf(request));
+    exhausted.insert(CapacityPoolOf(request));
   }
-  // What rounds wanted meanwhile did not count these machines yet.
+  // Demands that rounds have set in the meantime do not account for these machines yet.
   demands_.clear();
 }
 
@@ -184,35 +187,35 @@
                                                        model::ScaleOutRequest request) {
   wire::HttpRequest call{
       .method = "POST", .target = "/rentals", .body = wire::WriteScaleOutRequest(request)};
-  auto response = co_await Call(term, std::move(call));
+  auto response = co_await CallCloud(term, std::move(call));
   if (!response) {
     spdlog::warn("scale out: no answer request={}", request.request);
     co_return RentResult::kFailed;
   }
   if (response->status != kOk) {
     const bool no_capacity = response->body.find("no capacity") != std::string::npos;
-    co_return no_capacity ? RentResult::kShort : RentResult::kFailed;
+    co_return no_capacity ? RentResult::kPartial : RentResult::kFailed;
   }
   auto names = wire::ReadScaleOutResponse(response->body);
-  if (!names) co_return RentResult::kServed;
+  if (!names) co_return RentResult::kFulfilled;
   spdlog::info("scale out: rented machines={} requested={} type={} zone={} spot={}", names->size(),
                request.count, request.machine_type, request.zone, request.spot);
   registry_.OnScaledOut(*names, request, term.loop().Now());
   const bool all = static_cast<int>(names->size()) == request.count;
-  co_return all ? RentResult::kServed : RentResult::kShort;
+  co_return all ? RentResult::kFulfilled : RentResult::kPartial;
 }
 
 async::Task<> ScalingLoop::ScaleIn(async::Scope& term) {
   std::vector<std::string> names;
   for (const auto& [name, machine] : registry_.machines()) {
-    if (!machine.cloud.terminating || names.size() >= kReturnsPerCall) continue;
+    if (!machine.cloud.terminating || names.size() >= kMaxReturnsPerCall) continue;
     names.push_back(name);
   }
-  // A former leader's judgement must not take machines from its successor.
+  // A former leader must not return machines that its successor may use.
   if (names.empty() || !services_.election->MayAct()) co_return;
   wire::HttpRequest request{
       .method = "POST", .target = "/rentals/return", .body = wire::WriteScaleInRequest(names)};
-  auto response = co_await Call(term, std::move(request));
+  auto response = co_await CallCloud(term, std::move(request));
   if (!response || response->status != kOk) co_return;
   for (const std::string& name : names) {
     spdlog::info("scale in: returned machine={}", name);
@@ -221,35 +224,35 @@
   trigger_.Request();
 }
 
-bool ScalingLoop::JustResumed(double now, double resumed_at) const {
-  // A process that was paused has heard no worker, whichever of them reported. In an outage, when
-  // no node can take the lead, giving it up would end every running task.
+bool ScalingLoop::RecentlyResumed(double now, double resumed_at) const {
+  // A paused process has received no reports, although the workers may have sent them. During an
+  // outage, when no node can become the leader, resigning would end every running task.
   return now - resumed_at <
-         services_.operators->silent_ratio * services_.settings->heartbeat_interval_s;
+         services_.operator_options->silent_ratio * services_.settings->heartbeat_interval_s;
 }
 
 async::Task<> ScalingLoop::Run(async::Scope& term) {
-  const double seconds_per_call = 1 / (kListShare * services_.settings->cloud_rps);
+  const double seconds_per_call = 1 / (kListRateShare * services_.settings->cloud_rps);
   double next_list_at = 0;
   bool listed = false;
-  // What a former term wanted, and knew of prices, no longer holds.
+  // The demands and prices of an earlier term are out of date.
   demands_.clear();
-  machine_types_at_ = -1;
+  machine_types_read_at_ = -1;
   while (!term.cancelled()) {
     co_await RefreshMachineTypes(term);
     if (term.loop().Now() >= next_list_at) {
       listed = co_await ListMachines(term);
-      // A long list takes many calls: the longer it is, the less often it is asked for.
+      // The more calls a list takes, the less often it is requested.
       next_list_at = term.loop().Now() +
-                     std::max(services_.settings->heartbeat_interval_s / kListsPerHeartbeat,
+                     std::max(services_.settings->heartbeat_interval_s / kMaxListsPerHeartbeat,
                               seconds_per_call * list_pages_);
     }
     if (term.cancelled()) break;
     const double now = term.loop().Now();
-    const bool enough_report = autoscaler_.MarkMachinesForTermination(
+    const bool enough_workers_report = autoscaler_.MarkMachinesForTermination(
         registry_, *services_.job_table, context_, !demands_.empty(), now);
-    if (!enough_report && !JustResumed(now, term.loop().resumed_at())) {
-      services_.election->Resign(kResignRatio * services_.settings->lease_s,
+    if (!enough_workers_report && !RecentlyResumed(now, term.loop().resumed_at())) {
+      services_.election->Resign(kResignLeaseRatio * services_.settings->lease_s,
                                  "most workers are silent");
       break;
     }
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -33,12 +33,12 @@
 async::Task<> TransactionCommitter::Commit(async::Scope& scope,
                                            std::vector<jobs::Transaction> transactions,
                                            double budget_s) {
-  const double began = scope.loop().Now();
+  const double started_at = scope.loop().Now();
   for (jobs::Transaction& transaction : transactions) {
     if (oversized_.IsRejected(transaction.writes)) continue;
-    // What the budget has no room for now is decided anew, with what has come in meanwhile.
-    const double left_s = began + budget_s - scope.loop().Now();
-    if (left_s <= 0 || (hooks_.replan_instead && hooks_.replan_instead(transaction))) {
+    // Transactions beyond the budget are left to the next round, which also considers new events.
+    const double left_s = started_at + budget_s - scope.loop().Now();
+    if (left_s <= 0 || (hooks_.should_replan && hooks_.should_replan(transaction))) {
       hooks_.on_not_written();
       co_return;
     }
@@ -47,23 +47,23 @@
     if (outcome == Outcome::kNoAnswer && !transaction.machines.empty()) {
       unanswered_.push_back(std::move(transaction));
     }
-    // A transaction that was rejected for what it contains does not hold up those behind it.
+    // A transaction that was rejected because of its content does not block the following ones.
     if (outcome != Outcome::kCommitted && outcome != Outcome::kMalformed) co_return;
   }
 }
 
 async::Task<TransactionCommitter::Outcome> TransactionCommitter::Send(
-    async::Scope& scope, const jobs::Transaction& transaction, double patience_s) {
-  std::vector<std::string> lines;
-  if (hooks_.describe) lines = hooks_.describe(transaction);
+    async::Scope& scope, const jobs::Transaction& transaction, double max_wait_s) {
+  std::vector<std::string> log_lines;
+  if (hooks_.describe) log_lines = hooks_.describe(transaction);
   const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd
                           ? store::RequestPriority::kUrgent
                           : store::RequestPriority::kNormal;
   auto result = co_await services_.client->Commit(transaction.preconditions, transaction.writes,
-                                                  urgent, patience_s);
+                                                  urgent, max_wait_s);
   if (scope.cancelled()) co_return Outcome::kNoAnswer;
   if (result.ok()) {
-    for (const std::string& line : lines) spdlog::info("{}", line);
+    for (const std::string& line : log_lines) spdlog::info("{}", line);
     OnCommitted(transaction, result.value.revision);
     co_return Outcome::kCommitted;
   }
@@ -102,26 +102,27 @@
 async::Task<TransactionCommitter::Outcome> TransactionCommitter::OnConflict(
     async::Scope& scope, const jobs::Transaction& transaction,
     std::vector<std::string> failed_keys) {
-  const bool known = co_await Refresh(scope, std::move(failed_keys));
+  const bool all_read = co_await Refresh(scope, std::move(failed_keys));
   if (scope.cancelled()) co_return Outcome::kNoAnswer;
-  // Overtaken by its own first copy, perhaps: then there is something to start.
+  // The conflicting write may be an earlier copy of this transaction; then there are tasks to
+  // start.
   NotifyPlaced(transaction);
-  co_return known ? Outcome::kOvertaken : Outcome::kNotApplied;
+  co_return all_read ? Outcome::kSuperseded : Outcome::kNotApplied;
 }
 
 async::Task<bool> TransactionCommitter::Refresh(async::Scope& scope,
                                                 std::vector<std::string> keys) const {
-  // The watch brings most of it by itself. Were the copy wrong for good, the same write would fail
-  // in every round, and all that comes behind it with it.
-  bool known = true;
+  // The watch delivers most changes without this. But if the watch cache stayed wrong, the same
+  // write would fail in every round, along with all writes that follow it.
+  bool all_read = true;
   for (const std::string& key : keys) {
-    // Whose token it is comes from the election alone.
+    // Only the election determines which node holds the token.
     if (key == store::FencingTokenKey()) continue;
     const bool read = co_await services_.cache->Refresh(key);
     if (scope.cancelled()) co_return false;
-    known = known && read;
+    all_read = all_read && read;
   }
-  co_return known;
+  co_return all_read;
 }
 
 void TransactionCommitter::NotifyPlaced(const jobs::Transaction& transaction) const {
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -1,6 +1,6 @@
-// Sends the transactions of a round to the key-value store, one after the other, and keeps those
-// that got no answer until it is known what became of them. Owned by whoever runs rounds: the
-// leader, or the holder of a block.
+// Sends the transactions of a round to the key-value store one by one, and keeps those without a
+// response until their outcome is known. Owned by the component that runs rounds: RoundRunner on
+// the leader, BlockPlacementLoop on the holder of a block.
 #pragma once
 
 #include <deque>
@@ -19,50 +19,53 @@
 
 class TransactionCommitter {
  public:
-  // What the owner of the rounds adds. Any may be null, except for `on_not_written`.
+  // Callbacks of the owner. All but `on_not_written` may be null.
   struct Hooks {
-    // True if this transaction and the rest are better decided anew than sent. Null: never.
-    std::function<bool(const jobs::Transaction& transaction)> replan_instead;
-    // Log lines that are taken before a transaction is sent and written once it is committed: the
-    // watch may bring what it ends before its answer comes.
+    // Returns true if this transaction and the following ones are to be dropped and left to the
+    // next round. If null, none are dropped.
+    std::function<bool(const jobs::Transaction& transaction)> should_replan;
+    // Returns log lines before a transaction is sent; they are logged after it is committed. The
+    // watch may deliver the changes before the response arrives, so the lines can't be built then.
     std::function<std::vector<std::string>(const jobs::Transaction& transaction)> describe;
-    // A transaction was committed; the copy of the records has it right after.
+    // Called after a transaction was committed, right before it is applied to the watch cache.
     std::function<void(const jobs::Transaction& transaction)> on_committed;
-    // New placements on a machine are recorded, or may be.
+    // Called when new placements on a machine are recorded or may be recorded.
     std::function<void(const std::string& machine)> on_placed;
-    // Something was not written: another round is to decide on it.
+    // Called when something was not written, so that another round decides on it.
     std::function<void()> on_not_written;
   };
-  // `services` must outlive this.
+  // `services` must outlive this object.
   TransactionCommitter(const NodeServices& services, Hooks hooks);
 
-  // A term begins. What was left of an earlier one is void: its preconditions can't hold any more.
+  // Starts a term. Unanswered transactions of an earlier term are dropped: their preconditions
+  // can't hold any more.
   void Reset();
-  // The limits for a round's transactions, each under these preconditions.
+  // Returns the limits for the transactions of a round, each of which gets these preconditions.
   jobs::TransactionLimits Limits(std::vector<model::Precondition> preconditions) const;
-  // Sends transactions in their order, within `budget_s` seconds. What does not get written is
-  // decided anew by the next round, from what the records say then.
+  // Sends the transactions in order, within `budget_s` seconds. The next round decides again on
+  // anything that was not written, based on the records at that time.
   async::Task<> Commit(async::Scope& scope, std::vector<jobs::Transaction> transactions,
                        double budget_s);
-  // Sends again what got no answer; false if it still has none. Placements without an answer may be
-  // carried out at any time: until that is known, neither quotas nor zones can be counted. Sent
-  // again, they either count or can never count, since both copies have the same preconditions.
+  // Resends the transactions that got no response; returns false if one still has none. Placements
+  // without a response may be executed at any time, so until their outcome is known neither quota
+  // usage nor the tasks per zone can be counted. Resending settles the outcome: afterwards they
+  // either count or can never count, since both copies have the same preconditions.
   async::Task<bool> ResolveUnanswered(async::Scope& scope, double budget_s);
 
  private:
   enum class Outcome {
     kCommitted,
-    kMalformed,   // rejected for what it contains
-    kOvertaken,   // a precondition did not hold, and the copy has what overtook it
-    kNotApplied,  // not carried out, or overtaken by what could not be read
-    kNoAnswer,    // carried out, or not, or to be carried out later
+    kMalformed,   // rejected because of its content
+    kSuperseded,  // a precondition failed, and the watch cache has the conflicting write
+    kNotApplied,  // not executed, or a conflicting write could not be read
+    kNoAnswer,    // executed, not executed, or executed later
   };
-  // Sends one transaction and takes in what came of it.
+  // Sends one transaction and handles its outcome.
   async::Task<Outcome> Send(async::Scope& scope, const jobs::Transaction& transaction,
-                            double patience_s);
+                            double max_wait_s);
   void OnCommitted(const jobs::Transaction& transaction, uint64_t revision);
   void OnMalformed(const std::vector<model::KeyWrite>& writes);
-  // A precondition did not hold: reads its keys anew.
+  // Handles a failed precondition: reads the keys again.
   async::Task<Outcome> OnConflict(async::Scope& scope, const jobs::Transaction& transaction,
                                   std::vector<std::string> failed_keys);
   async::Task<bool> Refresh(async::Scope& scope, std::vector<std::string> keys) const;
