--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -59,7 +59,7 @@
     out.version = active.value.version;
     // What this node tells it must be able to hand over: a cancellation that was read here is told
     // here, and the node that recorded it may be gone.
-    deps_.cache->Apply(active.value.key, active.value.value, active.value.version);
+    deps_.cache->ApplyAheadOfWatch(active.value.key, active.value.value, active.value.version);
     co_return out;
   }
   if (active.status != store::Status::kNotFound) co_return out;
@@ -256,11 +256,11 @@
   const std::string id = spec.id;
   store::JobRecord record;
   record.spec = std::move(spec);
-  record.submitted = deps_.time_of_day();
+  record.submitted_at = deps_.time_of_day();
   std::optional<wire::HttpResponse> refused;
   // Room for what a cancellation adds is not needed: that leaves out what has no room.
   const double most = deps_.settings->SmallestStateLimits().value_kb * 1024;
-  record.group = deps_.formats->new_job_group_size();
+  record.tasks_per_group = deps_.formats->new_job_group_size();
   if (static_cast<double>(store::WriteJob(record).size()) > most) {
     const bool many = record.spec.awaits.size() > record.spec.machine_types.size();
     refused = Answer(400, wire::WriteError(many ? "names more jobs than fit"
@@ -270,7 +270,7 @@
   if (!record.spec.awaits.empty()) {
     if (!refused) refused = co_await CheckAwaits(record.spec.awaits, &record.cancelled);
     // Users name others only once every node can read it.
-    if (!refused) deps_.formats->ProveAllUpgraded("a submission awaits others");
+    if (!refused) deps_.formats->MarkAllNodesUpgraded("a submission awaits others");
   }
   if (refused) {
     // Whoever was told "accepted" once must never be told anything worse; the version before took
@@ -286,7 +286,7 @@
   std::vector<model::KeyWrite> writes = {{store::JobKey(id), value, 0}};
   auto r = co_await deps_.client->Commit(std::move(preconditions), std::move(writes));
   if (r.ok()) {
-    deps_.cache->Apply(store::JobKey(id), value, r.value.revision);
+    deps_.cache->ApplyAheadOfWatch(store::JobKey(id), value, r.value.revision);
     // What was read for it just now need not be read again.
     for (const std::string& a : record.spec.awaits) {
       if (auto it = final_records_.find(a); it != final_records_.end())
@@ -331,14 +331,14 @@
                                            store::RequestPriority::kUrgent);
     --cancelling_;
     if (r.ok()) {
-      deps_.cache->Apply(key, value, r.value.revision);
+      deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
       deps_.announce(id, r.value.revision);
       spdlog::info("job {} cancelled", id);
       co_return Answer(200, wire::WritePhase(id, model::JobPhase::kCancelled));
     }
     if (r.status == store::Status::kInvalid && value.size() > least) {
       // The limits are lower already, and this node did not know.
-      deps_.formats->ProveAllUpgraded("the limits are lower");
+      deps_.formats->MarkAllNodesUpgraded("the limits are lower");
       most = least;
       continue;
     }
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -65,7 +65,7 @@
 std::vector<model::Precondition> BlockRecords::PlacementPreconditions(size_t holder) const {
   const DivisionRecord& record = division_.record();
   const std::string& node = record.holders.at(holder).node;
-  return {store::TokenPrecondition(record.token),
+  return {store::FencingTokenPrecondition(record.token),
           {store::DivisionKey(), division_version_},
           {store::ShareKey(node), ShareVersion(node)}};
 }
--- a/src/blocks/lending.cc
+++ b/src/blocks/lending.cc
@@ -87,7 +87,7 @@
   auto next = divider_.Review(records.division().record(), copy.token, copy.revision, candidates);
   if (!next) return std::nullopt;
   RecordChange change;
-  change.preconditions = {store::TokenPrecondition(copy.token),
+  change.preconditions = {store::FencingTokenPrecondition(copy.token),
                           {store::DivisionKey(), records.division_version()}};
   change.writes = {{store::DivisionKey(), WriteDivision(*next), 0}};
   return change;
@@ -117,7 +117,8 @@
   if (changes.size() > limits.operations) changes.resize(limits.operations);
   RecordChange change;
   change.preconditions = records.AllPreconditions();
-  change.preconditions.insert(change.preconditions.begin(), store::TokenPrecondition(copy.token));
+  change.preconditions.insert(change.preconditions.begin(),
+                              store::FencingTokenPrecondition(copy.token));
   for (const quota::ShareChange& share : changes) {
     change.writes.push_back({store::ShareKey(share.node), quota::WriteShare(share.record), 0});
   }
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -121,7 +121,7 @@
 }
 
 async::Task<> BlockCoordinator::ReviewDivision() {
-  const bool all_understand = services_.formats->AllUnderstandBlocks();
+  const bool all_understand = services_.formats->AllNodesSupportBlocks();
   auto change =
       lending_.ReviewDivision(*services_.block_records, CurrentCopyState(), all_understand, Now());
   if (!change) co_return;
@@ -152,7 +152,7 @@
   if (term_->cancelled()) co_return;
   if (result.ok()) {
     for (const model::KeyWrite& write : change.writes) {
-      services_.cache->Apply(write.key, write.value, result.value.revision);
+      services_.cache->ApplyAheadOfWatch(write.key, write.value, result.value.revision);
     }
     co_return;
   }
@@ -190,7 +190,7 @@
   std::vector<model::MachineView> machines;
   if (divided()) machines = blocks::DescribeMachines(registry_, *services_.job_table, Now());
   for (auto& [node, link] : links_) {
-    if (!services_.formats->UnderstandsBlocks(node)) continue;
+    if (!services_.formats->SupportsBlocks(node)) continue;
     const std::optional<size_t> holder = division.IndexOf(node);
     std::vector<model::JobFailures> failures;
     if (holder) failures = registry_.failure_tracker().DescribeFailures(RetriesGrantedTo(*holder));
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -58,8 +58,8 @@
   auto record = services_.job_table->CancelledRecord(cancellation.job);
   if (!record) return;
   spdlog::info("cancel: reported by a peer job={}", cancellation.job);
-  services_.cache->Apply(store::JobKey(cancellation.job), store::WriteJob(*record),
-                         cancellation.version);
+  services_.cache->ApplyAheadOfWatch(store::JobKey(cancellation.job), store::WriteJob(*record),
+                                     cancellation.version);
 }
 
 bool CancellationExchange::MayRenewWorkerLeases() {
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -38,12 +38,13 @@
   options.rps = settings.state_rps;
   options.write_rps = settings.state_write_rps;
   if (settings.state_next) {
-    options.next_rps = settings.SmallestStateLimits().rps;
-    options.next_write_rps = settings.SmallestStateLimits().write_rps;
+    options.lowered_rps = settings.SmallestStateLimits().rps;
+    options.lowered_write_rps = settings.SmallestStateLimits().write_rps;
   }
-  options.size = settings.size;
+  options.node_count = settings.size;
   options.timeout_s = kStateTimeoutS;
-  options.max_body = static_cast<size_t>(settings.memory_mb * kResponseMemoryShare * 1024 * 1024);
+  options.max_response_bytes =
+      static_cast<size_t>(settings.memory_mb * kResponseMemoryShare * 1024 * 1024);
   return options;
 }
 
@@ -147,7 +148,7 @@
   dependencies.election = &election_;
   dependencies.send = services_.send;
   dependencies.understands = [this](const std::string& node) {
-    return formats_.UnderstandsMembership(node);
+    return formats_.SupportsMembership(node);
   };
   dependencies.machines = [this] { return leader_.ReportingMachineCount(); };
   return std::make_unique<membership::Service>(root_scope_, std::move(dependencies));
@@ -218,7 +219,7 @@
 
 void Controller::AddCancellationHooks(net::PeerMesh::Hooks* hooks) {
   hooks->understands_cancellation_reports = [this](const std::string& node) {
-    return formats_.UnderstandsCancellationReports(node);
+    return formats_.SupportsCancellationReports(node);
   };
   hooks->cancellation_report_request = [this](const std::string& node) {
     return cancellations_.RequestFor(node);
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -89,7 +89,7 @@
   const jobs::Job* job = services_.job_table->Find(key.job);
   if (job == nullptr) return;
   // The key names either one part of a group or the whole group.
-  const uint32_t parts = job->groups.layout().parts_per_whole;
+  const uint32_t parts = job->groups.layout().parts_per_base_group;
   const uint32_t first = key.task_group * parts + key.part.value_or(0);
   const uint32_t end = key.part ? first + 1 : first + parts;
   for (auto it = job->task_groups().lower_bound(first);
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -51,8 +51,8 @@
 void RecordDispatcher::OnDivision(const std::string& key, const std::string& value) {
   blocks::BlockRecords& records = *services_.block_records;
   records.PutDivision(value, services_.cache->Version(key));
-  services_.client->SetOthersPlace(services_.operator_options->blocks.enabled &&
-                                   records.division().divided());
+  services_.client->SetOtherNodesPlaceTasks(services_.operator_options->blocks.enabled &&
+                                            records.division().divided());
   RequestBlockRound();
 }
 
@@ -64,7 +64,7 @@
 
 void RecordDispatcher::OnMachineTypes(uint32_t page, const std::string& value) {
   machine_type_pages_.Put(page, value);
-  if (auto all = machine_type_pages_.All()) *services_.machine_types = std::move(*all);
+  if (auto all = machine_type_pages_.AllIfComplete()) *services_.machine_types = std::move(*all);
 }
 
 void RecordDispatcher::OnJob(const store::JobKeyName& key, const std::string& value) {
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -173,7 +173,7 @@
 async::Task<RoundRunner::PlacementDecision> RoundRunner::DecidePlacements(
     async::Scope& term, plan::RoundResult& plan, const plan::PlacementScope* scope) {
   PlacementDecision decision;
-  decision.preconditions = {store::TokenPrecondition(services_.election->token())};
+  decision.preconditions = {store::FencingTokenPrecondition(services_.election->token())};
   if (parts_.blocks == nullptr) {
     decision.placements = std::move(plan.placements);
     co_return decision;
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -84,14 +84,14 @@
 void TransactionCommitter::OnCommitted(const jobs::Transaction& transaction, uint64_t revision) {
   if (hooks_.on_committed) hooks_.on_committed(transaction);
   for (const model::KeyWrite& write : transaction.writes) {
-    services_.cache->Apply(write.key, write.value, revision);
+    services_.cache->ApplyAheadOfWatch(write.key, write.value, revision);
   }
   NotifyPlaced(transaction);
 }
 
 void TransactionCommitter::OnMalformed(const std::vector<model::KeyWrite>& writes) {
   if (!services_.formats->packed_groups_enabled() && services_.settings->state_next) {
-    services_.formats->ProveAllUpgraded("the limits are lower");
+    services_.formats->MarkAllNodesUpgraded("the limits are lower");
     return;
   }
   if (oversized_.OnRejected(writes)) {
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -105,7 +105,7 @@
 }
 
 async::Task<bool> LeaderElection::RaiseToken() {
-  std::vector<model::Precondition> preconditions = {store::TokenPrecondition(token_)};
+  std::vector<model::Precondition> preconditions = {store::FencingTokenPrecondition(token_)};
   std::vector<model::KeyWrite> writes = {
       {store::FencingTokenKey(), store::WriteFencingTokenRecord(settings_.node), 0}};
   raising_token_ = true;
@@ -118,7 +118,7 @@
     co_return false;
   }
   token_ = model::FencingToken(result.value.revision);
-  cache_.Apply(store::FencingTokenKey(), writes[0].value, token_.value());
+  cache_.ApplyAheadOfWatch(store::FencingTokenKey(), writes[0].value, token_.value());
   spdlog::info("failover: token raised token={} reason=invalidate unanswered start commands",
                token_.value());
   co_return true;
@@ -129,7 +129,7 @@
   auto lease_id = co_await client_.GrantLease(LeaseTtlS());
   if (!lease_id.ok()) co_return false;
   std::vector<model::Precondition> preconditions = {
-      {store::LeaderKey(), 0}, store::TokenPrecondition(cache_.fencing_token())};
+      {store::LeaderKey(), 0}, store::FencingTokenPrecondition(cache_.fencing_token())};
   for (model::Precondition& precondition : policy_.AcquirePreconditions()) {
     preconditions.push_back(std::move(precondition));
   }
@@ -147,8 +147,8 @@
     co_return false;
   }
   BeginTerm(model::FencingToken(result.value.revision), lease_id.value, requested_at);
-  cache_.Apply(store::LeaderKey(), leader, token_.value());
-  cache_.Apply(store::FencingTokenKey(), token_record, token_.value());
+  cache_.ApplyAheadOfWatch(store::LeaderKey(), leader, token_.value());
+  cache_.ApplyAheadOfWatch(store::FencingTokenKey(), token_record, token_.value());
   spdlog::info("failover: leadership acquired token={}", token_.value());
   co_return true;
 }
--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -74,8 +74,8 @@
   Node& node = entry->second;
   if (is_new) {
     InitNode(record, node);
-  } else if (node.awaits.empty() && node.state.runnable_since != record.submitted) {
-    node.state.runnable_since = record.submitted;
+  } else if (node.awaits.empty() && node.state.runnable_since != record.submitted_at) {
+    node.state.runnable_since = record.submitted_at;
     MarkChanged(id);
   }
   if (record.cancelled && !node.cancelled_by_record) {
@@ -88,10 +88,10 @@
   const std::string& id = record.spec.id;
   node.awaits = record.spec.awaits;
   node.own_priority = record.spec.priority;
-  node.own_due = record.spec.due_s > 0 ? record.submitted + record.spec.due_s
+  node.own_due = record.spec.due_s > 0 ? record.submitted_at + record.spec.due_s
                                        : std::numeric_limits<double>::infinity();
   node.estimate_s = record.spec.estimate_s;
-  node.state.runnable_since = record.submitted;
+  node.state.runnable_since = record.submitted_at;
   node.state.priority = node.own_priority;
   node.state.deadline = node.own_due;
   MarkChanged(id);
@@ -106,7 +106,8 @@
     awaited.dependents.insert(id);
     UpdateUnresolved(awaited_id);
     if (awaited.ended && awaited.final_record.phase == model::JobPhase::kDone) {
-      node.state.runnable_since = std::max(node.state.runnable_since, awaited.final_record.at);
+      node.state.runnable_since =
+          std::max(node.state.runnable_since, awaited.final_record.recorded_at);
       continue;
     }
     ++node.pending_awaits;
@@ -225,7 +226,7 @@
   node.state.blocked = node.pending_awaits > 0;
   // A final record without a time was written before the change of record formats. Jobs that await
   // others are submitted after that change, so the submission is the later of both and is kept.
-  node.state.runnable_since = std::max(node.state.runnable_since, final_record.at);
+  node.state.runnable_since = std::max(node.state.runnable_since, final_record.recorded_at);
   MarkChanged(id);
 }
 
--- a/src/jobs/final_records.cc
+++ b/src/jobs/final_records.cc
@@ -85,7 +85,7 @@
   store::FinalRecord record;
   record.phase = phase;
   record.done = changes.DoneAfter();
-  if (limits.packed_groups) record.at = limits.time_of_day;
+  if (limits.packed_groups) record.recorded_at = limits.time_of_day;
   const std::string job_key = store::JobKey(id);
   WriteUnit unit;
   unit.priority = FinalRecordPriority(job_table, id, *changes.job);
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -115,9 +115,9 @@
 
 Job& JobTable::AddJob(const store::JobRecord& record) {
   const std::string& id = record.spec.id;
-  const bool uses_common_layout = record.group == 0;
+  const bool uses_common_layout = record.tasks_per_group == 0;
   const store::TaskGroupLayout layout =
-      uses_common_layout ? common_layout_ : store::TaskGroupLayout{record.group, 1};
+      uses_common_layout ? common_layout_ : store::TaskGroupLayout{record.tasks_per_group, 1};
   TaskGroups groups(layout);
   if (auto stored = groups_without_job_.find(id); stored != groups_without_job_.end()) {
     groups = std::move(stored->second);
@@ -144,7 +144,7 @@
   Job& job = known == jobs_.end() ? AddJob(*record) : known->second;
   dependency_graph_.AddOrUpdate(*record);
   job.spec = std::move(record->spec);
-  job.submitted = record->submitted;
+  job.submitted = record->submitted_at;
 }
 
 TaskGroups* JobTable::FindGroups(const std::string& id) {
@@ -164,8 +164,8 @@
 void JobTable::SetGroupsOfWhole(const std::string& id, TaskGroups& groups, uint32_t whole,
                                 const std::optional<store::TaskGroup>& value) {
   const store::TaskGroupLayout& layout = groups.layout();
-  for (uint32_t part = 0; part < layout.parts_per_whole; ++part) {
-    const uint32_t number = whole * layout.parts_per_whole + part;
+  for (uint32_t part = 0; part < layout.parts_per_base_group; ++part) {
+    const uint32_t number = whole * layout.parts_per_base_group + part;
     if (groups.PartStored(number)) continue;
     std::optional<store::TaskGroup> group;
     const bool with_runs = part == 0;
@@ -187,7 +187,7 @@
     if (!task_group) return;
     groups = &groups_without_job_.emplace(key.job, TaskGroups(common_layout_)).first->second;
   }
-  const uint32_t parts = groups->layout().parts_per_whole;
+  const uint32_t parts = groups->layout().parts_per_base_group;
   if (key.part && *key.part >= parts) return;  // not in any recorded layout
   groups->SetStored(key, task_group.has_value());
   if (key.part) {
@@ -262,7 +262,7 @@
   const Job* job = Find(id);
   if (job == nullptr) return std::nullopt;
   return store::JobRecord{job->spec, job->submitted, dependency_graph_.CancelledByOwnRecord(id),
-                          job->uses_common_layout ? 0 : job->groups.layout().tasks_per_whole};
+                          job->uses_common_layout ? 0 : job->groups.layout().tasks_per_base_group};
 }
 
 std::optional<store::JobRecord> JobTable::CancelledRecord(const std::string& id) const {
@@ -286,7 +286,7 @@
     std::move(more.begin(), more.end(), std::back_inserter(keys));
   };
   for (const auto& [id, groups] : groups_without_job_) append(groups.StoredKeys(id));
-  if (common_layout_.parts_per_whole == 1) return keys;
+  if (common_layout_.parts_per_base_group == 1) return keys;
   for (const auto& [id, job] : jobs_) append(job.groups.SupersededKeys(id));
   return keys;
 }
--- a/src/jobs/task_groups.cc
+++ b/src/jobs/task_groups.cc
@@ -76,7 +76,7 @@
 void TaskGroups::SetStored(const store::TaskGroupKeyName& key, bool stored) {
   std::set<uint32_t>& keys = key.part ? stored_parts_ : stored_wholes_;
   const uint32_t number =
-      key.part ? key.task_group * layout_.parts_per_whole + *key.part : key.task_group;
+      key.part ? key.task_group * layout_.parts_per_base_group + *key.part : key.task_group;
   if (stored) {
     keys.insert(number);
   } else {
@@ -85,14 +85,14 @@
 }
 
 std::string TaskGroups::KeyOf(const std::string& id, uint32_t number) const {
-  if (layout_.parts_per_whole == 1) return store::TaskGroupKey(id, number);
-  return store::TaskGroupPartKey(id, number / layout_.parts_per_whole,
-                                 number % layout_.parts_per_whole);
+  if (layout_.parts_per_base_group == 1) return store::TaskGroupKey(id, number);
+  return store::TaskGroupPartKey(id, number / layout_.parts_per_base_group,
+                                 number % layout_.parts_per_base_group);
 }
 
 std::vector<std::string> TaskGroups::StoredKeys(const std::string& id, uint32_t number) const {
   std::vector<std::string> keys;
-  const uint32_t whole = number / layout_.parts_per_whole;
+  const uint32_t whole = number / layout_.parts_per_base_group;
   if (stored_wholes_.contains(whole)) keys.push_back(store::TaskGroupKey(id, whole));
   if (stored_parts_.contains(number)) keys.push_back(KeyOf(id, number));
   return keys;
@@ -106,8 +106,8 @@
 }
 
 bool TaskGroups::HasUnmigratedPart(uint32_t whole) const {
-  for (uint32_t part = 0; part < layout_.parts_per_whole; ++part) {
-    const uint32_t number = whole * layout_.parts_per_whole + part;
+  for (uint32_t part = 0; part < layout_.parts_per_base_group; ++part) {
+    const uint32_t number = whole * layout_.parts_per_base_group + part;
     if (groups_.contains(number) && !stored_parts_.contains(number)) return true;
   }
   return false;
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -245,7 +245,7 @@
                                          store::RequestPriority::kUrgent);
   if (r.ok()) {
     table_.OnStateRoundTrip(Now() - asked);
-    deps_.cache->Apply(key, value, r.value.revision);
+    deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
     co_return true;
   }
   if (r.status == store::Status::kConflict) {
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -87,8 +87,8 @@
 Client::Client(async::Scope& scope, Options options)
     : scope_(scope),
       options_(std::move(options)),
-      share_(kShareUsed / options_.size),
-      http_(kMaxIdleConnections, options_.max_body),
+      share_(kShareUsed / options_.node_count),
+      http_(kMaxIdleConnections, options_.max_response_bytes),
       request_limiter_(options_.rps * share_, kBurstS, kUrgentReserve),
       write_limiter_(options_.write_rps * share_, kBurstS, kUrgentReserve) {}
 
@@ -97,34 +97,34 @@
   UpdateShare();
 }
 
-void Client::SetOthersPlace(bool others_place) {
+void Client::SetOtherNodesPlaceTasks(bool others_place) {
   if (others_place == others_place_) return;
   others_place_ = others_place;
   UpdateShare();
 }
 
 void Client::UpdateShare() {
-  if (options_.size <= 1) return;
+  if (options_.node_count <= 1) return;
   const double leader_share = others_place_ ? kLeaderShareWhileOthersPlace : kLeaderShare;
-  share_ = kShareUsed * (leading_ ? leader_share : (1 - leader_share) / (options_.size - 1));
+  share_ = kShareUsed * (leading_ ? leader_share : (1 - leader_share) / (options_.node_count - 1));
   UpdateRates();
 }
 
 double Client::request_rate() const {
-  return (use_lowered_limits() ? options_.next_rps : options_.rps) * share_;
+  return (use_lowered_limits() ? options_.lowered_rps : options_.rps) * share_;
 }
 
 void Client::UpdateRates() {
-  const double write_rps = use_lowered_limits() ? options_.next_write_rps : options_.write_rps;
+  const double write_rps = use_lowered_limits() ? options_.lowered_write_rps : options_.write_rps;
   request_limiter_.SetRate(request_rate(), kBurstS);
   write_limiter_.SetRate(write_rps * share_, kBurstS);
 }
 
 void Client::DetectLoweredLimits(const std::optional<wire::HttpResponse>& response) {
   if (!response || response->status != kHttpTooManyRequests) return;
-  if (!may_be_lowered_ || limits_lowered_ || options_.next_rps <= 0) return;
-  spdlog::info("state service: limits lowered requests_per_s={} writes_per_s={}", options_.next_rps,
-               options_.next_write_rps);
+  if (!may_be_lowered_ || limits_lowered_ || options_.lowered_rps <= 0) return;
+  spdlog::info("state service: limits lowered requests_per_s={} writes_per_s={}",
+               options_.lowered_rps, options_.lowered_write_rps);
   limits_lowered_ = true;
   UpdateRates();
 }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -43,11 +43,11 @@
     double rps = 0;
     double write_rps = 0;
     // What these limits may be lowered to without notice; 0: they stay.
-    double next_rps = 0;
-    double next_write_rps = 0;
-    int size = 1;          // nodes that share the limits
-    double timeout_s = 1;  // of one call
-    size_t max_body = 0;   // bytes of an answer
+    double lowered_rps = 0;
+    double lowered_write_rps = 0;
+    int node_count = 1;             // nodes that share the limits
+    double timeout_s = 1;           // of one call
+    size_t max_response_bytes = 0;  // bytes of an answer
   };
   // Sends a request to the service by way of a peer.
   using Relay = std::function<async::Task<net::Relayed>(wire::HttpRequest)>;
@@ -57,7 +57,7 @@
   // Whether this node leads: the leader writes more than the others and gets a larger share.
   void SetLeading(bool leading);
   // Whether other nodes place tasks as well: then they write nearly as much as the leader.
-  void SetOthersPlace(bool others_place);
+  void SetOtherNodesPlaceTasks(bool others_place);
   // With a relay, requests go by way of a peer while the service refuses this node alone.
   void SetRelay(Relay relay) { relay_ = std::move(relay); }
   // From here on the limits may be lowered at any moment. The first refusal for the rate is taken
@@ -129,7 +129,7 @@
   void DetectLoweredLimits(const std::optional<wire::HttpResponse>& response);
   void UpdateShare();
   void UpdateRates();
-  bool use_lowered_limits() const { return limits_lowered_ && options_.next_rps > 0; }
+  bool use_lowered_limits() const { return limits_lowered_ && options_.lowered_rps > 0; }
 
   async::Scope& scope_;
   const Options options_;
--- a/src/store/keys.cc
+++ b/src/store/keys.cc
@@ -54,16 +54,16 @@
 
 }  // namespace
 
-std::string LeaderKey() { return std::string(kActive) + "leader"; }
+std::string LeaderKey() { return std::string(kActivePrefix) + "leader"; }
 
-std::string FencingTokenKey() { return std::string(kActive) + "block/0"; }
+std::string FencingTokenKey() { return std::string(kActivePrefix) + "block/0"; }
 
-model::Precondition TokenPrecondition(model::FencingToken token) {
+model::Precondition FencingTokenPrecondition(model::FencingToken token) {
   return {FencingTokenKey(), token.value()};
 }
 
 std::string MachineTypesKey(uint32_t page) {
-  const std::string first = std::string(kActive) + "flavors";
+  const std::string first = std::string(kActivePrefix) + "flavors";
   return page == 0 ? first : first + "." + std::to_string(page);
 }
 
@@ -82,13 +82,13 @@
 
 std::string FinalKey(std::string_view id) { return std::string(kFinals).append(id); }
 
-std::string FormatKey() { return std::string(kActive) + "format"; }
+std::string FormatKey() { return std::string(kActivePrefix) + "format"; }
 
 std::string NodeFormatKey(std::string_view node) { return std::string(kNodeFormats).append(node); }
 
 std::string MemberKey(std::string_view node) { return std::string(kMembers).append(node); }
 
-std::string DivisionKey() { return std::string(kActive) + "division"; }
+std::string DivisionKey() { return std::string(kActivePrefix) + "division"; }
 
 std::string ShareKey(std::string_view node) { return std::string(kShares).append(node); }
 
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -15,13 +15,13 @@
 
 // The prefix of all that every node follows with its watch cache. Final records lie outside of it,
 // so that they take no memory on any node.
-inline constexpr std::string_view kActive = "hallpier/a/";
+inline constexpr std::string_view kActivePrefix = "hallpier/a/";
 
 std::string LeaderKey();
 // The record that every new leader rewrites: the version of this key is the fencing token.
 std::string FencingTokenKey();
 // Holds for as long as no node has taken a higher token.
-model::Precondition TokenPrecondition(model::FencingToken token);
+model::Precondition FencingTokenPrecondition(model::FencingToken token);
 // The list of machine types may take several pages; the first is page 0.
 std::string MachineTypesKey(uint32_t page = 0);
 // The record of an unfinished job.
@@ -103,9 +103,9 @@
 template <class... Visitors>
 Overloaded(Visitors...) -> Overloaded<Visitors...>;
 
-// True if the key is of the kind `Name`, as in Names<JobKeyName>(key).
+// True if the key is of the kind `Name`, as in IsKeyOfKind<JobKeyName>(key).
 template <class Name>
-bool Names(std::string_view key) {
+bool IsKeyOfKind(std::string_view key) {
   return std::holds_alternative<Name>(ParseKey(key));
 }
 
--- a/src/store/machine_type_pages.cc
+++ b/src/store/machine_type_pages.cc
@@ -54,7 +54,7 @@
   pages_[page] = {std::move(*machine_types), wire::GetCount(*record, "pages").value_or(1)};
 }
 
-std::optional<std::vector<model::MachineType>> MachineTypePages::All() const {
+std::optional<std::vector<model::MachineType>> MachineTypePages::AllIfComplete() const {
   auto first = pages_.find(0);
   if (first == pages_.end()) return std::nullopt;
   std::vector<model::MachineType> all;
--- a/src/store/machine_type_pages.h
+++ b/src/store/machine_type_pages.h
@@ -27,7 +27,7 @@
   // counts as dropped.
   void Put(uint32_t page, const std::string& value);
   // Nothing unless all pages of the list are there.
-  std::optional<std::vector<model::MachineType>> All() const;
+  std::optional<std::vector<model::MachineType>> AllIfComplete() const;
 
  private:
   struct Page {
--- a/src/store/record_formats.cc
+++ b/src/store/record_formats.cc
@@ -22,9 +22,9 @@
 }  // namespace
 
 TaskGroupLayout CommonLayout(const config::Settings& settings) {
-  const uint32_t tasks_per_whole = TasksPerTextGroup(settings.value_kb);
+  const uint32_t tasks_per_base_group = TasksPerTextGroup(settings.value_kb);
   const uint32_t tasks_that_fit = TasksPerPackedGroup(settings.SmallestStateLimits().value_kb);
-  return {tasks_per_whole, (tasks_per_whole + tasks_that_fit - 1) / tasks_that_fit};
+  return {tasks_per_base_group, (tasks_per_base_group + tasks_that_fit - 1) / tasks_that_fit};
 }
 
 RecordFormats::RecordFormats(async::Scope& scope, const config::Settings& settings, Client& client,
@@ -66,7 +66,7 @@
   wake_.Notify();
 }
 
-void RecordFormats::ProveAllUpgraded(const std::string& reason) {
+void RecordFormats::MarkAllNodesUpgraded(const std::string& reason) {
   if (packed_groups_enabled() || !proof_.empty()) return;
   spdlog::info("record format: all nodes upgraded reason={}", reason);
   proof_ = reason;
@@ -78,7 +78,7 @@
   return known == node_formats_.end() ? 0 : known->second;
 }
 
-bool RecordFormats::AllUnderstand(uint64_t format) const {
+bool RecordFormats::AllNodesSupport(uint64_t format) const {
   return NodeFormatOf(settings_.node) >= format &&
          std::all_of(settings_.seeds.begin(), settings_.seeds.end(),
                      [this, format](const config::Seed& seed) {
@@ -92,7 +92,7 @@
 }
 
 bool RecordFormats::ChangeDue() const {
-  return !packed_groups_enabled() && (AllUnderstand(kRecordFormat) || change_pending());
+  return !packed_groups_enabled() && (AllNodesSupport(kRecordFormat) || change_pending());
 }
 
 async::Task<bool> RecordFormats::Write(std::string key, uint64_t version, std::string value) {
@@ -100,7 +100,7 @@
   std::vector<model::KeyWrite> writes = {{key, value, 0}};
   auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
                                         RequestPriority::kUrgent);
-  if (result.ok()) cache_.Apply(key, value, result.value.revision);
+  if (result.ok()) cache_.ApplyAheadOfWatch(key, value, result.value.revision);
   co_return result.ok();
 }
 
--- a/src/store/record_formats.h
+++ b/src/store/record_formats.h
@@ -41,20 +41,18 @@
   // The watch cache has the format record.
   void OnFormatRecord(const std::string& value);
   // Something has shown that every node is upgraded, whatever is recorded. `reason` is logged.
-  void ProveAllUpgraded(const std::string& reason);
+  void MarkAllNodesUpgraded(const std::string& reason);
 
   // What a node understands, according to the format that it recorded.
-  bool UnderstandsCancellationReports(const std::string& node) const {
+  bool SupportsCancellationReports(const std::string& node) const {
     return NodeFormatOf(node) >= kCancellationReportFormat;
   }
-  bool UnderstandsMembership(const std::string& node) const {
+  bool SupportsMembership(const std::string& node) const {
     return NodeFormatOf(node) >= kMembershipFormat;
   }
-  bool UnderstandsBlocks(const std::string& node) const {
-    return NodeFormatOf(node) >= kBlocksFormat;
-  }
+  bool SupportsBlocks(const std::string& node) const { return NodeFormatOf(node) >= kBlocksFormat; }
   // True if blocks are switched on at every node of the settings.
-  bool AllUnderstandBlocks() const { return AllUnderstand(kBlocksFormat); }
+  bool AllNodesSupportBlocks() const { return AllNodesSupport(kBlocksFormat); }
 
   // True once the format record is read: the newer forms, packed groups among them, may be written.
   bool packed_groups_enabled() const { return format_record_.has_value(); }
@@ -69,7 +67,7 @@
   uint32_t new_job_group_size() const;
 
  private:
-  bool AllUnderstand(uint64_t format) const;
+  bool AllNodesSupport(uint64_t format) const;
   uint64_t NodeFormatOf(const std::string& node) const;
   bool OwnFormatRecorded() const;
   bool ChangeDue() const;
--- a/src/store/records.cc
+++ b/src/store/records.cc
@@ -20,9 +20,9 @@
   json.StartObject();
   json.Field("spec");
   wire::WriteJobSpec(json, job.spec);
-  json.Field("at").Double(job.submitted);
+  json.Field("at").Double(job.submitted_at);
   if (job.cancelled) json.Field("cancelled").Bool(true);
-  if (job.group > 0) json.Field("group").Uint(job.group);
+  if (job.tasks_per_group > 0) json.Field("group").Uint(job.tasks_per_group);
   json.EndObject();
   return json.Take();
 }
@@ -51,11 +51,11 @@
   if (!spec) return DecodeError{"spec." + spec.error().field, spec.error().reason};
   JobRecord job;
   job.spec = std::move(*spec);
-  job.submitted = wire::GetAmount(*object, "at").value_or(0);
+  job.submitted_at = wire::GetAmount(*object, "at").value_or(0);
   job.cancelled = wire::GetFlag(*object, "cancelled").value_or(false);
   const uint64_t group = wire::GetCount(*object, "group").value_or(0);
   if (group > model::kMaxTasks) return DecodeError{"group", "more than a job may have tasks"};
-  job.group = static_cast<uint32_t>(group);
+  job.tasks_per_group = static_cast<uint32_t>(group);
   return job;
 }
 
@@ -64,7 +64,7 @@
   json.StartObject();
   json.Field("phase").Text(wire::JobPhaseName(record.phase));
   json.Field("done").Uint64(record.done);
-  if (record.at > 0) json.Field("at").Double(record.at);
+  if (record.recorded_at > 0) json.Field("at").Double(record.recorded_at);
   json.EndObject();
   return json.Take();
 }
@@ -111,8 +111,8 @@
   wire::JsonWriter json;
   json.StartObject();
   json.Field("format").Uint64(record.format);
-  json.Field("group").Uint(record.layout.tasks_per_whole);
-  json.Field("parts").Uint(record.layout.parts_per_whole);
+  json.Field("group").Uint(record.layout.tasks_per_base_group);
+  json.Field("parts").Uint(record.layout.parts_per_base_group);
   json.EndObject();
   return json.Take();
 }
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -21,10 +21,10 @@
 // is, byte for byte, what versions without job dependencies write.
 struct JobRecord {
   model::JobSpec spec;
-  double submitted = 0;    // time of day, in seconds
-  bool cancelled = false;  // optional
+  double submitted_at = 0;  // time of day, in seconds
+  bool cancelled = false;   // optional
   // Tasks in a task group; optional; 0: as the format record says for all such jobs.
-  uint32_t group = 0;
+  uint32_t tasks_per_group = 0;
 };
 std::string WriteJob(const JobRecord& job);
 // The record of a cancelled job in at most `value_bytes`, if that can be had: where the record is
@@ -37,7 +37,7 @@
 struct FinalRecord {
   model::JobPhase phase = model::JobPhase::kDone;  // kDone or kCancelled
   uint64_t done = 0;                               // tasks
-  double at = 0;  // time of day when it was recorded, in seconds; 0: not known
+  double recorded_at = 0;  // time of day when it was recorded, in seconds; 0: not known
 };
 std::string WriteFinal(const FinalRecord& record);
 DecodeResult<FinalRecord> ReadFinal(std::string_view json);
--- a/src/store/watch_cache.cc
+++ b/src/store/watch_cache.cc
@@ -24,11 +24,12 @@
   return known == versions_.end() ? 0 : known->second;
 }
 
-void WatchCache::Apply(const std::string& key, const std::string& value, uint64_t version) {
+void WatchCache::ApplyAheadOfWatch(const std::string& key, const std::string& value,
+                                   uint64_t version) {
   // While the answer to this write was on its way, the watch may have passed the write and what
   // came after it. Then the copy knows better: otherwise a job that was cancelled here, and ended
   // by the leader at once, would be back for ever.
-  if (version > revision_ && key.starts_with(kActive)) ApplyIfNewer(key, value, version);
+  if (version > revision_ && key.starts_with(kActivePrefix)) ApplyIfNewer(key, value, version);
 }
 
 async::Task<bool> WatchCache::Refresh(std::string key) {
@@ -65,7 +66,7 @@
   uint64_t first_revision = 0;
   const double asked_at = scope_.loop().Now();
   while (true) {
-    auto page = co_await client_.List(std::string(kActive), after);
+    auto page = co_await client_.List(std::string(kActivePrefix), after);
     if (!page.ok()) co_return false;
     // The pages are of different revisions. The watch continues from that of the first, and changes
     // that it repeats do no harm.
@@ -124,7 +125,7 @@
       changed_.Notify();
     }
     const double asked_at = scope_.loop().Now();
-    auto changes = co_await client_.Watch(std::string(kActive), revision_, block_s_);
+    auto changes = co_await client_.Watch(std::string(kActivePrefix), revision_, block_s_);
     if (changes.ok()) TakeIn(changes.value, asked_at);
     if (changes.status == Status::kGone) must_load = true;
     async::Sleep pause(scope_, changes.ok() ? kWatchPauseS : kRetryS);
--- a/src/store/watch_cache.h
+++ b/src/store/watch_cache.h
@@ -1,4 +1,4 @@
-// A local copy of everything under kActive, kept up to date by one watch.
+// A local copy of everything under kActivePrefix, kept up to date by one watch.
 //
 // One per node, owned by the controller; used on the thread of its event loop only. The node's own
 // commits are applied at once; the watch then repeats them, and may still bring older changes of
@@ -48,7 +48,7 @@
   async::Event& changed() { return changed_; }
 
   // Takes in a write of this node ahead of the watch.
-  void Apply(const std::string& key, const std::string& value, uint64_t version);
+  void ApplyAheadOfWatch(const std::string& key, const std::string& value, uint64_t version);
   // Reads a key again that has turned out to differ from the copy; false if that failed.
   async::Task<bool> Refresh(std::string key);
 
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -35,7 +35,7 @@
     });
     state_->Watch([this](const std::string& key, const std::string& value) {
       if (key == store::DivisionKey()) ++divisions_;
-      if (store::Names<store::ShareKeyName>(key) && !value.empty()) ++lendings_;
+      if (store::IsKeyOfKind<store::ShareKeyName>(key) && !value.empty()) ++lendings_;
     });
   }
   blocks::DivisionRecord Division() const {
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -208,7 +208,7 @@
     store::Client::Options o;
     o.endpoint = At(20);
     o.rps = o.write_rps = 10000;
-    o.max_body = 1 << 20;
+    o.max_response_bytes = 1 << 20;
     return o;
   }
 
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -263,7 +263,7 @@
   async::Task<> Record(bool cancelled) {
     store::JobRecord record;
     record.spec = Spec("run-1", 1);
-    record.submitted = 1;
+    record.submitted_at = 1;
     record.cancelled = cancelled;
     const std::string value = store::WriteJob(record);
     co_await WriteRecord(store::JobKey("run-1"), value);
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -85,7 +85,7 @@
 // --- Records -----------------------------------------------------------------------------------
 
 TEST(GoldenRecord, Keys) {
-  EXPECT_EQ(store::kActive, "hallpier/a/");
+  EXPECT_EQ(store::kActivePrefix, "hallpier/a/");
   EXPECT_EQ(store::LeaderKey(), "hallpier/a/leader");
   EXPECT_EQ(store::FencingTokenKey(), "hallpier/a/block/0");
   EXPECT_EQ(store::MachineTypesKey(), "hallpier/a/flavors");
@@ -124,7 +124,7 @@
   for (const auto& [key, name] : expected) {
     EXPECT_TRUE(store::ParseKey("hallpier/" + key) == name) << key;
   }
-  EXPECT_TRUE(store::Names<store::FinalKeyName>("hallpier/f/run-1"));
+  EXPECT_TRUE(store::IsKeyOfKind<store::FinalKeyName>("hallpier/f/run-1"));
   EXPECT_EQ(std::get<store::MachineTypesKeyName>(store::ParseKey("hallpier/a/flavors.2")).page, 2U);
   const auto part =
       std::get<store::TaskGroupKeyName>(store::ParseKey("hallpier/a/t/run-1/00003.12"));
@@ -200,9 +200,10 @@
 
 TEST(GoldenRecord, Format) {
   constexpr std::string_view kText = R"({"format":2,"group":335,"parts":1})";
-  EXPECT_EQ(store::WriteFormat({.format = store::kRecordFormat,
-                                .layout = {.tasks_per_whole = 335, .parts_per_whole = 1}}),
-            kText);
+  EXPECT_EQ(
+      store::WriteFormat({.format = store::kRecordFormat,
+                          .layout = {.tasks_per_base_group = 335, .parts_per_base_group = 1}}),
+      kText);
   EXPECT_EQ(store::WriteFormat(Checked(store::ReadFormat(kText))), kText);
 }
 
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -148,7 +148,7 @@
   JobTable job_table(40);
   store::JobRecord record;
   record.spec = Spec("run-2", 100);
-  record.group = 70;
+  record.tasks_per_group = 70;
   job_table.Apply(store::ParseKey(store::JobKey("run-2")), store::WriteJob(record));
   Place(job_table, "run-2", 69, 1, "vm-1");
   Place(job_table, "run-2", 70, 1, "vm-1");
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -45,7 +45,7 @@
   async::Task<> CancelledByAnother() {
     store::JobRecord record;
     record.spec = Spec("run-1", 6);
-    record.submitted = 1;
+    record.submitted_at = 1;
     record.cancelled = true;
     const std::string value = store::WriteJob(record);
     co_await WriteRecord(store::JobKey("run-1"), value);
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -231,7 +231,7 @@
   async::Task<> Off() {
     co_await StartOthersOnceItLeads();
     state_->Watch([this](const std::string& key, const std::string& /*value*/) {
-      if (store::Names<store::MemberKeyName>(key)) ++member_writes_;
+      if (store::IsKeyOfKind<store::MemberKeyName>(key)) ++member_writes_;
     });
     co_await RunsAJob(1);
     co_await EndInOrder(0);
--- a/tests/net_fixture.h
+++ b/tests/net_fixture.h
@@ -50,7 +50,7 @@
     options.endpoint = At(n);
     options.rps = options.write_rps = 1000;
     options.timeout_s = 0.25;
-    options.max_body = 1 << 20;
+    options.max_response_bytes = 1 << 20;
     return options;
   }
 
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -472,11 +472,11 @@
     const uint64_t drop = co_await Write(client, key, "");
     while (cache.revision() < drop) co_await Pause(0.01);
     EXPECT_EQ(cache.Version(key), 0U);
-    cache.Apply(key, "{}", put);
+    cache.ApplyAheadOfWatch(key, "{}", put);
     EXPECT_EQ(cache.Version(key), 0U) << "the answer of the first write, late";
     EXPECT_EQ(copy[key], "");
     // Whatever else may make the copy differ, a key that was overtaken is read anew.
-    cache.Apply(key, "{}", drop + 100);
+    cache.ApplyAheadOfWatch(key, "{}", drop + 100);
     EXPECT_EQ(copy[key], "{}");
     co_await cache.Refresh(key);
     EXPECT_EQ(copy[key], "");
@@ -519,8 +519,8 @@
     state.SetLimits({0, 0, 20});
     store::Client::Options options = StateAt(5);
     options.write_rps = 100;
-    options.next_rps = 1000;
-    options.next_write_rps = 20;
+    options.lowered_rps = 1000;
+    options.lowered_write_rps = 20;
     store::Client client(scope_, options);
     int refused = co_await Refusals(client, state, 0.6);
     EXPECT_GT(refused, 2);
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -127,14 +127,14 @@
   job.spec = Spec("run-1", 900);
   for (int i = 0; i < 300; ++i) job.spec.machine_types.push_back("flavor-" + std::to_string(i));
   job.spec.image = std::string(200, '\x01');
-  job.group = 77;
+  job.tasks_per_group = 77;
   ASSERT_GT(WriteJob(job).size(), 4000U);
   const std::string value = WriteCancelledJob(job, 1024);
   EXPECT_LE(value.size(), 1024U);
   auto back = ReadJob(value);
   ASSERT_TRUE(back);
   EXPECT_TRUE(back->cancelled);
-  EXPECT_EQ(back->group, 77U) << "its groups must still be read as they were written";
+  EXPECT_EQ(back->tasks_per_group, 77U) << "its groups must still be read as they were written";
   EXPECT_EQ(back->spec.tasks, 900U);
   EXPECT_EQ(back->spec.team, "team");
 }
@@ -151,12 +151,12 @@
   MachineTypePages read;
   for (auto n = static_cast<uint32_t>(pages.size()); n-- > 0;) {
     EXPECT_LE(pages[n].size(), 2048U);
-    EXPECT_FALSE(read.All()) << "a part of it says nothing";
+    EXPECT_FALSE(read.AllIfComplete()) << "a part of it says nothing";
     read.Put(n, pages[n]);
   }
-  ASSERT_TRUE(read.All());
-  EXPECT_EQ(wire::WriteMachineTypes(*read.All()), wire::WriteMachineTypes(machine_types));
-  ASSERT_TRUE(Names<MachineTypesKeyName>(MachineTypesKey(3)));
+  ASSERT_TRUE(read.AllIfComplete());
+  EXPECT_EQ(wire::WriteMachineTypes(*read.AllIfComplete()), wire::WriteMachineTypes(machine_types));
+  ASSERT_TRUE(IsKeyOfKind<MachineTypesKeyName>(MachineTypesKey(3)));
   EXPECT_EQ(std::get<MachineTypesKeyName>(ParseKey(MachineTypesKey(3))).page, 3U);
 }
 
@@ -164,13 +164,13 @@
   JobRecord job;
   job.spec = Spec("run-3", 4);
   job.spec.awaits = {"run-1", "run-2"};
-  job.group = 388;
+  job.tasks_per_group = 388;
   auto back = ReadJob(WriteJob(job));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->spec.awaits, job.spec.awaits);
-  EXPECT_EQ(back->group, 388U);
-  EXPECT_EQ(ReadFinal(R"({"phase":"done","done":3})")->at, 0);
-  EXPECT_EQ(ReadFinal(WriteFinal({model::JobPhase::kDone, 3, 99.5}))->at, 99.5);
+  EXPECT_EQ(back->tasks_per_group, 388U);
+  EXPECT_EQ(ReadFinal(R"({"phase":"done","done":3})")->recorded_at, 0);
+  EXPECT_EQ(ReadFinal(WriteFinal({model::JobPhase::kDone, 3, 99.5}))->recorded_at, 99.5);
   const auto format = ReadFormat(R"({"format":2,"group":335,"parts":0})");
   ASSERT_FALSE(format);
   EXPECT_EQ(format.error().field, "parts");
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -197,7 +197,7 @@
   auto record = store::ReadJob(store_.Value(store::JobKey(command.task.job)));
   ++starts_;
   if (on_start_) on_start_(machine);
-  if (record && command.attempt == 1) waits_.push_back(now() - record->submitted);
+  if (record && command.attempt == 1) waits_.push_back(now() - record->submitted_at);
   const double used = Used();
   const double limit = settings_.teams[0].cpus_max;
   if (used > peak_.used) peak_ = {used, limit};
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -116,7 +116,7 @@
   for (const plan::Preemption& preemption : plan.preemptions) {
     node.registry->stop_requests().Add(preemption.task, preemption.attempt, preemption.grace_s);
   }
-  OwnPlacements own{.places = {}, .preconditions = {store::TokenPrecondition(node.token)}};
+  OwnPlacements own{.places = {}, .preconditions = {store::FencingTokenPrecondition(node.token)}};
   if (node.divides) {
     if (ReviewBlocks(node, plan, scope)) return;
     SendViews(node);
@@ -130,7 +130,7 @@
 }
 
 BlocksCluster::OwnPlacements BlocksCluster::PlanOwnPlacements(Node& node, bool divided) {
-  OwnPlacements own{.places = {}, .preconditions = {store::TokenPrecondition(node.token)}};
+  OwnPlacements own{.places = {}, .preconditions = {store::FencingTokenPrecondition(node.token)}};
   const auto holder = node.records.Holding(node.name, node.session, Copy(node));
   const bool undivided = !divided && !node.records.division().divided();
   if (undivided && node.revision >= node.records.newest()) {
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -19,8 +19,8 @@
   std::vector<std::string> failed = store_.Execute(now(), preconditions, writes);
   if (!failed.empty() || !on_record_) return failed;
   for (const model::KeyWrite& write : writes) {
-    const bool record = store::Names<store::DivisionKeyName>(write.key) ||
-                        store::Names<store::ShareKeyName>(write.key);
+    const bool record = store::IsKeyOfKind<store::DivisionKeyName>(write.key) ||
+                        store::IsKeyOfKind<store::ShareKeyName>(write.key);
     if (record) At(0, [this, key = write.key] { on_record_(key); });
   }
   return failed;
@@ -28,7 +28,7 @@
 
 void BlocksCluster::Put(Node& node, const std::string& key, const std::string& value,
                         uint64_t version) {
-  if (!key.starts_with(store::kActive) || version <= node.seen[key]) return;
+  if (!key.starts_with(store::kActivePrefix) || version <= node.seen[key]) return;
   node.seen[key] = version;
   node.versions[key] = value.empty() ? 0 : version;
   const store::ParsedKey parsed = store::ParseKey(key);
@@ -91,10 +91,10 @@
   std::vector<model::Precondition> kept;
   for (const model::Precondition& precondition : preconditions) {
     const std::string& key = precondition.key;
-    const bool out = (store::Names<store::FencingTokenKeyName>(key) && Without("token")) ||
-                     (store::Names<store::DivisionKeyName>(key) && Without("division")) ||
-                     (store::Names<store::ShareKeyName>(key) && Without("share")) ||
-                     (store::Names<store::JobKeyName>(key) && Without("job"));
+    const bool out = (store::IsKeyOfKind<store::FencingTokenKeyName>(key) && Without("token")) ||
+                     (store::IsKeyOfKind<store::DivisionKeyName>(key) && Without("division")) ||
+                     (store::IsKeyOfKind<store::ShareKeyName>(key) && Without("share")) ||
+                     (store::IsKeyOfKind<store::JobKeyName>(key) && Without("job"));
     if (!out) kept.push_back(precondition);
   }
   return kept;
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -46,9 +46,9 @@
   store::JobRecord record;
   record.spec = Spec("run-1", 4);
   EXPECT_TRUE(OldVersionKeeps(job, store::WriteJob(record)));
-  record.group = 9;
+  record.tasks_per_group = 9;
   EXPECT_FALSE(OldVersionKeeps(job, store::WriteJob(record)));
-  record.group = 0;
+  record.tasks_per_group = 0;
   record.spec.awaits = {"run-2"};
   EXPECT_FALSE(OldVersionKeeps(job, store::WriteJob(record)));
   EXPECT_TRUE(OldVersionKeeps(group, store::WriteTaskGroup({})));
@@ -218,7 +218,7 @@
     // Production took it, when a value might still be as large.
     store::JobRecord record;
     record.spec = listed;
-    record.submitted = 1764633600;
+    record.submitted_at = 1764633600;
     EXPECT_GT(store::WriteJob(record).size(), 2048U);
     co_await WriteRecord(store::JobKey("run-2"), store::WriteJob(record));
     state_->SetLimits({2048, 4, 300});
