--- a/src/blocks/division.h
+++ b/src/blocks/division.h
@@ -20,7 +20,7 @@
 
 struct Holder {
   std::string node;
-  uint64_t session = 0;  // of its process (membership/record.h)
+  uint64_t session = 0;  // of its process (membership/member_record.h)
   // Grows whenever machines leave the block or another process holds it. What was lent to the
   // holder with another grant counts for nothing (quota/share_record.h).
   uint64_t grant = 0;
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -5,7 +5,7 @@
 #include <cstdio>
 
 #include "async/wait.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "net/address.h"
 #include "net/stream.h"
 #include "wire/frame.h"
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -14,7 +14,7 @@
 #include "blocks/view_sender.h"
 #include "controller/node_services.h"
 #include "fleet/worker_registry.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "plan/round.h"
 #include "wire/peer_messages.h"
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -67,15 +67,15 @@
   // often.
   limits.idle_s = settings.lease_s;
   limits.request_s = settings.heartbeat_interval_s * kRequestTimeoutHeartbeats;
-  limits.quiet_s = limits.request_s;
+  limits.evictable_after_s = limits.request_s;
   auto from_worker = [](const wire::HttpRequest& request) {
     return request.path() == RequestRouter::kHeartbeatPath;
   };
   auto from_user = [](const wire::HttpRequest& request) {
     return request.path() != RequestRouter::kReadyPath;
   };
-  limits.shares = {{.takes = from_worker, .most = workers, .periodic = true},
-                   {.takes = from_user, .most = users}};
+  limits.connection_classes = {{.matches = from_worker, .reserved = workers, .periodic = true},
+                               {.matches = from_user, .reserved = users}};
   return limits;
 }
 
@@ -147,10 +147,10 @@
   dependencies.cache = &cache_;
   dependencies.election = &election_;
   dependencies.send = services_.send;
-  dependencies.understands = [this](const std::string& node) {
+  dependencies.supports_membership = [this](const std::string& node) {
     return formats_.SupportsMembership(node);
   };
-  dependencies.machines = [this] { return leader_.ReportingMachineCount(); };
+  dependencies.expected_machines = [this] { return leader_.ReportingMachineCount(); };
   return std::make_unique<membership::Service>(root_scope_, std::move(dependencies));
 }
 
@@ -168,7 +168,7 @@
     return dependency_outcomes_.AwaitResolved(std::move(id), limit_s);
   };
   dependencies.announce = [this](const std::string& id, uint64_t version) {
-    peers_.Announce({{id, version}});
+    peers_.BroadcastCancellation({{id, version}});
   };
   return dependencies;
 }
@@ -180,9 +180,9 @@
     return client_.ExecuteForPeer(std::move(request));
   };
   hooks.on_status = [this](const wire::PeerStatus& status) { election_.OnTokenSeen(status.token); };
-  hooks.on_refused = [this](const std::string& node) {
+  hooks.on_connection_refused = [this](const std::string& node) {
     election_.OnNodeFailed(node);
-    if (membership_) membership_->OnRefused(node);
+    if (membership_) membership_->OnConnectionRefused(node);
   };
   AddCancellationHooks(&hooks);
   if (operator_options_.membership.enabled) AddMembershipHooks(&hooks);
@@ -218,7 +218,7 @@
 }
 
 void Controller::AddCancellationHooks(net::PeerMesh::Hooks* hooks) {
-  hooks->understands_cancellation_reports = [this](const std::string& node) {
+  hooks->supports_cancellation_reports = [this](const std::string& node) {
     return formats_.SupportsCancellationReports(node);
   };
   hooks->cancellation_report_request = [this](const std::string& node) {
@@ -231,7 +231,7 @@
                                          const wire::CancellationReport& report) {
     cancellations_.OnReport(node, requested_at, report);
   };
-  hooks->on_cancelled = [this](const wire::CancelNotice& notice) {
+  hooks->on_cancel_notice = [this](const wire::CancelNotice& notice) {
     cancellations_.OnCancellation(notice.cancelled);
   };
 }
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -24,13 +24,14 @@
 
   bool MayBecomeLeader() const override { return !membership_ || membership_->MayLead(); }
   std::vector<model::Precondition> AcquirePreconditions() const override {
-    return membership_ ? membership_->LeadPreconditions() : std::vector<model::Precondition>();
+    return membership_ ? membership_->LeadershipPreconditions()
+                       : std::vector<model::Precondition>();
   }
   double AcquireDelayS() const override { return membership_ ? membership_->TakeDelayS() : 0; }
   // Only with a membership does a leader yield because the key-value store refuses it alone.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
-  bool OutageConfirmedByAll() const override { return peers_.AllConfirmOutage(); }
+  bool OutageConfirmedByAll() const override { return peers_.AllPeersReportOutage(); }
 
  private:
   const std::unique_ptr<membership::Service>& membership_;
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "membership/record.h"
+#include "membership/member_record.h"
 
 namespace hallpier::controller {
 
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -91,8 +91,8 @@
   // If the store refuses only this node and no peer can relay its requests, other nodes serve users
   // better. While the store is down for all nodes, leaving the load balancer would only delay the
   // recovery.
-  return !services_.client->down() || peers_.AnyReachesState() || peers_.AllConfirmOutage() ||
-         services_.settings->seeds.empty();
+  return !services_.client->down() || peers_.AnyPeerReachesState() ||
+         peers_.AllPeersReportOutage() || services_.settings->seeds.empty();
 }
 
 wire::HttpResponse RequestRouter::HandleReady() const {
--- a/src/membership/yield_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -1,4 +1,4 @@
-#include "membership/yield_policy.h"
+#include "membership/handover_policy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -27,27 +27,27 @@
 
 }  // namespace
 
-void YieldPolicy::OnLeaderChanged(double now) {
+void HandoverPolicy::OnLeaderChanged(double now) {
   changes_.push_back(now);
   reason_.reset();
 }
 
-void YieldPolicy::OnPause() { reason_.reset(); }
+void HandoverPolicy::OnPause() { reason_.reset(); }
 
-double YieldPolicy::HoldS(double now) {
+double HandoverPolicy::HoldS(double now) {
   while (!changes_.empty() && now - changes_.front() > kRecentLeases * options_.lease_s) {
     changes_.pop_front();
   }
   // The change that made this node the leader is no sign of instability by itself.
   const size_t recent = changes_.empty() ? 0 : changes_.size() - 1;
   const auto doublings = static_cast<double>(std::min(recent, kMaxDoublings));
-  return options_.hold_leases * options_.lease_s * std::exp2(doublings);
+  return options_.min_handover_interval_leases * options_.lease_s * std::exp2(doublings);
 }
 
-double YieldPolicy::SustainS(Reason reason) const {
+double HandoverPolicy::SustainS(Reason reason) const {
   switch (reason) {
     case Reason::kStateService:
-      return options_.relayed_leases * options_.lease_s;
+      return options_.max_relayed_leases * options_.lease_s;
     case Reason::kWorkers:
       return kSustainReports * options_.heartbeat_interval_s;
     case Reason::kTurns:
@@ -56,7 +56,7 @@
   return 0;
 }
 
-std::string YieldPolicy::Describe(Reason reason) {
+std::string HandoverPolicy::Describe(Reason reason) {
   switch (reason) {
     case Reason::kStateService:
       return "the state service answers it by way of others only";
@@ -68,7 +68,7 @@
   return "";
 }
 
-std::optional<YieldPolicy::Candidate> YieldPolicy::Find(
+std::optional<HandoverPolicy::Candidate> HandoverPolicy::Find(
     const model::MemberVitals& own, size_t machines,
     const std::map<std::string, model::MemberVitals>& others) const {
   const double expected = kCountedPart * static_cast<double>(machines);
@@ -103,15 +103,15 @@
   return best;
 }
 
-bool YieldPolicy::Held(Reason reason, double now) {
+bool HandoverPolicy::Held(Reason reason, double now) {
   // Without the state service the lease is about to be lost whatever is decided here.
   if (reason == Reason::kStateService || changes_.empty()) return false;
   return now - changes_.back() < HoldS(now);
 }
 
-std::optional<Yield> YieldPolicy::Decide(const model::MemberVitals& own, size_t machines,
-                                         const std::map<std::string, model::MemberVitals>& others,
-                                         double now) {
+std::optional<Yield> HandoverPolicy::Decide(
+    const model::MemberVitals& own, size_t machines,
+    const std::map<std::string, model::MemberVitals>& others, double now) {
   const std::optional<Candidate> candidate = Find(own, machines, others);
   if (!candidate) {
     reason_.reset();
--- a/src/membership/yield_policy.h
+++ b/src/membership/handover_policy.h
@@ -18,17 +18,17 @@
   std::string reason;
 };
 
-class YieldPolicy {
+class HandoverPolicy {
  public:
   struct Options {
     double heartbeat_interval_s = 0;
     double lease_s = 0;
     // Least time between two changes of the leader, in leases.
-    double hold_leases = 1;
+    double min_handover_interval_leases = 1;
     // How long a leader may go by way of other nodes to the state service, in leases.
-    double relayed_leases = 0;
+    double max_relayed_leases = 0;
   };
-  explicit YieldPolicy(Options options) : options_(options) {}
+  explicit HandoverPolicy(Options options) : options_(options) {}
 
   // Some node has taken the lead, whyever.
   void OnLeaderChanged(double now);
--- a/src/membership/evidence.cc
+++ b/src/membership/liveness_tracker.cc
@@ -1,4 +1,4 @@
-#include "membership/evidence.h"
+#include "membership/liveness_tracker.h"
 
 #include <algorithm>
 
@@ -15,25 +15,25 @@
 
 }  // namespace
 
-void Evidence::OnAnswer(double asked, double now) {
+void LivenessTracker::OnAnswer(double asked, double now) {
   OnHeard(asked);
   round_trip_.Add(now - asked);
 }
 
-void Evidence::OnHeard(double at) {
+void LivenessTracker::OnHeard(double at) {
   silent_since_ = std::max(silent_since_, at);
   proven_at_ = std::max(proven_at_.value_or(at), at);
 }
 
-void Evidence::Distrust(double now) { silent_since_ = std::max(silent_since_, now); }
+void LivenessTracker::ResetSilence(double now) { silent_since_ = std::max(silent_since_, now); }
 
-void Evidence::OnRefuted(double now) {
+void LivenessTracker::OnRefuted(double now) {
   caution_ = std::min(kMaxCaution, Caution(now) * kCautionStep);
   refuted_at_ = now;
-  Distrust(now);
+  ResetSilence(now);
 }
 
-double Evidence::Caution(double now) const {
+double LivenessTracker::Caution(double now) const {
   const double half_life_s = kCautionHalfLife * options_.missed_probes * options_.probe_s;
   double caution = caution_;
   for (double at = refuted_at_ + half_life_s; caution > 1 && at <= now; at += half_life_s) {
@@ -42,7 +42,7 @@
   return std::max(1.0, caution);
 }
 
-double Evidence::ThresholdS(double factor, double now) const {
+double LivenessTracker::SilenceThresholdS(double factor, double now) const {
   const double least = options_.missed_probes * options_.probe_s;
   const double adapted = std::min(least + round_trip_.Bound(), kMaxSlowness * least);
   return adapted * factor * Caution(now);
--- a/src/membership/evidence.h
+++ b/src/membership/liveness_tracker.h
@@ -4,18 +4,18 @@
 
 #include <optional>
 
-#include "membership/round_trip.h"
+#include "membership/round_trip_estimator.h"
 
 namespace hallpier::membership {
 
-struct SilenceOptions {
+struct ProbeOptions {
   double probe_s = 0;        // time between two probes
   double missed_probes = 0;  // unanswered ones that make a node suspect
 };
 
-class Evidence {
+class LivenessTracker {
  public:
-  Evidence(SilenceOptions options, double now) : options_(options), silent_since_(now) {}
+  LivenessTracker(ProbeOptions options, double now) : options_(options), silent_since_(now) {}
 
   // An answer to a probe that was sent at `asked`. It proves no more than that the node was alive
   // when it got the probe: answers may have been held up.
@@ -23,23 +23,23 @@
   // Known to be alive at `at` by other means.
   void OnHeard(double at);
   // The silence up to now was, or may have been, this node's own fault: it counts anew from here.
-  void Distrust(double now);
+  void ResetSilence(double now);
   // A suspicion has turned out to be wrong: the next takes longer, the more so the more there were.
   void OnRefuted(double now);
 
   // When it was last proven to be alive; nothing: never.
-  const std::optional<double>& proven_at() const { return proven_at_; }
+  const std::optional<double>& last_alive_at() const { return proven_at_; }
   // Silence that makes the node suspect, stretched by the local health `factor`.
-  double ThresholdS(double factor, double now) const;
+  double SilenceThresholdS(double factor, double now) const;
   bool Silent(double factor, double now) const {
-    return now - silent_since_ > ThresholdS(factor, now);
+    return now - silent_since_ > SilenceThresholdS(factor, now);
   }
 
  private:
   double Caution(double now) const;
 
-  SilenceOptions options_;
-  RoundTrip round_trip_;
+  ProbeOptions options_;
+  RoundTripEstimator round_trip_;
   double silent_since_;
   std::optional<double> proven_at_;
   double caution_ = 1;
--- a/src/membership/local_health.cc
+++ b/src/membership/local_health.cc
@@ -17,7 +17,7 @@
   good_intervals_ = 0;
 }
 
-void LocalHealth::OnNobodyHeard() {
+void LocalHealth::OnNoAnswers() {
   score_ = std::min(kMaxScore, score_ + 1);
   good_intervals_ = 0;
 }
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -10,7 +10,7 @@
   // A turn came so late, or after a pause, that silence of the others proves nothing.
   void OnPause();
   // An interval in which no other node answered although there are several.
-  void OnNobodyHeard();
+  void OnNoAnswers();
   // An interval in which turns came in time and somebody answered.
   void OnGoodInterval();
 
--- a/src/membership/record.cc
+++ b/src/membership/member_record.cc
@@ -1,4 +1,4 @@
-#include "membership/record.h"
+#include "membership/member_record.h"
 
 #include <array>
 
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -36,7 +36,7 @@
     : options_(std::move(options)), last_tick_(now) {
   for (const std::string& node : options_.others) {
     if (node == options_.node) continue;
-    members_.emplace(node, Member(options_.silence, now));
+    members_.emplace(node, Member(options_.probes, now));
   }
 }
 
@@ -75,7 +75,7 @@
 
 void MemberTable::OnNewSession(Member& member, double now) {
   // Nothing that was observed of the former process counts for the new one.
-  member.evidence.Distrust(now);
+  member.evidence.ResetSilence(now);
   member.refutation = member.record->incarnation.refutation;
   member.refused = false;
   member.leaving = false;
@@ -157,14 +157,14 @@
   if (Member* member = Find(node)) member->evidence.OnHeard(asked);
 }
 
-void MemberTable::OnRefused(const std::string& node) {
+void MemberTable::OnConnectionRefused(const std::string& node) {
   if (Member* member = Find(node)) member->refused = true;
 }
 
 void MemberTable::OnPause(double now) {
   health_.OnPause();
   for (auto& [node, member] : members_) {
-    member.evidence.Distrust(now);
+    member.evidence.ResetSilence(now);
     member.suspect_since.reset();
     // What others said of it is as old as the pause is long, or older.
     member.observers.clear();
@@ -178,8 +178,8 @@
 }
 
 bool MemberTable::HeardByOthers(const Member& member, const std::string& node, double now) const {
-  const double window_s = member.evidence.ThresholdS(health_.Factor(), now) +
-                          kGossipIntervals * options_.silence.probe_s;
+  const double window_s = member.evidence.SilenceThresholdS(health_.Factor(), now) +
+                          kGossipIntervals * options_.probes.probe_s;
   return std::any_of(member.observers.begin(), member.observers.end(), [&](const auto& entry) {
     const auto& [observer, observed] = entry;
     const Member& other = members_.at(observer);
@@ -210,12 +210,12 @@
 }
 
 double MemberTable::ConfirmS() const {
-  const double least = options_.confirm_probes * options_.silence.probe_s;
+  const double least = options_.confirm_probes * options_.probes.probe_s;
   return std::max(least, kConfirmRoundTrips * state_round_trip_.Bound()) * health_.Factor();
 }
 
 void MemberTable::ReviewHealth(double now) {
-  const double interval_s = options_.silence.probe_s;
+  const double interval_s = options_.probes.probe_s;
   if (now - last_tick_ > kPauseIntervals * interval_s) {
     OnPause(now);
     return;
@@ -227,7 +227,7 @@
                                    [&](const auto& m) { return Fresh(m.second, now); });
   // With one other node, its end and a fault of ours look the same.
   if (probed >= 2 && fresh == 0) {
-    health_.OnNobodyHeard();
+    health_.OnNoAnswers();
   } else {
     health_.OnGoodInterval();
   }
@@ -277,9 +277,9 @@
 
 std::optional<Proposal> MemberTable::ProposeFor(const std::string& node, const Member& member,
                                                 double now) const {
-  if (!member.suspect_since || !InGoodStanding()) return std::nullopt;
+  if (!member.suspect_since || !IsActiveMember()) return std::nullopt;
   if (!ObserversAgree(member, node, now)) return std::nullopt;
-  const double turn_s = static_cast<double>(WritePriority(node, now)) * options_.silence.probe_s;
+  const double turn_s = static_cast<double>(WritePriority(node, now)) * options_.probes.probe_s;
   Proposal proposal;
   proposal.node = node;
   proposal.record = *member.record;
@@ -295,7 +295,7 @@
   }
   const double since = std::max(member.record_seen_at, *member.suspect_since);
   if (now < since + ConfirmS() + turn_s) return std::nullopt;
-  proposal.kind = Proposal::Kind::kVerdict;
+  proposal.kind = Proposal::Kind::kDeclareFailed;
   proposal.record.state = model::MemberState::kFailed;
   return proposal;
 }
@@ -322,7 +322,7 @@
 
 void MemberTable::OnProposalDone(const std::string& node, double now) {
   pending_.erase(node);
-  not_before_[node] = now + kRetryIntervals * options_.silence.probe_s;
+  not_before_[node] = now + kRetryIntervals * options_.probes.probe_s;
 }
 
 std::optional<Proposal> MemberTable::Leave() const {
@@ -352,8 +352,8 @@
       observation.incarnation = {member.record->incarnation.session, member.refutation};
     }
     observation.state = ShownState(member);
-    if (const std::optional<double>& proven_at = member.evidence.proven_at()) {
-      const double ago_s = std::max(0.0, now - *proven_at);
+    if (const std::optional<double>& last_alive_at = member.evidence.last_alive_at()) {
+      const double ago_s = std::max(0.0, now - *last_alive_at);
       observation.heard_ms_ago = static_cast<uint64_t>(std::llround(ago_s * kMsPerS));
     }
     status.observations.push_back(std::move(observation));
@@ -361,14 +361,14 @@
   return status;
 }
 
-bool MemberTable::InGoodStanding() const {
+bool MemberTable::IsActiveMember() const {
   return !superseded_ && !leaving_ && own_record_ &&
          own_record_->state == model::MemberState::kAlive &&
          own_record_->instance == options_.instance;
 }
 
 std::vector<model::Precondition> MemberTable::OwnPreconditions() const {
-  if (!InGoodStanding()) return {};
+  if (!IsActiveMember()) return {};
   return {{store::MemberKey(options_.node), own_version_}};
 }
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -21,9 +21,9 @@
 #include <string>
 #include <vector>
 
-#include "membership/evidence.h"
+#include "membership/liveness_tracker.h"
 #include "membership/local_health.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "model/key_value.h"
 #include "model/member.h"
 #include "wire/peer_messages.h"
@@ -32,7 +32,7 @@
 
 // A write to the state service: this record for that node, if the guards hold.
 struct Proposal {
-  enum class Kind { kJoin, kRefute, kSuspect, kVerdict, kLeave };
+  enum class Kind { kJoin, kRefute, kSuspect, kDeclareFailed, kLeave };
   Kind kind = Kind::kJoin;
   std::string node;
   MemberRecord record;
@@ -44,7 +44,7 @@
   struct Options {
     std::string node;
     std::vector<std::string> others;
-    SilenceOptions silence;
+    ProbeOptions probes;
     double confirm_probes = 0;  // a recorded suspicion stands for so many before the verdict
     uint64_t instance = 0;      // drawn at random for this process
   };
@@ -61,7 +61,7 @@
   // that know no membership.
   void OnStatusAnswered(const std::string& node, double asked);
   // The node's port refuses connections after a link to it has broken.
-  void OnRefused(const std::string& node);
+  void OnConnectionRefused(const std::string& node);
   // This process was paused, or got its turns late; what it did not hear meanwhile says nothing.
   void OnPause(double now);
   // How long a transaction takes that the state service answers.
@@ -83,7 +83,7 @@
 
   // True while this node's own record says that it is a member and nobody suspects it: whoever is
   // not may not take the lead.
-  bool InGoodStanding() const;
+  bool IsActiveMember() const;
   // Guards that hold only while that is so; empty: it is not.
   std::vector<model::Precondition> OwnPreconditions() const;
   // This process was judged as failed, and has not joined again yet.
@@ -107,9 +107,9 @@
     std::optional<double> heard_at;
   };
   struct Member {
-    Member(SilenceOptions silence, double now) : evidence(silence, now), shown_since(now) {}
+    Member(ProbeOptions probes, double now) : evidence(probes, now), shown_since(now) {}
 
-    Evidence evidence;
+    LivenessTracker evidence;
     std::optional<MemberRecord> record;
     uint64_t version = 0;
     double record_seen_at = 0;
@@ -146,7 +146,7 @@
 
   const Options options_;
   LocalHealth health_;
-  RoundTrip state_round_trip_;
+  RoundTripEstimator state_round_trip_;
   std::map<std::string, Member> members_;
   std::optional<MemberRecord> own_record_;
   uint64_t own_version_ = 0;
--- a/src/membership/round_trip.cc
+++ b/src/membership/round_trip_estimator.cc
@@ -1,4 +1,4 @@
-#include "membership/round_trip.h"
+#include "membership/round_trip_estimator.h"
 
 #include <cmath>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void RoundTrip::Add(double sample_s) {
+void RoundTripEstimator::Add(double sample_s) {
   if (!any_) {
     any_ = true;
     mean_s_ = sample_s;
@@ -23,6 +23,6 @@
   mean_s_ += kMeanWeight * (sample_s - mean_s_);
 }
 
-double RoundTrip::Bound() const { return mean_s_ + kDeviations * deviation_s_; }
+double RoundTripEstimator::Bound() const { return mean_s_ + kDeviations * deviation_s_; }
 
 }  // namespace hallpier::membership
--- a/src/membership/round_trip.h
+++ b/src/membership/round_trip_estimator.h
@@ -4,7 +4,7 @@
 
 namespace hallpier::membership {
 
-class RoundTrip {
+class RoundTripEstimator {
  public:
   void Add(double sample_s);
   // Nearly all answers have come by then; 0 before the first sample.
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -34,17 +34,17 @@
   std::uniform_int_distribution<uint64_t> draw(1);
   return {.node = settings.node,
           .others = settings.OtherNodes(),
-          .silence = {options.probe_ratio * settings.heartbeat_interval_s, options.missed_probes},
+          .probes = {options.probe_ratio * settings.heartbeat_interval_s, options.missed_probes},
           .confirm_probes = options.confirm_probes,
           .instance = draw(device)};
 }
 
-YieldPolicy::Options YieldOptions(const config::Settings& settings,
-                                  const config::MembershipOptions& options) {
+HandoverPolicy::Options YieldOptions(const config::Settings& settings,
+                                     const config::MembershipOptions& options) {
   return {.heartbeat_interval_s = settings.heartbeat_interval_s,
           .lease_s = settings.lease_s,
-          .hold_leases = options.yield_leases,
-          .relayed_leases = election::LeaderElection::kMaxRelayedRenewalRatio};
+          .min_handover_interval_leases = options.yield_leases,
+          .max_relayed_leases = election::LeaderElection::kMaxRelayedRenewalRatio};
 }
 
 std::string_view KindName(Proposal::Kind kind) {
@@ -55,7 +55,7 @@
       return "refutation";
     case Proposal::Kind::kSuspect:
       return "suspicion";
-    case Proposal::Kind::kVerdict:
+    case Proposal::Kind::kDeclareFailed:
       return "verdict";
     case Proposal::Kind::kLeave:
       return "leave";
@@ -71,7 +71,7 @@
       probe_s_(deps_.options->probe_ratio * deps_.settings->heartbeat_interval_s),
       table_(TableOptions(*deps_.settings, *deps_.options), Now()),
       yield_policy_(YieldOptions(*deps_.settings, *deps_.options)),
-      reports_(YieldPolicy::kCountedPart * deps_.settings->heartbeat_interval_s, Now()),
+      reports_(HandoverPolicy::kCountedPart * deps_.settings->heartbeat_interval_s, Now()),
       next_tick_(Now() + probe_s_),
       pause_seen_(Now()) {
   for (const std::string& node : deps_.settings->OtherNodes()) links_[node];
@@ -152,7 +152,7 @@
   link.probed = link.answered = false;
 }
 
-void Service::OnRefused(const std::string& node) { table_.OnRefused(node); }
+void Service::OnConnectionRefused(const std::string& node) { table_.OnConnectionRefused(node); }
 
 void Service::OnStatusAnswered(const std::string& node, double asked) {
   table_.OnStatusAnswered(node, asked);
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -12,9 +12,9 @@
 #include "config/operator_options.h"
 #include "config/settings.h"
 #include "election/leader_election.h"
+#include "membership/handover_policy.h"
 #include "membership/member_table.h"
 #include "membership/report_counter.h"
-#include "membership/yield_policy.h"
 #include "model/key_value.h"
 #include "model/member.h"
 #include "store/client.h"
@@ -48,7 +48,7 @@
   // The record of the leader has changed.
   void OnLeaderRecord();
   void OnLink(const std::string& node, bool up);
-  void OnRefused(const std::string& node);
+  void OnConnectionRefused(const std::string& node);
   void OnStatusAnswered(const std::string& node, double asked);
   wire::MemberAnswer OnProbe(const wire::MemberProbe& probe);
   // `node`: whose link it came by.
@@ -57,11 +57,13 @@
   void OnWorkerReport();
 
   // Of this process; 0: it has not joined, or is not in good standing.
-  uint64_t session() const { return table_.InGoodStanding() ? table_.incarnation().session : 0; }
-  bool MayLead() const { return table_.InGoodStanding(); }
+  uint64_t session() const { return table_.IsActiveMember() ? table_.incarnation().session : 0; }
+  bool MayLead() const { return table_.IsActiveMember(); }
   // How long a named successor is left to take the lead first.
   double TakeDelayS() const;
-  std::vector<model::Precondition> LeadPreconditions() const { return table_.OwnPreconditions(); }
+  std::vector<model::Precondition> LeadershipPreconditions() const {
+    return table_.OwnPreconditions();
+  }
 
   // An orderly end: the lead is given up, and the record says that this node has left.
   async::Task<> Leave();
@@ -90,7 +92,7 @@
   const Dependencies deps_;
   const double probe_s_;
   MemberTable table_;
-  YieldPolicy yield_policy_;
+  HandoverPolicy yield_policy_;
   ReportCounter reports_;
   std::map<std::string, Link> links_;
   uint64_t sequence_ = 0;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -12,7 +12,7 @@
 namespace hallpier::net {
 
 // How a request fared that was to go by way of another node.
-struct Relayed {
+struct RelayResult {
   bool sent = false;  // without an answer it may still be carried out
   std::optional<wire::HttpResponse> answer;
 };
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -41,11 +41,12 @@
 }
 
 bool HttpServer::MakeRoom() {
-  const double since = scope_.loop().Now() - limits_.quiet_s;
+  const double since = scope_.loop().Now() - limits_.evictable_after_s;
   for (Connection* c : by_silence_) {
     if (c->busy) continue;
     // Machines that died never close their connections; and who is beyond its share asks again.
-    const bool beyond = c->share && used_[*c->share] > limits_.shares[*c->share].most;
+    const bool beyond =
+        c->share && used_[*c->share] > limits_.connection_classes[*c->share].reserved;
     if (c->heard > since && !beyond) continue;
     // Its routine finds the stream ended and ends as well; its place is free at once.
     c->stream.Shutdown();
@@ -57,13 +58,13 @@
 
 bool HttpServer::Admit(Connection& c, const wire::HttpRequest& request) {
   if (!c.listed) return true;  // was given up while its request came in: answered, then closed
-  for (size_t i = 0; i < limits_.shares.size(); ++i) {
-    if (!limits_.shares[i].takes(request)) continue;
+  for (size_t i = 0; i < limits_.connection_classes.size(); ++i) {
+    if (!limits_.connection_classes[i].matches(request)) continue;
     if (c.share == i) return true;
     if (connections() > limits_.max_connections && !MakeRoom() &&
-        used_[i] >= limits_.shares[i].most) {
+        used_[i] >= limits_.connection_classes[i].reserved) {
       c.last_request = true;
-      return limits_.shares[i].periodic;
+      return limits_.connection_classes[i].periodic;
     }
     if (c.share) --used_[*c.share];
     c.share = i;
@@ -76,7 +77,7 @@
 async::Task<> HttpServer::AcceptLoop(Listener listener) {
   // A few more may come in than there is room for: their first request tells whose share they are
   // of, and who can't be taken is told so. Beyond that they are closed at once and go elsewhere.
-  const size_t most = limits_.max_connections + limits_.max_connections / kSlack + 1;
+  const size_t reserved = limits_.max_connections + limits_.max_connections / kSlack + 1;
   while (!scope_.cancelled()) {
     std::optional<Stream> stream = co_await listener.Accept(scope_);
     if (!stream) {
@@ -86,7 +87,7 @@
       co_await pause;
       continue;
     }
-    if (connections() < most || MakeRoom()) scope_.Spawn(Serve(std::move(*stream)));
+    if (connections() < reserved || MakeRoom()) scope_.Spawn(Serve(std::move(*stream)));
   }
 }
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -14,11 +14,11 @@
 class HttpServer {
  public:
   using Handler = std::function<async::Task<wire::HttpResponse>(wire::HttpRequest)>;
-  // Whose requests `takes` holds for may always have so many connections, and more while there is
+  // Whose requests `matches` holds for may always have so many connections, and more while there is
   // room; what is borrowed so is given back as soon as others need it.
-  struct Share {
-    std::function<bool(const wire::HttpRequest&)> takes;
-    size_t most;
+  struct ConnectionClass {
+    std::function<bool(const wire::HttpRequest&)> matches;
+    size_t reserved;
     // Who asks at long intervals needs no connection in between: where there is no room to keep
     // one, the request is answered and the connection closed.
     bool periodic = false;
@@ -29,15 +29,15 @@
     double idle_s;     // a connection without a request is closed after this
     double request_s;  // a request must be there this long after its first byte
     // Who has been silent for so long gives up its connection where there is no room for others.
-    double quiet_s;
-    std::vector<Share> shares = {};  // the first that takes a request counts
+    double evictable_after_s;
+    std::vector<ConnectionClass> connection_classes = {};  // the first that takes a request counts
   };
 
   HttpServer(async::Scope& scope, Limits limits, Handler handler)
       : scope_(scope),
         limits_(std::move(limits)),
         handler_(std::move(handler)),
-        used_(limits_.shares.size(), 0) {}
+        used_(limits_.connection_classes.size(), 0) {}
 
   bool Listen(const std::string& address, std::string* error);
   size_t connections() const { return by_silence_.size(); }
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -52,24 +52,24 @@
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& p) { return Fresh(*p); });
 }
 
-bool PeerMesh::AllConfirmOutage() const {
+bool PeerMesh::AllPeersReportOutage() const {
   return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
     return Fresh(*p) && !p->status.state_reachable;
   });
 }
 
-bool PeerMesh::AnyReachesState() const {
+bool PeerMesh::AnyPeerReachesState() const {
   return std::any_of(peers_.begin(), peers_.end(),
                      [&](const auto& p) { return Fresh(*p) && p->status.state_reachable; });
 }
 
-async::Task<Relayed> PeerMesh::Relay(wire::HttpRequest request) {
+async::Task<RelayResult> PeerMesh::Relay(wire::HttpRequest request) {
   Peer* best = nullptr;
   for (auto& p : peers_) {
     if (!Fresh(*p) || !p->status.state_reachable || p->pending.size() >= kMaxPending) continue;
     if (best == nullptr || p->pending.size() < best->pending.size()) best = p.get();
   }
-  if (best == nullptr) co_return Relayed();
+  if (best == nullptr) co_return RelayResult();
   const uint64_t id = ++next_id_;
   auto pending = std::make_shared<Pending>();
   best->pending[id] = pending;
@@ -81,16 +81,16 @@
     co_await wait;
   }
   best->pending.erase(id);
-  Relayed out;
+  RelayResult out;
   out.sent = true;
   out.answer = std::move(pending->answer);
   co_return out;
 }
 
-void PeerMesh::Announce(const wire::CancelNotice& notice) {
+void PeerMesh::BroadcastCancellation(const wire::CancelNotice& notice) {
   for (auto& p : peers_) {
-    if (!p->connected || !hooks_.understands_cancellation_reports ||
-        !hooks_.understands_cancellation_reports(p->seed.node))
+    if (!p->connected || !hooks_.supports_cancellation_reports ||
+        !hooks_.supports_cancellation_reports(p->seed.node))
       continue;
     p->outbox += wire::Frame(wire::WritePeerMessage(notice));
     p->wake.Notify();
@@ -145,7 +145,7 @@
     // live node behind a filter would lose the lead again and again.
     if (error == ECONNREFUSED && peer->broke && AnyFresh()) {
       peer->broke = false;
-      hooks_.on_refused(peer->seed.node);
+      hooks_.on_connection_refused(peer->seed.node);
     }
     async::Sleep pause(scope_, beat());
     co_await pause;
@@ -160,8 +160,8 @@
     if (now >= next_ping) {
       peer->outbox += wire::Frame(wire::WritePeerMessage(hooks_.status()));
       peer->asked.push_back(now);
-      const bool able = hooks_.understands_cancellation_reports &&
-                        hooks_.understands_cancellation_reports(peer->seed.node);
+      const bool able = hooks_.supports_cancellation_reports &&
+                        hooks_.supports_cancellation_reports(peer->seed.node);
       if (auto q = able ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
         peer->outbox += wire::Frame(wire::WritePeerMessage(*q));
         peer->cancellation_report_asked.push_back(now);
@@ -261,7 +261,7 @@
   } else if (auto* v = std::get_if<wire::CancellationReportRequest>(&*m)) {
     answer = hooks_.cancellation_report(*v);
   } else if (auto* n = std::get_if<wire::CancelNotice>(&*m)) {
-    hooks_.on_cancelled(*n);
+    hooks_.on_cancel_notice(*n);
   } else if (auto* q = std::get_if<wire::RelayRequest>(&*m)) {
     wire::RelayAnswer relayed;
     relayed.id = q->id;
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -38,9 +38,9 @@
     std::function<void(const std::string& node, const wire::BlockAcknowledgement&)>
         on_block_acknowledged;
     // A link broke and the peer's machine refuses another: its process has most likely ended.
-    std::function<void(const std::string& node)> on_refused;
+    std::function<void(const std::string& node)> on_connection_refused;
     // Whether a node understands cancellation reports.
-    std::function<bool(const std::string& node)> understands_cancellation_reports;
+    std::function<bool(const std::string& node)> supports_cancellation_reports;
     // What a node is to be asked for now; nothing: there is no need.
     std::function<std::optional<wire::CancellationReportRequest>(const std::string& node)>
         cancellation_report_request;
@@ -49,7 +49,7 @@
     // `asked`: when it was asked for.
     std::function<void(const std::string& node, double asked, const wire::CancellationReport&)>
         on_cancellation_report;
-    std::function<void(const wire::CancelNotice&)> on_cancelled;
+    std::function<void(const wire::CancelNotice&)> on_cancel_notice;
   };
 
   PeerMesh(async::Scope& scope, const config::Settings& settings, Hooks hooks);
@@ -57,15 +57,15 @@
   bool Start(std::string* error);
 
   // By way of a peer that the state service answers; nothing if there is none, or no answer.
-  async::Task<Relayed> Relay(wire::HttpRequest request);
+  async::Task<RelayResult> Relay(wire::HttpRequest request);
   // True if every other node says, just now, that it can't reach the state service either.
-  bool AllConfirmOutage() const;
+  bool AllPeersReportOutage() const;
   // Tells all nodes that understand it of a cancellation that was just recorded.
-  void Announce(const wire::CancelNotice& notice);
+  void BroadcastCancellation(const wire::CancelNotice& notice);
   // Puts a message on the link to a node; nothing happens while there is none.
   void Send(const std::string& node, const wire::PeerMessage& message);
   // True if some other node says, just now, that the state service answers it.
-  bool AnyReachesState() const;
+  bool AnyPeerReachesState() const;
 
  private:
   struct Pending {
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -198,7 +198,7 @@
     return idempotent || !copy_pending || !IsRefusal(response);
   };
   if (relayable && down()) {
-    net::Relayed relayed = co_await relay_(request);
+    net::RelayResult relayed = co_await relay_(request);
     if (relayed.answer) co_return std::move(relayed.answer);
     copy_pending = relayed.sent;
   }
@@ -207,7 +207,7 @@
   TrackAvailability(response);
   if (relayable && down()) {
     copy_pending = copy_pending || !response;
-    net::Relayed relayed = co_await relay_(std::move(request));
+    net::RelayResult relayed = co_await relay_(std::move(request));
     if (relayed.answer && conclusive(*relayed.answer)) co_return std::move(relayed.answer);
     copy_pending = copy_pending || (relayed.sent && !relayed.answer);
   }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -50,7 +50,7 @@
     size_t max_response_bytes = 0;  // largest accepted response body
   };
   // Sends a request to the service through a peer.
-  using Relay = std::function<async::Task<net::Relayed>(wire::HttpRequest)>;
+  using Relay = std::function<async::Task<net::RelayResult>(wire::HttpRequest)>;
 
   Client(async::Scope& scope, Options options);
 
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -35,7 +35,7 @@
 // Keys of the record format in use by all nodes, and of the newest format that one node supports.
 std::string FormatKey();
 std::string NodeFormatKey(std::string_view node);
-// Key of the membership record of a node (membership/record.h).
+// Key of the membership record of a node (membership/member_record.h).
 std::string MemberKey(std::string_view node);
 // Key of the record that assigns machines to controllers (blocks/division.h).
 std::string DivisionKey();
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -18,7 +18,7 @@
 
 #include "blocks/division.h"
 #include "cli/members_command.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "quota/share_record.h"
 #include "store/keys.h"
 #include "store/machine_type_pages.h"
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -129,8 +129,8 @@
     RequireStarted(state.ListenApart(At(4), &error), "a server", error);
     store::Client peer(scope_, StateAt(3));
     LoneLeader node(scope_, LeaderSettings(kReport, kShortLease), StateAt(4));
-    node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::Relayed> {
-      net::Relayed relayed;
+    node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::RelayResult> {
+      net::RelayResult relayed;
       relayed.sent = true;
       relayed.answer = co_await peer.ExecuteForPeer(std::move(request));
       co_return relayed;
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -12,7 +12,7 @@
 
 #include "cli/members_command.h"
 #include "end_to_end.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "model/member.h"
 #include "net/address.h"
 #include "wire/frame.h"
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -2,12 +2,12 @@
 // messages and their bad forms.
 #include <gtest/gtest.h>
 
-#include "membership/evidence.h"
+#include "membership/handover_policy.h"
+#include "membership/liveness_tracker.h"
 #include "membership/local_health.h"
+#include "membership/member_record.h"
 #include "membership/member_table.h"
-#include "membership/record.h"
 #include "membership/report_counter.h"
-#include "membership/yield_policy.h"
 #include "model/member.h"
 #include "store/keys.h"
 #include "store/records.h"
@@ -17,51 +17,51 @@
 namespace hallpier {
 namespace {
 
-using membership::Evidence;
+using membership::HandoverPolicy;
+using membership::LivenessTracker;
 using membership::MemberRecord;
 using membership::MemberTable;
-using membership::YieldPolicy;
 using model::MemberState;
 using model::MemberVitals;
 
-constexpr membership::SilenceOptions kSilence{.probe_s = 0.25, .missed_probes = 3};
+constexpr membership::ProbeOptions kSilence{.probe_s = 0.25, .missed_probes = 3};
 
-TEST(Evidence, ThresholdFollowsWhatAnswersUsuallyTake) {
-  Evidence quick(kSilence, 0), slow(kSilence, 0);
+TEST(LivenessTracker, ThresholdFollowsWhatAnswersUsuallyTake) {
+  LivenessTracker quick(kSilence, 0), slow(kSilence, 0);
   for (int i = 0; i < 50; ++i) {
     quick.OnAnswer(i, i + 0.002);
     slow.OnAnswer(i, i + 0.5);
   }
-  EXPECT_NEAR(quick.ThresholdS(1, 50), 0.752, 0.005);
-  EXPECT_GT(slow.ThresholdS(1, 50), 1.2);
+  EXPECT_NEAR(quick.SilenceThresholdS(1, 50), 0.752, 0.005);
+  EXPECT_GT(slow.SilenceThresholdS(1, 50), 1.2);
   EXPECT_FALSE(slow.Silent(1, 50.1));
   EXPECT_TRUE(quick.Silent(1, 50.1));
   EXPECT_FALSE(quick.Silent(2, 50.1)) << "a node that distrusts itself waits for longer";
 }
 
-TEST(Evidence, AnAnswerThatWasHeldUpProvesNoMoreThanItsProbe) {
-  Evidence evidence(kSilence, 0);
+TEST(LivenessTracker, AnAnswerThatWasHeldUpProvesNoMoreThanItsProbe) {
+  LivenessTracker evidence(kSilence, 0);
   evidence.OnAnswer(1, 60);
-  EXPECT_EQ(*evidence.proven_at(), 1);
+  EXPECT_EQ(*evidence.last_alive_at(), 1);
   EXPECT_TRUE(evidence.Silent(1, 60));
-  evidence.Distrust(60);
+  evidence.ResetSilence(60);
   EXPECT_FALSE(evidence.Silent(1, 60));
-  EXPECT_EQ(*evidence.proven_at(), 1) << "and is told to nobody as a sign of life";
+  EXPECT_EQ(*evidence.last_alive_at(), 1) << "and is told to nobody as a sign of life";
 }
 
-TEST(Evidence, WrongSuspicionsMakeTheNextOnesLaterForAWhile) {
-  Evidence evidence(kSilence, 0);
-  const double before = evidence.ThresholdS(1, 0);
+TEST(LivenessTracker, WrongSuspicionsMakeTheNextOnesLaterForAWhile) {
+  LivenessTracker evidence(kSilence, 0);
+  const double before = evidence.SilenceThresholdS(1, 0);
   for (int i = 0; i < 20; ++i) evidence.OnRefuted(1);
-  EXPECT_EQ(evidence.ThresholdS(1, 1), 64 * before);
-  EXPECT_EQ(evidence.ThresholdS(1, 10000), before);
+  EXPECT_EQ(evidence.SilenceThresholdS(1, 1), 64 * before);
+  EXPECT_EQ(evidence.SilenceThresholdS(1, 10000), before);
 }
 
 TEST(LocalHealth, GetsWorseAtOnceAndBetterByAndBy) {
   membership::LocalHealth health;
   health.OnPause();
   EXPECT_EQ(health.score(), 2);
-  for (int i = 0; i < 9; ++i) health.OnNobodyHeard();
+  for (int i = 0; i < 9; ++i) health.OnNoAnswers();
   EXPECT_EQ(health.score(), 4);
   for (int i = 0; i < 3; ++i) health.OnGoodInterval();
   EXPECT_EQ(health.score(), 3);
@@ -96,8 +96,10 @@
     }
     return std::nullopt;
   }
-  YieldPolicy policy_{
-      {.heartbeat_interval_s = 4, .lease_s = 20, .hold_leases = 1, .relayed_leases = 0.25}};
+  HandoverPolicy policy_{{.heartbeat_interval_s = 4,
+                          .lease_s = 20,
+                          .min_handover_interval_leases = 1,
+                          .max_relayed_leases = 0.25}};
   double now_ = 100;
 };
 
@@ -201,7 +203,7 @@
   TableTest()
       : table_({.node = "node-0",
                 .others = {"node-0", "node-1", "node-2"},
-                .silence = kSilence,
+                .probes = kSilence,
                 .confirm_probes = 3,
                 .instance = kInstance},
                0) {
@@ -280,10 +282,10 @@
 }
 
 TEST_F(TableTest, ANewerProcessOfTheSameNameMakesThisOnePassive) {
-  EXPECT_TRUE(table_.InGoodStanding());
+  EXPECT_TRUE(table_.IsActiveMember());
   Record("node-0", {MemberState::kAlive, {2, 0}, kInstance + 1, "", ""}, 20);
   EXPECT_TRUE(table_.Superseded());
-  EXPECT_FALSE(table_.InGoodStanding());
+  EXPECT_FALSE(table_.IsActiveMember());
   Pass(10, {"node-1", "node-2"});
   EXPECT_TRUE(proposals_.empty()) << "it does not join again and again against the other";
 }
@@ -291,7 +293,7 @@
 TEST_F(TableTest, ALeftOverRecordOfTheFormerProcessIsReplaced) {
   MemberTable fresh({.node = "node-0",
                      .others = {"node-1"},
-                     .silence = kSilence,
+                     .probes = kSilence,
                      .confirm_probes = 3,
                      .instance = kInstance + 5},
                     0);
@@ -343,7 +345,7 @@
   PassWith(0.5, suspects_);
   EXPECT_TRUE(proposals_.empty()) << "three intervals are left to refute";
   PassWith(3, suspects_);
-  expect_guards(membership::Proposal::Kind::kVerdict, 30);
+  expect_guards(membership::Proposal::Kind::kDeclareFailed, 30);
 }
 
 TEST_F(SilentNodeTest, WithoutTheOtherObserverNobodyIsAccusedAtFirst) {
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -36,8 +36,8 @@
  protected:
   explicit ShareTest(double quiet_s = kQuiet) {
     net::HttpServer::Limits limits{4, 1024, 30, 5, quiet_s};
-    limits.shares = {{[](const wire::HttpRequest& r) { return r.path() == "/a"; }, 2},
-                     {[](const wire::HttpRequest& r) { return r.path() == "/b"; }, 2}};
+    limits.connection_classes = {{[](const wire::HttpRequest& r) { return r.path() == "/a"; }, 2},
+                                 {[](const wire::HttpRequest& r) { return r.path() == "/b"; }, 2}};
     server_.emplace(scope_, limits, [this](wire::HttpRequest r) { return Answer(std::move(r)); });
     std::string error;
     RequireStarted(server_->Listen(At(0), &error), "a server", error);
@@ -96,9 +96,10 @@
   static constexpr int kRoom = 4, kWorkers = 12;
   async::Task<> Script() {
     net::HttpServer::Limits limits{kRoom, 1024, 30, 5, kNeverQuiet};
-    limits.shares = {{.takes = [](const wire::HttpRequest& /*unused*/) { return true; },
-                      .most = kRoom,
-                      .periodic = true}};
+    limits.connection_classes = {
+        {.matches = [](const wire::HttpRequest& /*unused*/) { return true; },
+         .reserved = kRoom,
+         .periodic = true}};
     server_.emplace(scope_, limits,
                     [this](const wire::HttpRequest& /*unused*/) { return Answer(); });
     std::string error;
@@ -217,20 +218,20 @@
     net::PeerMesh::Hooks hooks;
     hooks.status = [] { return wire::PeerStatus(); };
     hooks.on_status = [](const wire::PeerStatus&) {};
-    hooks.on_refused = [](const std::string&) {};
+    hooks.on_connection_refused = [](const std::string&) {};
     net::PeerMesh mesh(scope_, s, hooks);
     RequireStarted(mesh.Start(&error), "the links", error);
     scope_.Spawn(AnswerPings(std::move(*listener)));
     co_await Pause(0.7);
     EXPECT_GE(answered_, 1);
-    EXPECT_TRUE(mesh.AllConfirmOutage());
+    EXPECT_TRUE(mesh.AllPeersReportOutage());
     const int before = answered_;
     stand_still_s_ = 2;  // four beats; a status is good for three
     while (answered_ == before) co_await Pause(0.01);
     // The answer from before the standstill is read now, and is old.
-    EXPECT_FALSE(mesh.AllConfirmOutage());
+    EXPECT_FALSE(mesh.AllPeersReportOutage());
     co_await Pause(0.7);
-    EXPECT_TRUE(mesh.AllConfirmOutage()) << "asked anew";
+    EXPECT_TRUE(mesh.AllPeersReportOutage()) << "asked anew";
     scope_.Cancel();
     co_await scope_.Join();
   }
@@ -253,8 +254,8 @@
     net::PeerMesh::Hooks hooks;
     hooks.status = [] { return wire::PeerStatus(); };
     hooks.on_status = [](const wire::PeerStatus&) {};
-    hooks.on_refused = [](const std::string&) {};
-    hooks.understands_cancellation_reports = [this](const std::string&) { return understood_; };
+    hooks.on_connection_refused = [](const std::string&) {};
+    hooks.supports_cancellation_reports = [this](const std::string&) { return understood_; };
     hooks.cancellation_report_request =
         [node](const std::string&) -> std::optional<wire::CancellationReportRequest> {
       if (node == 0) return wire::CancellationReportRequest{40};
@@ -270,7 +271,9 @@
       EXPECT_EQ(v.cancelled, (std::vector<wire::Cancellation>{{"run-1", 41}}));
       ++vouches_;
     };
-    hooks.on_cancelled = [this](const wire::CancelNotice& n) { told_.push_back(n.cancelled.job); };
+    hooks.on_cancel_notice = [this](const wire::CancelNotice& n) {
+      told_.push_back(n.cancelled.job);
+    };
     return std::make_unique<net::PeerMesh>(scope_, s, hooks);
   }
   async::Task<> Script() {
@@ -280,13 +283,13 @@
     EXPECT_TRUE(leader->Start(&error)) << error;
     EXPECT_TRUE(other->Start(&error)) << error;
     co_await Pause(6 * kBeat);
-    other->Announce({{"run-2", 7}});
+    other->BroadcastCancellation({{"run-2", 7}});
     co_await Pause(3 * kBeat);
     EXPECT_EQ(vouches_, 0) << "an older version would break the link";
     EXPECT_EQ(told_, std::vector<std::string>());
-    EXPECT_TRUE(leader->AllConfirmOutage()) << "while all else goes on";
+    EXPECT_TRUE(leader->AllPeersReportOutage()) << "while all else goes on";
     understood_ = true;
-    other->Announce({{"run-3", 8}});
+    other->BroadcastCancellation({{"run-3", 8}});
     co_await Pause(3 * kBeat);
     EXPECT_GT(vouches_, 0);
     EXPECT_EQ(told_, std::vector<std::string>{"run-3"});
@@ -433,8 +436,8 @@
     RequireStarted(state.Listen(At(6), &error), "a server", error);
     store::Client client(scope_, StateAt(6));
     bool sent = false;
-    client.SetRelay([&sent](wire::HttpRequest) -> async::Task<net::Relayed> {
-      net::Relayed r;
+    client.SetRelay([&sent](wire::HttpRequest) -> async::Task<net::RelayResult> {
+      net::RelayResult r;
       r.sent = sent;
       co_return r;
     });
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -10,7 +10,7 @@
 #include <random>
 
 #include "end_to_end.h"
-#include "membership/record.h"
+#include "membership/member_record.h"
 #include "model/member.h"
 #include "model/task.h"
 
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -105,7 +105,7 @@
 bool MembershipCluster::Settled() {
   for (const auto& [name, node] : nodes_) {
     if (!node.process.running() || node.process.frozen()) continue;
-    if (!node.table->InGoodStanding()) return false;
+    if (!node.table->IsActiveMember()) return false;
     for (const wire::MemberRow& row : node.table->Rows(LocalNow(name))) {
       const SimulatedProcess& other = nodes_.at(row.node).process;
       const bool alive = other.running() && !other.frozen();
@@ -137,7 +137,7 @@
   membership::MemberTable::Options options;
   options.node = name;
   options.others = names_;
-  options.silence = {options_.probe_s, options_.missed_probes};
+  options.probes = {options_.probe_s, options_.missed_probes};
   options.confirm_probes = options_.confirm_probes;
   options.instance = random_.Identifier();
   node.table = std::make_unique<membership::MemberTable>(std::move(options), LocalNow(name));
@@ -220,7 +220,7 @@
 
 void MembershipCluster::Submit(const std::string& name, const membership::Proposal& proposal) {
   const uint64_t process = nodes_.at(name).process.number();
-  const bool verdict = proposal.kind == membership::Proposal::Kind::kVerdict;
+  const bool verdict = proposal.kind == membership::Proposal::Kind::kDeclareFailed;
   if (verdict && on_verdict_sent_) {
     auto hook = std::exchange(on_verdict_sent_, nullptr);
     hook(name);
@@ -249,7 +249,7 @@
     if (VersionOf(precondition.key) != precondition.version) return false;
   }
   if (proposal.kind == membership::Proposal::Kind::kSuspect) ++suspicions_;
-  if (proposal.kind == membership::Proposal::Kind::kVerdict) NoteVerdict(by, proposal);
+  if (proposal.kind == membership::Proposal::Kind::kDeclareFailed) NoteVerdict(by, proposal);
   records_[proposal.node] = {proposal.record, ++revision_};
   for (const std::string& name : names_) NotifyWatch(name, proposal.node);
   return true;
@@ -290,7 +290,7 @@
   if (StateReachable(node)) {
     const bool own = leader_ == name && node.process.number() == leader_process_;
     if (node.leads && (!LeaseStands() || !own)) node.leads = false;
-    const bool allowed = !options_.membership || node.table->InGoodStanding();
+    const bool allowed = !options_.membership || node.table->IsActiveMember();
     const bool due = now() - node.renewed_at >= options_.leader_ttl_s / kRenewals;
     if (node.leads && due) {
       node.renewed_at = now();
