--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -7,94 +7,97 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A leader that hears less than this part of the reports that are due has lost most links to
-// workers...
-constexpr double kHeardPart = 0.5;
-// ...if others get at least this part of the reports that it misses.
-constexpr double kElsewherePart = 0.5;
-// With fewer machines than this a few late reports decide nothing.
-constexpr size_t kLeastMachines = 4;
-// Turns that come later than this part of a report period are hardly any...
-constexpr double kLateTurnPart = 0.25;
-// ...and a node whose own come sooner by this factor is better placed.
-constexpr double kBetterTurns = 4;
-// A reason must stand for so many report periods.
-constexpr double kSustainReports = 0.75;
-constexpr double kSustainTurnsReports = 4;
-// Changes of the leader count for so many leases, and double the hold at most so often.
+// A leader has lost most of its workers if it receives less than this share of the reports that are
+// due...
+constexpr double kMinReportShare = 0.5;
+// ...and other nodes receive at least this share of the reports that it misses.
+constexpr double kMinElsewhereShare = 0.5;
+// With fewer machines, a few late reports would be enough to meet both conditions.
+constexpr size_t kMinMachines = 4;
+// The event loop is delayed if it runs later than this part of a heartbeat period...
+constexpr double kMaxLoopDelayPeriods = 0.25;
+// ...and a node whose delay is smaller by more than this factor is better placed.
+constexpr double kLoopDelayImprovement = 4;
+// How many heartbeat periods a reason must persist before it leads to a handover.
+constexpr double kSustainPeriods = 0.75;
+constexpr double kSustainLoopDelayPeriods = 4;
+// A change of the leader is recent for so many leases. Recent changes double the minimum interval
+// at most kMaxDoublings times.
 constexpr double kRecentLeases = 8;
 constexpr size_t kMaxDoublings = 4;
 
 }  // namespace
 
 void HandoverPolicy::OnLeaderChanged(double now) {
-  changes_.push_back(now);
+  recent_changes_.push_back(now);
   reason_.reset();
 }
 
 void HandoverPolicy::OnPause() { reason_.reset(); }
 
-double HandoverPolicy::HoldS(double now) {
-  while (!changes_.empty() && now - changes_.front() > kRecentLeases * options_.lease_s) {
-    changes_.pop_front();
+double HandoverPolicy::MinIntervalS(double now) {
+  while (!recent_changes_.empty() &&
+         now - recent_changes_.front() > kRecentLeases * options_.lease_s) {
+    recent_changes_.pop_front();
   }
-  // The change that made this node the leader is no sign of instability by itself.
-  const size_t recent = changes_.empty() ? 0 : changes_.size() - 1;
+  // The change that made this node the leader is not a sign of instability by itself.
+  const size_t recent = recent_changes_.empty() ? 0 : recent_changes_.size() - 1;
   const auto doublings = static_cast<double>(std::min(recent, kMaxDoublings));
   return options_.min_handover_interval_leases * options_.lease_s * std::exp2(doublings);
 }
 
 double HandoverPolicy::SustainS(Reason reason) const {
   switch (reason) {
-    case Reason::kStateService:
+    case Reason::kStateServiceLost:
       return options_.max_relayed_leases * options_.lease_s;
-    case Reason::kWorkers:
-      return kSustainReports * options_.heartbeat_interval_s;
-    case Reason::kTurns:
-      return kSustainTurnsReports * options_.heartbeat_interval_s;
+    case Reason::kWorkersLost:
+      return kSustainPeriods * options_.heartbeat_interval_s;
+    case Reason::kLoopDelay:
+      return kSustainLoopDelayPeriods * options_.heartbeat_interval_s;
   }
   return 0;
 }
 
-std::string HandoverPolicy::Describe(Reason reason) {
+std::string HandoverPolicy::ReasonText(Reason reason) {
   switch (reason) {
-    case Reason::kStateService:
-      return "the state service answers it by way of others only";
-    case Reason::kWorkers:
-      return "most workers reach another node";
-    case Reason::kTurns:
-      return "it hardly gets any turns";
+    case Reason::kStateServiceLost:
+      return "the state service answers it only through relays";
+    case Reason::kWorkersLost:
+      return "most workers report to another node";
+    case Reason::kLoopDelay:
+      return "its event loop is delayed";
   }
   return "";
 }
 
-std::optional<HandoverPolicy::Candidate> HandoverPolicy::Find(
+std::optional<HandoverPolicy::Candidate> HandoverPolicy::FindCandidate(
     const model::MemberVitals& own, size_t machines,
     const std::map<std::string, model::MemberVitals>& others) const {
-  const double expected = kCountedPart * static_cast<double>(machines);
-  const auto heard = static_cast<double>(own.worker_reports);
-  // A worker that can't reach the leader tries the others in turn, so that they are one count.
+  const double expected = kReportCountPeriods * static_cast<double>(machines);
+  const auto received = static_cast<double>(own.worker_reports);
+  // A worker that can't reach the leader tries the other nodes one after another, so the reports of
+  // all of them are counted together.
   double elsewhere = 0;
   for (const auto& [node, vitals] : others) {
     elsewhere += static_cast<double>(vitals.worker_reports);
   }
-  const bool workers_lost = machines >= kLeastMachines && heard < kHeardPart * expected &&
-                            elsewhere >= kElsewherePart * (expected - heard);
-  const bool late = static_cast<double>(own.turn_delay_ms) / kMsPerS >
-                    kLateTurnPart * options_.heartbeat_interval_s;
+  const bool workers_lost = machines >= kMinMachines && received < kMinReportShare * expected &&
+                            elsewhere >= kMinElsewhereShare * (expected - received);
+  const bool loop_delayed = static_cast<double>(own.turn_delay_ms) / kMsPerS >
+                            kMaxLoopDelayPeriods * options_.heartbeat_interval_s;
   std::optional<Candidate> best;
   uint64_t best_reports = 0;
   for (const auto& [node, vitals] : others) {
     if (!vitals.state_direct) continue;
-    const bool better_turns = static_cast<double>(vitals.turn_delay_ms) * kBetterTurns <
-                              static_cast<double>(own.turn_delay_ms);
+    const bool smaller_delay = static_cast<double>(vitals.turn_delay_ms) * kLoopDelayImprovement <
+                               static_cast<double>(own.turn_delay_ms);
     std::optional<Reason> reason;
     if (!own.state_direct) {
-      reason = Reason::kStateService;
+      reason = Reason::kStateServiceLost;
     } else if (workers_lost && vitals.worker_reports > 0) {
-      reason = Reason::kWorkers;
-    } else if (late && better_turns) {
-      reason = Reason::kTurns;
+      reason = Reason::kWorkersLost;
+    } else if (loop_delayed && smaller_delay) {
+      reason = Reason::kLoopDelay;
     }
     if (!reason || (best && vitals.worker_reports <= best_reports)) continue;
     best = Candidate{*reason, node};
@@ -103,16 +106,16 @@
   return best;
 }
 
-bool HandoverPolicy::Held(Reason reason, double now) {
-  // Without the state service the lease is about to be lost whatever is decided here.
-  if (reason == Reason::kStateService || changes_.empty()) return false;
-  return now - changes_.back() < HoldS(now);
+bool HandoverPolicy::TooSoon(Reason reason, double now) {
+  // Without the state service the lease is about to be lost whether or not this node resigns.
+  if (reason == Reason::kStateServiceLost || recent_changes_.empty()) return false;
+  return now - recent_changes_.back() < MinIntervalS(now);
 }
 
-std::optional<Yield> HandoverPolicy::Decide(
+std::optional<HandoverDecision> HandoverPolicy::Decide(
     const model::MemberVitals& own, size_t machines,
     const std::map<std::string, model::MemberVitals>& others, double now) {
-  const std::optional<Candidate> candidate = Find(own, machines, others);
+  const std::optional<Candidate> candidate = FindCandidate(own, machines, others);
   if (!candidate) {
     reason_.reset();
     return std::nullopt;
@@ -122,8 +125,8 @@
     reason_since_ = now;
   }
   if (now - reason_since_ < SustainS(candidate->reason)) return std::nullopt;
-  if (Held(candidate->reason, now)) return std::nullopt;
-  return Yield{candidate->node, Describe(candidate->reason)};
+  if (TooSoon(candidate->reason, now)) return std::nullopt;
+  return HandoverDecision{candidate->node, ReasonText(candidate->reason)};
 }
 
 }  // namespace hallpier::membership
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -1,6 +1,6 @@
-// When a leader that is alive but of little use gives the lead to a node that is better placed, and
-// to which. Damped: every change of the leader in the recent past doubles the time before the next
-// one, so that the lead does not move back and forth where no node fares better. Pure.
+// Decides when a leader that is alive but badly placed resigns in favor of a better placed node,
+// and which node that is. Every recent change of the leader doubles the minimum time before the
+// next one, so that leadership does not flap when no node is better placed. Does no I/O.
 #pragma once
 
 #include <deque>
@@ -13,8 +13,8 @@
 
 namespace hallpier::membership {
 
-struct Yield {
-  std::string to;
+struct HandoverDecision {
+  std::string to;  // the successor
   std::string reason;
 };
 
@@ -23,41 +23,46 @@
   struct Options {
     double heartbeat_interval_s = 0;
     double lease_s = 0;
-    // Least time between two changes of the leader, in leases.
+    // Minimum time between two changes of the leader, in leases.
     double min_handover_interval_leases = 1;
-    // How long a leader may go by way of other nodes to the state service, in leases.
+    // How long a leader may reach the state service only through relays, in leases.
     double max_relayed_leases = 0;
   };
   explicit HandoverPolicy(Options options) : options_(options) {}
 
-  // Some node has taken the lead, whyever.
+  // Called when any node has become the leader, for whatever reason.
   void OnLeaderChanged(double now);
-  // This process was paused: what it counted before says nothing.
+  // Called after this process was paused: earlier observations are discarded.
   void OnPause();
-  // Part of a report period over which nodes count what reaches them (MemberVitals).
-  static constexpr double kCountedPart = 0.5;
+  // Part of a heartbeat period over which nodes count the reports that reach them (MemberVitals).
+  static constexpr double kReportCountPeriods = 0.5;
 
-  // `own`: of this node, which leads; `machines`: those that are up and should report to it.
-  // `others`: of all nodes that answer. Something only if a reason has stood for long enough.
-  std::optional<Yield> Decide(const model::MemberVitals& own, size_t machines,
-                              const std::map<std::string, model::MemberVitals>& others, double now);
+  // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough.
+  // Requires that this node leads. `own` are the vitals of this node, `machines` the number of
+  // running machines that should report to it, and `others` the vitals of all nodes that answer.
+  std::optional<HandoverDecision> Decide(const model::MemberVitals& own, size_t machines,
+                                         const std::map<std::string, model::MemberVitals>& others,
+                                         double now);
 
  private:
-  enum class Reason { kStateService, kWorkers, kTurns };
+  enum class Reason { kStateServiceLost, kWorkersLost, kLoopDelay };
   struct Candidate {
     Reason reason;
     std::string node;
   };
-  std::optional<Candidate> Find(const model::MemberVitals& own, size_t machines,
-                                const std::map<std::string, model::MemberVitals>& others) const;
+  std::optional<Candidate> FindCandidate(
+      const model::MemberVitals& own, size_t machines,
+      const std::map<std::string, model::MemberVitals>& others) const;
+  // Returns how long the reason must persist before it leads to a handover.
   double SustainS(Reason reason) const;
-  double HoldS(double now);
-  // True while a change would come too soon after others.
-  bool Held(Reason reason, double now);
-  static std::string Describe(Reason reason);
+  // Returns the minimum time since the last change of the leader.
+  double MinIntervalS(double now);
+  // True while a handover would follow too soon after earlier changes of the leader.
+  bool TooSoon(Reason reason, double now);
+  static std::string ReasonText(Reason reason);
 
   const Options options_;
-  std::deque<double> changes_;  // steady times of recent changes of the leader
+  std::deque<double> recent_changes_;  // steady times (s) of changes of the leader
   std::optional<Reason> reason_;
   double reason_since_ = 0;
 };
--- a/src/membership/liveness_tracker.cc
+++ b/src/membership/liveness_tracker.cc
@@ -5,47 +5,48 @@
 namespace hallpier::membership {
 namespace {
 
-// However slow its answers are, a node is not waited for longer than so many times the threshold of
-// one that answers at once: a link that is that slow serves nobody.
-constexpr double kMaxSlowness = 4;
-constexpr double kCautionStep = 2;
-constexpr double kMaxCaution = 64;
-// Without a wrong suspicion for so many thresholds, the caution that they left is halved.
-constexpr double kCautionHalfLife = 30;
+// Upper bound of the threshold adapted to the round trips, as a multiple of the threshold of a node
+// that answers at once: a slower link is of no use, so its node may as well be suspected.
+constexpr double kMaxAdaptedThresholdFactor = 4;
+constexpr double kBackoffFactor = 2;
+constexpr double kMaxBackoff = 64;
+// The backoff is halved after every so many unadapted thresholds without a refuted suspicion.
+constexpr double kBackoffHalfLifeThresholds = 30;
 
 }  // namespace
 
-void LivenessTracker::OnAnswer(double asked, double now) {
-  OnHeard(asked);
-  round_trip_.Add(now - asked);
+void LivenessTracker::OnAnswer(double sent_at, double now) {
+  OnAliveAt(sent_at);
+  round_trip_.Add(now - sent_at);
 }
 
-void LivenessTracker::OnHeard(double at) {
+void LivenessTracker::OnAliveAt(double at) {
   silent_since_ = std::max(silent_since_, at);
-  proven_at_ = std::max(proven_at_.value_or(at), at);
+  last_alive_at_ = std::max(last_alive_at_.value_or(at), at);
 }
 
 void LivenessTracker::ResetSilence(double now) { silent_since_ = std::max(silent_since_, now); }
 
 void LivenessTracker::OnRefuted(double now) {
-  caution_ = std::min(kMaxCaution, Caution(now) * kCautionStep);
+  backoff_ = std::min(kMaxBackoff, Backoff(now) * kBackoffFactor);
   refuted_at_ = now;
   ResetSilence(now);
 }
 
-double LivenessTracker::Caution(double now) const {
-  const double half_life_s = kCautionHalfLife * options_.missed_probes * options_.probe_s;
-  double caution = caution_;
-  for (double at = refuted_at_ + half_life_s; caution > 1 && at <= now; at += half_life_s) {
-    caution /= kCautionStep;
+double LivenessTracker::Backoff(double now) const {
+  const double half_life_s = kBackoffHalfLifeThresholds * options_.missed_probes * options_.probe_s;
+  double backoff = backoff_;
+  for (double at = refuted_at_ + half_life_s; backoff > 1 && at <= now; at += half_life_s) {
+    backoff /= kBackoffFactor;
   }
-  return std::max(1.0, caution);
+  return std::max(1.0, backoff);
 }
 
-double LivenessTracker::SilenceThresholdS(double factor, double now) const {
-  const double least = options_.missed_probes * options_.probe_s;
-  const double adapted = std::min(least + round_trip_.Bound(), kMaxSlowness * least);
-  return adapted * factor * Caution(now);
+double LivenessTracker::SilenceThresholdS(double health_multiplier, double now) const {
+  const double min_threshold_s = options_.missed_probes * options_.probe_s;
+  const double adapted_s = std::min(min_threshold_s + round_trip_.UpperBoundS(),
+                                    kMaxAdaptedThresholdFactor * min_threshold_s);
+  return adapted_s * health_multiplier * Backoff(now);
 }
 
 }  // namespace hallpier::membership
--- a/src/membership/liveness_tracker.h
+++ b/src/membership/liveness_tracker.h
@@ -1,5 +1,5 @@
-// What this node itself has observed of another one: when it was last known to be alive, and how
-// long it must be silent before that means anything. Pure.
+// Tracks when this node last knew another node to be alive, and how long that node must be silent
+// before it is suspected. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -9,40 +9,42 @@
 namespace hallpier::membership {
 
 struct ProbeOptions {
-  double probe_s = 0;        // time between two probes
-  double missed_probes = 0;  // unanswered ones that make a node suspect
+  double probe_s = 0;        // interval between two probes
+  double missed_probes = 0;  // unanswered probes after which a node is suspected
 };
 
 class LivenessTracker {
  public:
   LivenessTracker(ProbeOptions options, double now) : options_(options), silent_since_(now) {}
 
-  // An answer to a probe that was sent at `asked`. It proves no more than that the node was alive
-  // when it got the probe: answers may have been held up.
-  void OnAnswer(double asked, double now);
-  // Known to be alive at `at` by other means.
-  void OnHeard(double at);
-  // The silence up to now was, or may have been, this node's own fault: it counts anew from here.
+  // Records an answer to a probe that was sent at `sent_at`. Since answers may have been delayed,
+  // an answer proves only that the node was alive when it received the probe.
+  void OnAnswer(double sent_at, double now);
+  // Records that the node was alive at `at`, as known from another source than a probe.
+  void OnAliveAt(double at);
+  // Restarts the silence at `now`, because the silence so far was, or may have been, caused by this
+  // node.
   void ResetSilence(double now);
-  // A suspicion has turned out to be wrong: the next takes longer, the more so the more there were.
+  // Records that a suspicion was refuted. Each refutation raises the threshold for the next one.
   void OnRefuted(double now);
 
-  // When it was last proven to be alive; nothing: never.
-  const std::optional<double>& last_alive_at() const { return proven_at_; }
-  // Silence that makes the node suspect, stretched by the local health `factor`.
-  double SilenceThresholdS(double factor, double now) const;
-  bool Silent(double factor, double now) const {
-    return now - silent_since_ > SilenceThresholdS(factor, now);
+  // The last time at which the node is proven to have been alive; std::nullopt if there is none.
+  const std::optional<double>& last_alive_at() const { return last_alive_at_; }
+  // Returns how long the node must be silent to be suspected, multiplied by the local health
+  // multiplier.
+  double SilenceThresholdS(double health_multiplier, double now) const;
+  bool Silent(double health_multiplier, double now) const {
+    return now - silent_since_ > SilenceThresholdS(health_multiplier, now);
   }
 
  private:
-  double Caution(double now) const;
+  double Backoff(double now) const;
 
   ProbeOptions options_;
   RoundTripEstimator round_trip_;
   double silent_since_;
-  std::optional<double> proven_at_;
-  double caution_ = 1;
+  std::optional<double> last_alive_at_;
+  double backoff_ = 1;
   double refuted_at_ = 0;
 };
 
--- a/src/membership/local_health.cc
+++ b/src/membership/local_health.cc
@@ -6,14 +6,14 @@
 namespace {
 
 constexpr int kMaxScore = 4;
-constexpr int kPauseCost = 2;
-// Good intervals that take one point off.
-constexpr int kRecovery = 3;
+constexpr int kPausePenalty = 2;
+// Consecutive good intervals that lower the score by one.
+constexpr int kGoodIntervalsPerPoint = 3;
 
 }  // namespace
 
 void LocalHealth::OnPause() {
-  score_ = std::min(kMaxScore, score_ + kPauseCost);
+  score_ = std::min(kMaxScore, score_ + kPausePenalty);
   good_intervals_ = 0;
 }
 
@@ -23,7 +23,7 @@
 }
 
 void LocalHealth::OnGoodInterval() {
-  if (score_ == 0 || ++good_intervals_ < kRecovery) return;
+  if (score_ == 0 || ++good_intervals_ < kGoodIntervalsPerPoint) return;
   good_intervals_ = 0;
   --score_;
 }
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,23 +1,24 @@
-// How far this node trusts its own observations. A process that gets its turns late, or hears
-// nobody at all, is more likely to be the one at fault (the local health multiplier of Lifeguard).
-// Pure.
+// Measures how far this node may trust its own observations: a process that is scheduled late, or
+// gets no answer from any node, is more likely to be at fault itself. This is the local health
+// multiplier of Lifeguard. Does no I/O.
 #pragma once
 
 namespace hallpier::membership {
 
 class LocalHealth {
  public:
-  // A turn came so late, or after a pause, that silence of the others proves nothing.
+  // Called after a pause, or when the event loop ran so late that the silence of other nodes proves
+  // nothing.
   void OnPause();
-  // An interval in which no other node answered although there are several.
+  // Called for an interval in which none of several other nodes answered.
   void OnNoAnswers();
-  // An interval in which turns came in time and somebody answered.
+  // Called for an interval in which the event loop ran on time and at least one node answered.
   void OnGoodInterval();
 
-  // 0: nothing is wrong with this node.
+  // 0 if nothing is wrong with this node; higher values mean worse health.
   int score() const { return score_; }
-  // By which times of silence are stretched.
-  double Factor() const { return 1.0 + score_; }
+  // Returns the factor by which silence thresholds are multiplied.
+  double TimeoutMultiplier() const { return 1.0 + score_; }
 
  private:
   int score_ = 0;
--- a/src/membership/member_record.h
+++ b/src/membership/member_record.h
@@ -1,6 +1,6 @@
-// What the state service holds of a member. A session is one life of the node's process; its number
-// grows with each. All changes are guarded by the record's version, so that there is at most one
-// verdict on a session.
+// The record of a member on the state service. A session is one run of a node's process, and its
+// number grows with each run. Every change is guarded by the version of the record, so that a
+// session is declared failed at most once.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 struct MemberRecord {
   model::MemberState state = model::MemberState::kAlive;
   model::Incarnation incarnation;
-  // Drawn by the process that opened the session: tells it from another one of the same name.
+  // Random number of the process that opened the session; distinguishes it from another process
+  // with the same node name.
   uint64_t instance = 0;
-  std::string by;      // kSuspect, kFailed: who wrote it
+  std::string by;      // kSuspect, kFailed: the node that wrote the state
   std::string reason;  // kSuspect, kFailed
   bool operator==(const MemberRecord&) const = default;
 };
 
 std::string WriteMember(const MemberRecord& record);
-// Nothing if it can't be read, or is of a state that is not known here.
+// Returns std::nullopt if the record is malformed or has a state that this version does not know.
 std::optional<MemberRecord> ReadMember(std::string_view json);
 
 // "alive", "suspect", "failed" or "left".
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -11,18 +11,20 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A tick that comes later than this many intervals after the one before tells of a pause.
-constexpr double kPauseIntervals = 2.5;
-// What others say of a node was heard up to so many intervals before it gets here.
-constexpr double kGossipIntervals = 2;
-// A proposal that failed is made again after so many intervals.
-constexpr double kRetryIntervals = 2;
-// A suspicion stands for at least so many round trips to the state service: the suspect has to hear
-// of it there, and to answer.
-constexpr double kConfirmRoundTrips = 4;
-// Observers that abstain are waited for no longer than for so many times of confirmation.
-constexpr double kAbstention = 4;
-// Nodes that are not in the settings are named in the log, but no more of them than this.
+// A tick more than so many probe intervals after the previous one means that the process was
+// paused.
+constexpr double kPauseThresholdIntervals = 2.5;
+// Other nodes' observations are up to so many probe intervals old when they arrive.
+constexpr double kObservationDelayIntervals = 2;
+// Minimum number of probe intervals between a proposal and the next one for the same node.
+constexpr double kProposalRetryIntervals = 2;
+// A recorded suspicion stands for at least so many round trips to the state service, since the
+// suspect has to learn of it there and to refute it.
+constexpr double kMinConfirmRoundTrips = 4;
+// Observers that neither hear a member nor suspect it are waited for at most this many confirmation
+// times.
+constexpr double kMaxAbstentionConfirmations = 4;
+// Limits how many nodes that are missing from the settings are named in the log.
 constexpr size_t kMaxUnknownReported = 16;
 
 bool IsMember(const std::optional<MemberRecord>& record) {
@@ -40,12 +42,12 @@
   }
 }
 
-MemberTable::Member* MemberTable::Find(const std::string& node) {
+MemberTable::Member* MemberTable::FindMember(const std::string& node) {
   auto it = members_.find(node);
   if (it != members_.end()) return &it->second;
   if (node != options_.node && unknown_nodes_reported_.size() < kMaxUnknownReported &&
       unknown_nodes_reported_.insert(node).second) {
-    spdlog::warn("membership: {} is not in the settings; what is said of it is ignored", node);
+    spdlog::warn("membership: ignoring a node that is not in the settings: node={}", node);
   }
   return nullptr;
 }
@@ -56,7 +58,7 @@
     OnOwnRecord(record, version);
     return;
   }
-  Member* member = Find(node);
+  Member* member = FindMember(node);
   if (member == nullptr) return;
   const bool new_session = record && (!member->record || record->incarnation.session >
                                                              member->record->incarnation.session);
@@ -68,19 +70,19 @@
   if (new_session) OnNewSession(*member, now);
   if (refuted) {
     member->refutation = std::max(member->refutation, record->incarnation.refutation);
-    member->evidence.OnRefuted(now);
+    member->liveness.OnRefuted(now);
     member->suspect_since.reset();
   }
 }
 
 void MemberTable::OnNewSession(Member& member, double now) {
-  // Nothing that was observed of the former process counts for the new one.
-  member.evidence.ResetSilence(now);
+  // Observations of the former process do not apply to the new one.
+  member.liveness.ResetSilence(now);
   member.refutation = member.record->incarnation.refutation;
-  member.refused = false;
+  member.connection_refused = false;
   member.leaving = false;
   member.suspect_since.reset();
-  member.observers.clear();
+  member.reports.clear();
 }
 
 void MemberTable::OnOwnRecord(const std::optional<MemberRecord>& record, uint64_t version) {
@@ -88,169 +90,178 @@
   own_version_ = version;
   if (!record) return;
   const bool mine = record->instance == options_.instance;
-  if (mine && record->incarnation.session >= own_.session) {
-    if (record->incarnation.session > own_.session) own_ = record->incarnation;
-    own_.refutation = std::max(own_.refutation, record->incarnation.refutation);
+  if (mine && record->incarnation.session >= own_incarnation_.session) {
+    if (record->incarnation.session > own_incarnation_.session)
+      own_incarnation_ = record->incarnation;
+    own_incarnation_.refutation =
+        std::max(own_incarnation_.refutation, record->incarnation.refutation);
   }
-  const bool later = own_.session != 0 && record->incarnation.session > own_.session;
+  const bool later =
+      own_incarnation_.session != 0 && record->incarnation.session > own_incarnation_.session;
   if (!mine && later && !superseded_) {
     superseded_ = true;
     spdlog::error(
-        "membership: another process joined as {} (session {}, ours is {}); this one stays passive",
-        options_.node, record->incarnation.session, own_.session);
+        "membership: another process of the same name has joined; this one stays passive: node={} "
+        "session={} own_session={}",
+        options_.node, record->incarnation.session, own_incarnation_.session);
   }
 }
 
-void MemberTable::TakeRefutations(const wire::MemberStatus& status) {
-  if (Member* sender = Find(status.node);
+void MemberTable::ApplyRefutations(const wire::MemberStatus& status) {
+  if (Member* sender = FindMember(status.node);
       sender != nullptr && sender->record &&
       sender->record->incarnation.session == status.incarnation.session) {
     sender->refutation = std::max(sender->refutation, status.incarnation.refutation);
   }
   for (const model::MemberObservation& observation : status.observations) {
     if (observation.node != options_.node) continue;
-    // A session or refutation from the future can't be of this process: nothing to refute.
+    // A session or refutation higher than ours does not belong to this process, so there is nothing
+    // to refute.
     const bool suspects_us = observation.state == model::MemberState::kSuspect &&
-                             observation.incarnation == own_ && own_.session != 0;
-    if (suspects_us) ++own_.refutation;
+                             observation.incarnation == own_incarnation_ &&
+                             own_incarnation_.session != 0;
+    if (suspects_us) ++own_incarnation_.refutation;
   }
 }
 
 void MemberTable::OnProbe(const wire::MemberStatus& status) {
-  if (Find(status.node) != nullptr) TakeRefutations(status);
+  if (FindMember(status.node) != nullptr) ApplyRefutations(status);
 }
 
-void MemberTable::OnAnswer(const wire::MemberStatus& status, double asked, double now) {
-  Member* member = Find(status.node);
+void MemberTable::OnAnswer(const wire::MemberStatus& status, double sent_at, double now) {
+  Member* member = FindMember(status.node);
   if (member == nullptr) return;
-  // From a process that has ended since, on its way for a while.
-  const bool former =
+  // A delayed answer from a process that has ended since.
+  const bool from_former_process =
       member->record && status.incarnation.session < member->record->incarnation.session;
-  if (former) return;
+  if (from_former_process) return;
   member->leaving = status.state == model::MemberState::kLeft;
-  member->evidence.OnAnswer(asked, now);
-  member->refused = false;
+  member->liveness.OnAnswer(sent_at, now);
+  member->connection_refused = false;
   member->vitals = status.vitals;
-  member->yields_to = status.yields_to;
-  TakeRefutations(status);
-  TakeObservations(status, asked);
+  member->successor = status.yields_to;
+  ApplyRefutations(status);
+  RecordObservations(status, sent_at);
 }
 
-void MemberTable::TakeObservations(const wire::MemberStatus& status, double asked) {
+void MemberTable::RecordObservations(const wire::MemberStatus& status, double sent_at) {
   for (const model::MemberObservation& observation : status.observations) {
     if (observation.node == options_.node || observation.node == status.node) continue;
-    Member* member = Find(observation.node);
+    Member* member = FindMember(observation.node);
     if (member == nullptr || !member->record) continue;
-    // Of another session than the one that is recorded: of a process that has ended, or one that
-    // this node knows nothing of yet.
+    // Ignores observations of any session other than the recorded one: that process has ended, or
+    // this node has not seen its record yet.
     if (observation.incarnation.session != member->record->incarnation.session) continue;
-    Observed& observed = member->observers[status.node];
-    observed.state = observation.state;
-    observed.heard_at.reset();
+    ObserverReport& report = member->reports[status.node];
+    report.state = observation.state;
+    report.last_alive_at.reset();
     if (observation.heard_ms_ago) {
-      observed.heard_at = asked - static_cast<double>(*observation.heard_ms_ago) / kMsPerS;
+      report.last_alive_at = sent_at - static_cast<double>(*observation.heard_ms_ago) / kMsPerS;
     }
   }
 }
 
-void MemberTable::OnStatusAnswered(const std::string& node, double asked) {
-  if (Member* member = Find(node)) member->evidence.OnHeard(asked);
+void MemberTable::OnStatusAnswered(const std::string& node, double requested_at) {
+  if (Member* member = FindMember(node)) member->liveness.OnAliveAt(requested_at);
 }
 
 void MemberTable::OnConnectionRefused(const std::string& node) {
-  if (Member* member = Find(node)) member->refused = true;
+  if (Member* member = FindMember(node)) member->connection_refused = true;
 }
 
 void MemberTable::OnPause(double now) {
   health_.OnPause();
   for (auto& [node, member] : members_) {
-    member.evidence.ResetSilence(now);
+    member.liveness.ResetSilence(now);
     member.suspect_since.reset();
-    // What others said of it is as old as the pause is long, or older.
-    member.observers.clear();
+    // Observations from other nodes are at least as old as the pause.
+    member.reports.clear();
   }
   last_tick_ = now;
 }
 
-bool MemberTable::Fresh(const Member& member, double now) const {
+bool MemberTable::IsResponsive(const Member& member, double now) const {
   return IsMember(member.record) && !member.leaving &&
-         !member.evidence.Silent(health_.Factor(), now);
+         !member.liveness.Silent(health_.TimeoutMultiplier(), now);
 }
 
-bool MemberTable::HeardByOthers(const Member& member, const std::string& node, double now) const {
-  const double window_s = member.evidence.SilenceThresholdS(health_.Factor(), now) +
-                          kGossipIntervals * options_.probes.probe_s;
-  return std::any_of(member.observers.begin(), member.observers.end(), [&](const auto& entry) {
-    const auto& [observer, observed] = entry;
+bool MemberTable::SeenAliveByOthers(const Member& member, const std::string& node,
+                                    double now) const {
+  const double window_s = member.liveness.SilenceThresholdS(health_.TimeoutMultiplier(), now) +
+                          kObservationDelayIntervals * options_.probes.probe_s;
+  return std::any_of(member.reports.begin(), member.reports.end(), [&](const auto& entry) {
+    const auto& [observer, report] = entry;
     const Member& other = members_.at(observer);
-    return observer != node && Fresh(other, now) && observed.heard_at &&
-           now - *observed.heard_at <= window_s;
+    return observer != node && IsResponsive(other, now) && report.last_alive_at &&
+           now - *report.last_alive_at <= window_s;
   });
 }
 
 bool MemberTable::ObserversAgree(const Member& member, const std::string& node, double now) const {
-  // Who neither hears the member nor suspects it, since it distrusts itself, is not waited for
-  // without a bound. Whoever does hear it has kept it from being suspected here.
-  if (now - *member.suspect_since > kAbstention * ConfirmS()) return true;
+  // The wait for observers that neither hear the member nor suspect it, since they distrust
+  // themselves, is bounded. An observer that does hear it has kept this node from suspecting it.
+  if (now - *member.suspect_since > kMaxAbstentionConfirmations * ConfirmationS()) return true;
   return std::all_of(members_.begin(), members_.end(), [&](const auto& entry) {
     const auto& [observer, other] = entry;
-    if (observer == node || !Fresh(other, now)) return true;
-    auto observed = member.observers.find(observer);
-    return observed != member.observers.end() &&
-           observed->second.state == model::MemberState::kSuspect;
+    if (observer == node || !IsResponsive(other, now)) return true;
+    auto report = member.reports.find(observer);
+    return report != member.reports.end() && report->second.state == model::MemberState::kSuspect;
   });
 }
 
-size_t MemberTable::WritePriority(const std::string& subject, double now) const {
+size_t MemberTable::WriteRank(const std::string& subject, double now) const {
   return static_cast<size_t>(
       std::count_if(members_.begin(), members_.end(), [&](const auto& entry) {
         const auto& [node, member] = entry;
-        return node != subject && node < options_.node && Fresh(member, now);
+        return node != subject && node < options_.node && IsResponsive(member, now);
       }));
 }
 
-double MemberTable::ConfirmS() const {
-  const double least = options_.confirm_probes * options_.probes.probe_s;
-  return std::max(least, kConfirmRoundTrips * state_round_trip_.Bound()) * health_.Factor();
+double MemberTable::ConfirmationS() const {
+  const double min_s = options_.confirm_probes * options_.probes.probe_s;
+  return std::max(min_s, kMinConfirmRoundTrips * state_round_trip_.UpperBoundS()) *
+         health_.TimeoutMultiplier();
 }
 
-void MemberTable::ReviewHealth(double now) {
+void MemberTable::UpdateLocalHealth(double now) {
   const double interval_s = options_.probes.probe_s;
-  if (now - last_tick_ > kPauseIntervals * interval_s) {
+  if (now - last_tick_ > kPauseThresholdIntervals * interval_s) {
     OnPause(now);
     return;
   }
   last_tick_ = now;
   const auto probed = std::count_if(members_.begin(), members_.end(),
                                     [](const auto& m) { return IsMember(m.second.record); });
-  const auto fresh = std::count_if(members_.begin(), members_.end(),
-                                   [&](const auto& m) { return Fresh(m.second, now); });
-  // With one other node, its end and a fault of ours look the same.
-  if (probed >= 2 && fresh == 0) {
+  const auto responsive = std::count_if(members_.begin(), members_.end(),
+                                        [&](const auto& m) { return IsResponsive(m.second, now); });
+  // With only one other node, its failure can't be told from a fault of this node.
+  if (probed >= 2 && responsive == 0) {
     health_.OnNoAnswers();
   } else {
     health_.OnGoodInterval();
   }
 }
 
-void MemberTable::ReviewSuspicion(Member& member, const std::string& node, double now) {
-  const bool silent = member.refused || member.evidence.Silent(health_.Factor(), now);
-  const bool suspect = IsMember(member.record) && silent && !HeardByOthers(member, node, now);
+void MemberTable::UpdateSuspicion(Member& member, const std::string& node, double now) {
+  const bool silent_or_refused =
+      member.connection_refused || member.liveness.Silent(health_.TimeoutMultiplier(), now);
+  const bool suspect =
+      IsMember(member.record) && silent_or_refused && !SeenAliveByOthers(member, node, now);
   if (suspect && !member.suspect_since) {
     member.suspect_since = now;
-    spdlog::info("membership: {} is suspect: {}", node,
-                 member.refused ? "its port refuses connections" : "no answers");
+    spdlog::info("membership: suspect: node={} reason={}", node,
+                 member.connection_refused ? "refuses connections" : "does not answer");
   } else if (!suspect) {
     member.suspect_since.reset();
   }
-  const model::MemberState shown = ShownState(member);
-  if (shown != member.shown) {
-    member.shown = shown;
-    member.shown_since = now;
+  const model::MemberState reported_state = ReportedState(member);
+  if (reported_state != member.reported_state) {
+    member.reported_state = reported_state;
+    member.reported_state_since = now;
   }
 }
 
-model::MemberState MemberTable::ShownState(const Member& member) {
+model::MemberState MemberTable::ReportedState(const Member& member) {
   if (member.record && !IsMember(member.record)) return member.record->state;
   if (member.leaving) return model::MemberState::kLeft;
   return member.suspect_since ? model::MemberState::kSuspect : model::MemberState::kAlive;
@@ -266,66 +277,66 @@
   if (!mine) {
     const uint64_t recorded = own_record_ ? own_record_->incarnation.session : 0;
     proposal.kind = Proposal::Kind::kJoin;
-    proposal.record.incarnation.session = std::max(recorded, own_.session) + 1;
+    proposal.record.incarnation.session = std::max(recorded, own_incarnation_.session) + 1;
     return proposal;
   }
   if (own_record_->state == model::MemberState::kAlive) return std::nullopt;
   proposal.kind = Proposal::Kind::kRefute;
-  proposal.record.incarnation = {own_.session, own_.refutation + 1};
+  proposal.record.incarnation = {own_incarnation_.session, own_incarnation_.refutation + 1};
   return proposal;
 }
 
-std::optional<Proposal> MemberTable::ProposeFor(const std::string& node, const Member& member,
-                                                double now) const {
+std::optional<Proposal> MemberTable::ProposeForOther(const std::string& node, const Member& member,
+                                                     double now) const {
   if (!member.suspect_since || !IsActiveMember()) return std::nullopt;
   if (!ObserversAgree(member, node, now)) return std::nullopt;
-  const double turn_s = static_cast<double>(WritePriority(node, now)) * options_.probes.probe_s;
+  const double rank_delay_s = static_cast<double>(WriteRank(node, now)) * options_.probes.probe_s;
   Proposal proposal;
   proposal.node = node;
   proposal.record = *member.record;
   proposal.record.by = options_.node;
-  proposal.record.reason = member.refused ? "refuses connections" : "does not answer";
+  proposal.record.reason = member.connection_refused ? "refuses connections" : "does not answer";
   proposal.preconditions = {{store::MemberKey(node), member.version},
                             {store::MemberKey(options_.node), own_version_}};
   if (member.record->state == model::MemberState::kAlive) {
-    if (now < *member.suspect_since + turn_s) return std::nullopt;
+    if (now < *member.suspect_since + rank_delay_s) return std::nullopt;
     proposal.kind = Proposal::Kind::kSuspect;
     proposal.record.state = model::MemberState::kSuspect;
     return proposal;
   }
   const double since = std::max(member.record_seen_at, *member.suspect_since);
-  if (now < since + ConfirmS() + turn_s) return std::nullopt;
+  if (now < since + ConfirmationS() + rank_delay_s) return std::nullopt;
   proposal.kind = Proposal::Kind::kDeclareFailed;
   proposal.record.state = model::MemberState::kFailed;
   return proposal;
 }
 
 std::vector<Proposal> MemberTable::Tick(double now, bool state_direct) {
-  ReviewHealth(now);
+  UpdateLocalHealth(now);
   std::vector<Proposal> out;
   auto propose = [&](std::optional<Proposal> proposal) {
-    if (!proposal || pending_.contains(proposal->node)) return;
-    if (auto wait = not_before_.find(proposal->node);
-        wait != not_before_.end() && now < wait->second) {
+    if (!proposal || pending_proposals_.contains(proposal->node)) return;
+    if (auto wait = next_proposal_at_.find(proposal->node);
+        wait != next_proposal_at_.end() && now < wait->second) {
       return;
     }
-    pending_.insert(proposal->node);
+    pending_proposals_.insert(proposal->node);
     out.push_back(std::move(*proposal));
   };
   propose(ProposeForSelf());
   for (auto& [node, member] : members_) {
-    ReviewSuspicion(member, node, now);
-    if (state_direct) propose(ProposeFor(node, member, now));
+    UpdateSuspicion(member, node, now);
+    if (state_direct) propose(ProposeForOther(node, member, now));
   }
   return out;
 }
 
 void MemberTable::OnProposalDone(const std::string& node, double now) {
-  pending_.erase(node);
-  not_before_[node] = now + kRetryIntervals * options_.probes.probe_s;
+  pending_proposals_.erase(node);
+  next_proposal_at_[node] = now + kProposalRetryIntervals * options_.probes.probe_s;
 }
 
-std::optional<Proposal> MemberTable::Leave() const {
+std::optional<Proposal> MemberTable::ProposeLeave() const {
   if (!IsMember(own_record_) || own_record_->instance != options_.instance) return std::nullopt;
   Proposal proposal;
   proposal.kind = Proposal::Kind::kLeave;
@@ -341,18 +352,18 @@
 wire::MemberStatus MemberTable::Status(double now) const {
   wire::MemberStatus status;
   status.node = options_.node;
-  status.incarnation = own_;
+  status.incarnation = own_incarnation_;
   status.state = leaving_ ? model::MemberState::kLeft : model::MemberState::kAlive;
   status.vitals = vitals_;
-  status.yields_to = yields_to_;
+  status.yields_to = successor_;
   for (const auto& [node, member] : members_) {
     model::MemberObservation observation;
     observation.node = node;
     if (member.record) {
       observation.incarnation = {member.record->incarnation.session, member.refutation};
     }
-    observation.state = ShownState(member);
-    if (const std::optional<double>& last_alive_at = member.evidence.last_alive_at()) {
+    observation.state = ReportedState(member);
+    if (const std::optional<double>& last_alive_at = member.liveness.last_alive_at()) {
       const double ago_s = std::max(0.0, now - *last_alive_at);
       observation.heard_ms_ago = static_cast<uint64_t>(std::llround(ago_s * kMsPerS));
     }
@@ -367,20 +378,21 @@
          own_record_->instance == options_.instance;
 }
 
-std::vector<model::Precondition> MemberTable::OwnPreconditions() const {
+std::vector<model::Precondition> MemberTable::ActiveMemberPreconditions() const {
   if (!IsActiveMember()) return {};
   return {{store::MemberKey(options_.node), own_version_}};
 }
 
-bool MemberTable::Judged() const {
-  return own_.session != 0 && own_record_ && own_record_->state == model::MemberState::kFailed &&
-         own_record_->incarnation.session == own_.session;
+bool MemberTable::DeclaredFailed() const {
+  return own_incarnation_.session != 0 && own_record_ &&
+         own_record_->state == model::MemberState::kFailed &&
+         own_record_->incarnation.session == own_incarnation_.session;
 }
 
-std::map<std::string, model::MemberVitals> MemberTable::FreshVitals(double now) const {
+std::map<std::string, model::MemberVitals> MemberTable::ResponsiveMemberVitals(double now) const {
   std::map<std::string, model::MemberVitals> out;
   for (const auto& [node, member] : members_) {
-    if (Fresh(member, now) && member.record->state == model::MemberState::kAlive) {
+    if (IsResponsive(member, now) && member.record->state == model::MemberState::kAlive) {
       out.emplace(node, member.vitals);
     }
   }
@@ -389,7 +401,7 @@
 
 std::string MemberTable::SuccessorNamedByOthers(double now) const {
   for (const auto& [node, member] : members_) {
-    if (!member.yields_to.empty() && Fresh(member, now)) return member.yields_to;
+    if (!member.successor.empty() && IsResponsive(member, now)) return member.successor;
   }
   return "";
 }
@@ -404,7 +416,7 @@
   std::vector<wire::MemberRow> rows;
   wire::MemberRow own;
   own.node = options_.node;
-  own.incarnation = own_;
+  own.incarnation = own_incarnation_;
   own.known = own_record_.has_value();
   own.state = own_record_ ? own_record_->state : model::MemberState::kAlive;
   if (own_record_ && !own_record_->by.empty()) own.suspected_by = {own_record_->by};
@@ -414,18 +426,19 @@
     row.node = node;
     row.known = member.record.has_value();
     if (member.record) row.incarnation = {member.record->incarnation.session, member.refutation};
-    row.state = ShownState(member);
-    row.since_ms = static_cast<uint64_t>(std::max(0.0, now - member.shown_since) * kMsPerS);
-    std::set<std::string> accusers;
-    if (member.record && !member.record->by.empty()) accusers.insert(member.record->by);
-    if (member.suspect_since) accusers.insert(options_.node);
-    for (const auto& [observer, observed] : member.observers) {
-      if (observed.state == model::MemberState::kSuspect) accusers.insert(observer);
+    row.state = ReportedState(member);
+    row.since_ms =
+        static_cast<uint64_t>(std::max(0.0, now - member.reported_state_since) * kMsPerS);
+    std::set<std::string> suspecting;
+    if (member.record && !member.record->by.empty()) suspecting.insert(member.record->by);
+    if (member.suspect_since) suspecting.insert(options_.node);
+    for (const auto& [observer, report] : member.reports) {
+      if (report.state == model::MemberState::kSuspect) suspecting.insert(observer);
     }
-    row.suspected_by.assign(accusers.begin(), accusers.end());
+    row.suspected_by.assign(suspecting.begin(), suspecting.end());
     if (member.record) row.reason = member.record->reason;
     if (row.reason.empty() && member.suspect_since) {
-      row.reason = member.refused ? "refuses connections" : "does not answer";
+      row.reason = member.connection_refused ? "refuses connections" : "does not answer";
     }
     rows.push_back(std::move(row));
   }
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,16 +1,17 @@
-// Which controllers are alive, as one of them sees it, and what it should write on the state
-// service about that. A pure state machine: time is an argument, and all writes are returned as
-// proposals.
+// Keeps one controller's view of which controllers are alive, and decides which member records it
+// should write to the state service. The table does no I/O: time is an argument, and writes are
+// returned as proposals.
 //
-// Every node probes every other one. A node that is silent for longer than an adaptive threshold,
-// and that no other node hears either, is suspect: that is voiced in probes and their answers. Once
-// all observers that can be heard agree, the suspicion is recorded on the state service, where the
-// suspect refutes it if it reaches the service at all. A suspicion that stands there unrefuted for
-// the time of confirmation becomes the verdict "failed". Each step is one transaction, guarded by
-// the versions of the subject's and of the writer's own record: two that suspect each other can't
-// both succeed, and a session gets one verdict at the most.
+// Every node probes every other node. A node becomes suspect if it is silent for longer than an
+// adaptive threshold and no other node has heard it either; nodes exchange their suspicions in
+// probes and answers. Once all responsive observers agree, the suspicion is recorded on the state
+// service, where the suspect refutes it if it can reach the service at all. If the recorded
+// suspicion is not refuted within the confirmation time, the node is declared failed. Each step is
+// one transaction with the versions of the subject's and the writer's records as preconditions.
+// Therefore two nodes that suspect each other can't both succeed, and a session is declared failed
+// at most once.
 //
-// docs/membership.md has the reasons. Guards against what its tests name.
+// docs/membership.md explains the design.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +31,7 @@
 
 namespace hallpier::membership {
 
-// A write to the state service: this record for that node, if the guards hold.
+// A write to the state service: replaces the record of `node` if the preconditions hold.
 struct Proposal {
   enum class Kind { kJoin, kRefute, kSuspect, kDeclareFailed, kLeave };
   Kind kind = Kind::kJoin;
@@ -45,104 +46,120 @@
     std::string node;
     std::vector<std::string> others;
     ProbeOptions probes;
-    double confirm_probes = 0;  // a recorded suspicion stands for so many before the verdict
-    uint64_t instance = 0;      // drawn at random for this process
+    double confirm_probes = 0;  // probe intervals from a recorded suspicion to the declared failure
+    uint64_t instance = 0;      // random number of this process
   };
   MemberTable(Options options, double now);
 
-  // A member's record has changed; nothing: it was dropped, or can't be read.
+  // Called when a member's record has changed; std::nullopt if it was deleted or is malformed.
   void OnRecord(const std::string& node, const std::optional<MemberRecord>& record,
                 uint64_t version, double now);
-  // What another node says with its probe. It may be of any age, and proves nothing of its sender.
+  // Called with the status in another node's probe. The probe may be arbitrarily old, so it does
+  // not prove that its sender is alive.
   void OnProbe(const wire::MemberStatus& status);
-  // The answer to a probe that was sent at `asked`.
-  void OnAnswer(const wire::MemberStatus& status, double asked, double now);
-  // The older exchange of status between all nodes was answered (net/peer_mesh.h): also by versions
-  // that know no membership.
-  void OnStatusAnswered(const std::string& node, double asked);
-  // The node's port refuses connections after a link to it has broken.
+  // Called with the answer to a probe that was sent at `sent_at`.
+  void OnAnswer(const wire::MemberStatus& status, double sent_at, double now);
+  // Called when a node has answered the status exchange of net/peer_mesh.h, which versions without
+  // membership answer as well.
+  void OnStatusAnswered(const std::string& node, double requested_at);
+  // Called when the node refuses connections after a link to it has broken.
   void OnConnectionRefused(const std::string& node);
-  // This process was paused, or got its turns late; what it did not hear meanwhile says nothing.
+  // Called when this process was paused or its event loop ran late, so that the silence of other
+  // nodes in that time proves nothing.
   void OnPause(double now);
-  // How long a transaction takes that the state service answers.
+  // Records how long the state service took to answer a transaction.
   void OnStateRoundTrip(double took_s) { state_round_trip_.Add(took_s); }
 
-  // To be called once for each interval of probes. `state_direct`: the state service answers this
-  // node without a relay; nobody is suspected in records, or judged, otherwise.
+  // Returns the writes that are due. Must be called once per probe interval. `state_direct` is true
+  // if the state service answers this node without a relay; otherwise this node neither records
+  // suspicions nor declares nodes failed.
   std::vector<Proposal> Tick(double now, bool state_direct);
-  // The outcome of a proposal is known, or it was given up.
+  // Called when the outcome of a proposal is known or the proposal was abandoned.
   void OnProposalDone(const std::string& node, double now);
-  // The record that says that this node ends in order; nothing if it has no record of its own.
-  std::optional<Proposal> Leave() const;
+  // Returns the write that records the orderly shutdown of this node; std::nullopt if this process
+  // has no member record.
+  std::optional<Proposal> ProposeLeave() const;
 
-  // What this node says of itself and of the others.
+  // Returns the status of this node and its observations of all others, as sent in probes and
+  // answers.
   wire::MemberStatus Status(double now) const;
   void SetVitals(const model::MemberVitals& vitals) { vitals_ = vitals; }
-  void SetYieldsTo(const std::string& node) { yields_to_ = node; }
+  // Names the node that should lead next; empty if there is none.
+  void SetSuccessor(const std::string& node) { successor_ = node; }
   void SetLeaving() { leaving_ = true; }
 
-  // True while this node's own record says that it is a member and nobody suspects it: whoever is
-  // not may not take the lead.
+  // True while the record of this node belongs to this process and says "alive", and the process is
+  // neither leaving nor superseded. Only such a node may become the leader.
   bool IsActiveMember() const;
-  // Guards that hold only while that is so; empty: it is not.
-  std::vector<model::Precondition> OwnPreconditions() const;
-  // This process was judged as failed, and has not joined again yet.
-  bool Judged() const;
-  // Another process of the same name has joined since: this one must not act any more.
+  // Returns preconditions that hold only while this node is an active member; empty if it is not.
+  std::vector<model::Precondition> ActiveMemberPreconditions() const;
+  // True if this process was declared failed and has not rejoined yet.
+  bool DeclaredFailed() const;
+  // True if another process with the same node name has joined since; this one must not act any
+  // more.
   bool Superseded() const { return superseded_; }
-  const model::Incarnation& incarnation() const { return own_; }
+  const model::Incarnation& incarnation() const { return own_incarnation_; }
 
-  // Others whose last answer is fresh, with what they said of their own state.
-  std::map<std::string, model::MemberVitals> FreshVitals(double now) const;
-  // Whom some other node that leads, or led a moment ago, names as its successor; empty: nobody.
+  // Returns the vitals of all other nodes that are responsive and recorded as alive.
+  std::map<std::string, model::MemberVitals> ResponsiveMemberVitals(double now) const;
+  // Returns the successor that another node, which leads or led until just now, has named; empty if
+  // there is none.
   std::string SuccessorNamedByOthers(double now) const;
   std::vector<wire::MemberRow> Rows(double now) const;
-  // True if another node's record says that it failed.
+  // True if the record of that other node says that it failed.
   bool Failed(const std::string& node) const;
 
  private:
-  // What one observer says of a member.
-  struct Observed {
+  // One observer's report about a member.
+  struct ObserverReport {
     model::MemberState state = model::MemberState::kAlive;
-    std::optional<double> heard_at;
+    std::optional<double> last_alive_at;
   };
   struct Member {
-    Member(ProbeOptions probes, double now) : evidence(probes, now), shown_since(now) {}
+    Member(ProbeOptions probes, double now) : liveness(probes, now), reported_state_since(now) {}
 
-    LivenessTracker evidence;
+    LivenessTracker liveness;
     std::optional<MemberRecord> record;
-    uint64_t version = 0;
+    uint64_t version = 0;  // of the record
     double record_seen_at = 0;
-    uint64_t refutation = 0;  // the highest that it has told, within the session of the record
-    bool refused = false;
+    uint64_t refutation = 0;  // the highest reported by it within the session of the record
+    bool connection_refused = false;
     bool leaving = false;
-    std::optional<double> suspect_since;  // this node's own suspicion
-    model::MemberState shown = model::MemberState::kAlive;
-    double shown_since;
-    std::map<std::string, Observed> observers;
+    std::optional<double> suspect_since;  // when this node began to suspect it
+    model::MemberState reported_state = model::MemberState::kAlive;
+    double reported_state_since;
+    std::map<std::string, ObserverReport> reports;  // by observer
     model::MemberVitals vitals;
-    std::string yields_to;
+    std::string successor;  // named by this member
   };
 
-  Member* Find(const std::string& node);
+  // Returns the member, or nullptr and logs once if the node is not in the settings.
+  Member* FindMember(const std::string& node);
   void OnOwnRecord(const std::optional<MemberRecord>& record, uint64_t version);
   void OnNewSession(Member& member, double now);
-  // What `status` says of this node, and which refutations it knows of.
-  void TakeRefutations(const wire::MemberStatus& status);
-  void TakeObservations(const wire::MemberStatus& status, double asked);
-  void ReviewHealth(double now);
-  void ReviewSuspicion(Member& member, const std::string& node, double now);
+  // Updates the known refutation of the sender, and raises our own if the sender suspects us.
+  void ApplyRefutations(const wire::MemberStatus& status);
+  void RecordObservations(const wire::MemberStatus& status, double sent_at);
+  void UpdateLocalHealth(double now);
+  void UpdateSuspicion(Member& member, const std::string& node, double now);
+  // Returns the join or refutation that this node should write about itself.
   std::optional<Proposal> ProposeForSelf() const;
-  std::optional<Proposal> ProposeFor(const std::string& node, const Member& member,
-                                     double now) const;
-
-  bool Fresh(const Member& member, double now) const;
-  bool HeardByOthers(const Member& member, const std::string& node, double now) const;
+  // Returns the suspicion or failure that this node should write about another one.
+  std::optional<Proposal> ProposeForOther(const std::string& node, const Member& member,
+                                          double now) const;
+
+  // True if the node is a member, is not shutting down and has not been silent for too long.
+  bool IsResponsive(const Member& member, double now) const;
+  // True if a responsive observer has recently heard the node.
+  bool SeenAliveByOthers(const Member& member, const std::string& node, double now) const;
+  // True if every responsive observer suspects the node, or the wait for them has timed out.
   bool ObserversAgree(const Member& member, const std::string& node, double now) const;
-  // This node's place among those that may write, so that not all do so at once.
-  size_t WritePriority(const std::string& subject, double now) const;
-  double ConfirmS() const;
-  static model::MemberState ShownState(const Member& member);
+  // Returns the rank of this node among those that may write about `subject`. Each rank waits one
+  // probe interval longer, so that not all of them write at once.
+  size_t WriteRank(const std::string& subject, double now) const;
+  // Returns how long a recorded suspicion must stay unrefuted before the node is declared failed.
+  double ConfirmationS() const;
+  static model::MemberState ReportedState(const Member& member);
 
   const Options options_;
   LocalHealth health_;
@@ -150,14 +167,14 @@
   std::map<std::string, Member> members_;
   std::optional<MemberRecord> own_record_;
   uint64_t own_version_ = 0;
-  model::Incarnation own_;  // session 0: not joined yet
+  model::Incarnation own_incarnation_;  // session 0: this process has not joined yet
   bool superseded_ = false;
   bool leaving_ = false;
   model::MemberVitals vitals_;
-  std::string yields_to_;
+  std::string successor_;
   double last_tick_;
-  std::set<std::string> pending_;             // nodes with a proposal under way
-  std::map<std::string, double> not_before_;  // when the next one may be made
+  std::set<std::string> pending_proposals_;         // nodes with a proposal in flight
+  std::map<std::string, double> next_proposal_at_;  // earliest time of the next proposal, by node
   std::set<std::string> unknown_nodes_reported_;
 };
 
--- a/src/membership/report_counter.h
+++ b/src/membership/report_counter.h
@@ -1,4 +1,4 @@
-// Counts what came in the last whole interval. Pure.
+// Counts the reports of the last complete interval. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,38 +7,38 @@
 
 class ReportCounter {
  public:
-  ReportCounter(double interval_s, double now) : interval_s_(interval_s), began_(now) {}
+  ReportCounter(double interval_s, double now) : interval_s_(interval_s), interval_start_(now) {}
 
   void Add(double now) {
-    Roll(now);
-    ++current_;
+    Advance(now);
+    ++current_count_;
   }
-  // In the last interval that is over; 0 if nothing came for longer than that.
+  // Returns the count of the last complete interval; 0 if nothing was added for longer than that.
   uint64_t Last(double now) {
-    Roll(now);
-    return last_;
+    Advance(now);
+    return last_count_;
   }
-  // True once a whole interval has been counted since the beginning, or since Reset().
+  // True once one complete interval has passed since construction or Reset().
   bool Complete(double now) {
-    Roll(now);
-    return intervals_ > 0;
+    Advance(now);
+    return complete_intervals_ > 0;
   }
   void Reset(double now) { *this = ReportCounter(interval_s_, now); }
 
  private:
-  void Roll(double now) {
-    if (now < began_ + interval_s_) return;
-    last_ = now < began_ + 2 * interval_s_ ? current_ : 0;
-    current_ = 0;
-    began_ = now < began_ + 2 * interval_s_ ? began_ + interval_s_ : now;
-    ++intervals_;
+  void Advance(double now) {
+    if (now < interval_start_ + interval_s_) return;
+    last_count_ = now < interval_start_ + 2 * interval_s_ ? current_count_ : 0;
+    current_count_ = 0;
+    interval_start_ = now < interval_start_ + 2 * interval_s_ ? interval_start_ + interval_s_ : now;
+    ++complete_intervals_;
   }
 
   double interval_s_;
-  double began_;
-  uint64_t current_ = 0;
-  uint64_t last_ = 0;
-  uint64_t intervals_ = 0;
+  double interval_start_;
+  uint64_t current_count_ = 0;
+  uint64_t last_count_ = 0;
+  uint64_t complete_intervals_ = 0;
 };
 
 }  // namespace hallpier::membership
--- a/src/membership/round_trip_estimator.cc
+++ b/src/membership/round_trip_estimator.cc
@@ -8,13 +8,13 @@
 // Weights and factor of RFC 6298.
 constexpr double kMeanWeight = 1.0 / 8;
 constexpr double kDeviationWeight = 1.0 / 4;
-constexpr double kDeviations = 4;
+constexpr double kDeviationFactor = 4;
 
 }  // namespace
 
 void RoundTripEstimator::Add(double sample_s) {
-  if (!any_) {
-    any_ = true;
+  if (!has_samples_) {
+    has_samples_ = true;
     mean_s_ = sample_s;
     deviation_s_ = sample_s / 2;
     return;
@@ -23,6 +23,6 @@
   mean_s_ += kMeanWeight * (sample_s - mean_s_);
 }
 
-double RoundTripEstimator::Bound() const { return mean_s_ + kDeviations * deviation_s_; }
+double RoundTripEstimator::UpperBoundS() const { return mean_s_ + kDeviationFactor * deviation_s_; }
 
 }  // namespace hallpier::membership
--- a/src/membership/round_trip_estimator.h
+++ b/src/membership/round_trip_estimator.h
@@ -1,5 +1,5 @@
-// How long an answer to a probe usually takes, and how much that varies: a smoothed mean and
-// deviation as TCP keeps them for its retransmission timer (RFC 6298). Pure.
+// Estimates how long a request takes to be answered: a smoothed mean and deviation of the round
+// trips, as TCP keeps them for its retransmission timer (RFC 6298). Does no I/O.
 #pragma once
 
 namespace hallpier::membership {
@@ -7,11 +7,11 @@
 class RoundTripEstimator {
  public:
   void Add(double sample_s);
-  // Nearly all answers have come by then; 0 before the first sample.
-  double Bound() const;
+  // Returns the time within which nearly all answers arrive; 0 before the first sample.
+  double UpperBoundS() const;
 
  private:
-  bool any_ = false;
+  bool has_samples_ = false;
   double mean_s_ = 0;
   double deviation_s_ = 0;
 };
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -13,20 +13,20 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// Weight of the newest turn in the mean delay of turns.
-constexpr double kTurnWeight = 0.2;
-// Probes whose answers are still waited for, for each node.
-constexpr size_t kMaxAsked = 64;
-// A node whose links break so often in a row without an answer to a probe does not understand them,
-// whatever its mark says: it was put back to an older version.
+// Weight of the newest tick in the smoothed delay of the event loop.
+constexpr double kLoopDelayWeight = 0.2;
+// Limit of unanswered probes that are remembered for each node.
+constexpr size_t kMaxOutstandingProbes = 64;
+// A node whose links break so many times in a row without an answer to a probe does not support
+// probes, although its recorded format says so: it was downgraded to an older version.
 constexpr int kMaxUnansweredLinks = 2;
-// Reviews of the lead in a report period.
-constexpr double kReviews = 4;
-// Time for which a named successor is left alone, in intervals of probes.
-constexpr double kSuccessorIntervals = 4;
-// An orderly end waits this part of a report period at the most until the lease has been ended.
-constexpr double kLeavePart = 0.5;
-constexpr double kLeavePolls = 20;
+// How often leadership is reviewed per heartbeat period.
+constexpr double kReviewsPerHeartbeat = 4;
+// Probe intervals for which other nodes leave the leadership to a named successor.
+constexpr double kSuccessorHeadStartProbes = 4;
+// A shutdown waits at most this part of a heartbeat period for the leader's lease to be revoked.
+constexpr double kLeaveTimeoutPeriods = 0.5;
+constexpr double kLeasePollsBeforeLeaving = 20;
 
 MemberTable::Options TableOptions(const config::Settings& settings,
                                   const config::MembershipOptions& options) {
@@ -39,8 +39,8 @@
           .instance = draw(device)};
 }
 
-HandoverPolicy::Options YieldOptions(const config::Settings& settings,
-                                     const config::MembershipOptions& options) {
+HandoverPolicy::Options HandoverOptions(const config::Settings& settings,
+                                        const config::MembershipOptions& options) {
   return {.heartbeat_interval_s = settings.heartbeat_interval_s,
           .lease_s = settings.lease_s,
           .min_handover_interval_leases = options.yield_leases,
@@ -56,7 +56,7 @@
     case Proposal::Kind::kSuspect:
       return "suspicion";
     case Proposal::Kind::kDeclareFailed:
-      return "verdict";
+      return "failure";
     case Proposal::Kind::kLeave:
       return "leave";
   }
@@ -70,10 +70,11 @@
       deps_(std::move(dependencies)),
       probe_s_(deps_.options->probe_ratio * deps_.settings->heartbeat_interval_s),
       table_(TableOptions(*deps_.settings, *deps_.options), Now()),
-      yield_policy_(YieldOptions(*deps_.settings, *deps_.options)),
-      reports_(HandoverPolicy::kCountedPart * deps_.settings->heartbeat_interval_s, Now()),
-      next_tick_(Now() + probe_s_),
-      pause_seen_(Now()) {
+      handover_policy_(HandoverOptions(*deps_.settings, *deps_.options)),
+      worker_reports_(HandoverPolicy::kReportCountPeriods * deps_.settings->heartbeat_interval_s,
+                      Now()),
+      next_tick_at_(Now() + probe_s_),
+      last_handled_pause_(Now()) {
   for (const std::string& node : deps_.settings->OtherNodes()) links_[node];
 }
 
@@ -82,57 +83,58 @@
     if (!deps_.cache->loaded()) {
       auto wait = deps_.cache->changed().Await(scope_, probe_s_);
       co_await wait;
-      next_tick_ = Now();
+      next_tick_at_ = Now();
       continue;
     }
     Tick();
-    async::Sleep pause(scope_, std::max(0.0, next_tick_ - Now()));
+    async::Sleep pause(scope_, std::max(0.0, next_tick_at_ - Now()));
     co_await pause;
   }
 }
 
 void Service::Tick() {
   const double now = Now();
-  const double late_s = std::max(0.0, now - next_tick_);
-  turn_delay_s_ += kTurnWeight * (late_s - turn_delay_s_);
-  next_tick_ = now + probe_s_;
-  NotePause(now);
+  const double late_s = std::max(0.0, now - next_tick_at_);
+  loop_delay_s_ += kLoopDelayWeight * (late_s - loop_delay_s_);
+  next_tick_at_ = now + probe_s_;
+  HandlePause(now);
   table_.SetVitals(Vitals(now));
   for (Proposal& proposal : table_.Tick(now, !deps_.client->down())) {
-    scope_.Spawn(Carry(std::move(proposal)));
+    scope_.Spawn(ExecuteProposal(std::move(proposal)));
   }
-  ReviewLead(now);
+  ReviewLeadership(now);
   SendProbes(now);
 }
 
-void Service::NotePause(double now) {
+void Service::HandlePause(double now) {
   const double resumed_at = scope_.loop().resumed_at();
-  if (resumed_at <= pause_seen_) return;
-  pause_seen_ = resumed_at;
+  if (resumed_at <= last_handled_pause_) return;
+  last_handled_pause_ = resumed_at;
   table_.OnPause(now);
-  yield_policy_.OnPause();
-  reports_.Reset(now);
+  handover_policy_.OnPause();
+  worker_reports_.Reset(now);
 }
 
 model::MemberVitals Service::Vitals(double now) {
   model::MemberVitals vitals;
   vitals.leading = deps_.election->leading();
   vitals.state_direct = deps_.cache->loaded() && !deps_.client->down();
-  vitals.turn_delay_ms = static_cast<uint64_t>(turn_delay_s_ * kMsPerS);
-  vitals.worker_reports = reports_.Last(now);
+  vitals.turn_delay_ms = static_cast<uint64_t>(loop_delay_s_ * kMsPerS);
+  vitals.worker_reports = worker_reports_.Last(now);
   return vitals;
 }
 
 bool Service::MayProbe(const std::string& node, const Link& link, double now) const {
-  return now >= link.not_before && deps_.understands(node);
+  return now >= link.next_probe_at && deps_.supports_membership(node);
 }
 
 void Service::SendProbes(double now) {
   const wire::MemberStatus status = table_.Status(now);
   for (auto& [node, link] : links_) {
     if (!MayProbe(node, link, now)) continue;
-    link.asked[++sequence_] = now;
-    if (link.asked.size() > kMaxAsked) link.asked.erase(link.asked.begin());
+    link.sent_probes[++sequence_] = now;
+    if (link.sent_probes.size() > kMaxOutstandingProbes)
+      link.sent_probes.erase(link.sent_probes.begin());
     link.probed = true;
     deps_.send(node, wire::MemberProbe{sequence_, status});
   }
@@ -142,11 +144,11 @@
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
-  link.asked.clear();
+  link.sent_probes.clear();
   if (!up && link.probed) {
     link.unanswered_links = link.answered ? 0 : link.unanswered_links + 1;
     if (link.unanswered_links >= kMaxUnansweredLinks) {
-      link.not_before = Now() + deps_.settings->lease_s;
+      link.next_probe_at = Now() + deps_.settings->lease_s;
     }
   }
   link.probed = link.answered = false;
@@ -154,8 +156,8 @@
 
 void Service::OnConnectionRefused(const std::string& node) { table_.OnConnectionRefused(node); }
 
-void Service::OnStatusAnswered(const std::string& node, double asked) {
-  table_.OnStatusAnswered(node, asked);
+void Service::OnStatusAnswered(const std::string& node, double requested_at) {
+  table_.OnStatusAnswered(node, requested_at);
 }
 
 wire::MemberAnswer Service::OnProbe(const wire::MemberProbe& probe) {
@@ -167,84 +169,86 @@
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
-  auto asked = link.asked.find(answer.sequence);
-  if (asked == link.asked.end()) return;
+  auto sent = link.sent_probes.find(answer.sequence);
+  if (sent == link.sent_probes.end()) return;
   if (answer.status.node != node) {
-    spdlog::warn("membership: the node at {}'s address calls itself {}", node, answer.status.node);
+    spdlog::warn("membership: answer from an unexpected node: node={} reported={}", node,
+                 answer.status.node);
     return;
   }
-  const double at = asked->second;
-  link.asked.erase(asked);
+  const double sent_at = sent->second;
+  link.sent_probes.erase(sent);
   link.answered = true;
-  table_.OnAnswer(answer.status, at, Now());
+  table_.OnAnswer(answer.status, sent_at, Now());
 }
 
-void Service::OnWorkerReport() { reports_.Add(Now()); }
+void Service::OnWorkerReport() { worker_reports_.Add(Now()); }
 
 void Service::OnRecord(const std::string& node, const std::string& value) {
   const std::optional<MemberRecord> record = value.empty() ? std::nullopt : ReadMember(value);
   if (!value.empty() && !record) {
-    spdlog::warn("membership: the record of {} can't be read; it counts as none", node);
+    spdlog::warn("membership: a malformed record is treated as missing: node={}", node);
   }
   const uint64_t version = value.empty() ? 0 : deps_.cache->Version(store::MemberKey(node));
   table_.OnRecord(node, record, version, Now());
-  if (table_.Judged() && judged_session_ != table_.incarnation().session) {
-    judged_session_ = table_.incarnation().session;
+  if (table_.DeclaredFailed() && logged_failed_session_ != table_.incarnation().session) {
+    logged_failed_session_ = table_.incarnation().session;
     spdlog::warn(
-        "membership: session {} was judged as failed by {}: {}; nothing from before is "
-        "acted on, and this node joins again",
-        judged_session_, record ? record->by : "", record ? record->reason : "");
+        "membership: this node was declared failed and rejoins as a new session: session={} by={} "
+        "reason={}",
+        logged_failed_session_, record ? record->by : "", record ? record->reason : "");
   }
-  ReviewLead(Now());
+  ReviewLeadership(Now());
 }
 
 void Service::OnLeaderRecord() {
   const std::string leader = deps_.election->leader();
-  if (leader.empty() || leader == leader_) return;
-  handover_from_ = leader_;
+  if (leader.empty() || leader == last_leader_) return;
+  handover_from_ = last_leader_;
   handover_to_ = leader;
   handover_at_ = Now();
-  leader_ = leader;
-  yield_policy_.OnLeaderChanged(handover_at_);
-  if (leader != deps_.settings->node) table_.SetYieldsTo("");
+  last_leader_ = leader;
+  handover_policy_.OnLeaderChanged(handover_at_);
+  if (leader != deps_.settings->node) table_.SetSuccessor("");
 }
 
-void Service::ReviewLead(double now) {
+void Service::ReviewLeadership(double now) {
   election::LeaderElection& election = *deps_.election;
   if (!election.leading()) {
-    // A judged leader's lease is ended for it. It can't have led again since: it must have joined
-    // anew for that, and its record would say so.
+    // Revokes the lease of a leader that was declared failed. The leader can't have been elected
+    // again since: it would have had to rejoin first, and then its record would not say "failed".
     if (table_.Failed(election.leader())) election.OnNodeFailed(election.leader());
     return;
   }
-  if (table_.Judged()) election.Resign(0, "this node was judged as failed");
+  if (table_.DeclaredFailed()) election.Resign(0, "this node was declared failed");
   if (table_.Superseded()) {
     election.Resign(deps_.settings->lease_s, "another process runs under this node's name");
   }
-  if (now < next_review_ || !reports_.Complete(now)) return;
-  next_review_ = now + deps_.settings->heartbeat_interval_s / kReviews;
-  auto yield = yield_policy_.Decide(Vitals(now), deps_.machines(), table_.FreshVitals(now), now);
-  if (!yield) return;
-  table_.SetYieldsTo(yield->to);
+  if (now < next_review_at_ || !worker_reports_.Complete(now)) return;
+  next_review_at_ = now + deps_.settings->heartbeat_interval_s / kReviewsPerHeartbeat;
+  auto handover = handover_policy_.Decide(Vitals(now), deps_.expected_machines(),
+                                          table_.ResponsiveMemberVitals(now), now);
+  if (!handover) return;
+  table_.SetSuccessor(handover->to);
   SendProbes(now);
-  election.Resign(deps_.settings->lease_s, yield->reason + "; " + yield->to + " is to lead");
+  election.Resign(deps_.settings->lease_s, handover->reason + "; " + handover->to + " takes over");
 }
 
 double Service::TakeDelayS() const {
   const std::string successor = table_.SuccessorNamedByOthers(Now());
-  const bool another = !successor.empty() && successor != deps_.settings->node;
-  return another ? kSuccessorIntervals * probe_s_ : 0;
+  const bool names_another = !successor.empty() && successor != deps_.settings->node;
+  return names_another ? kSuccessorHeadStartProbes * probe_s_ : 0;
 }
 
-async::Task<bool> Service::Write(const Proposal& proposal) {
+async::Task<bool> Service::CommitProposal(const Proposal& proposal) {
   const std::string key = store::MemberKey(proposal.node);
   const std::string value = WriteMember(proposal.record);
   std::vector<model::KeyWrite> writes = {{key, value, 0}};
-  const double asked = Now();
+  const double requested_at = Now();
   auto r = co_await deps_.client->Commit(proposal.preconditions, std::move(writes),
                                          store::RequestPriority::kUrgent);
   if (r.ok()) {
-    table_.OnStateRoundTrip(Now() - asked);
+    table_.OnStateRoundTrip(Now() - requested_at);
     deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
     co_return true;
   }
@@ -257,13 +261,13 @@
   co_return false;
 }
 
-async::Task<> Service::Carry(Proposal proposal) {
-  bool written = co_await Write(proposal);
+async::Task<> Service::ExecuteProposal(Proposal proposal) {
+  bool written = co_await CommitProposal(proposal);
   if (written) {
-    spdlog::info("membership: {} of {} recorded (session {}, refutation {}){}",
+    spdlog::info("membership: recorded: change={} node={} session={} refutation={}{}",
                  KindName(proposal.kind), proposal.node, proposal.record.incarnation.session,
                  proposal.record.incarnation.refutation,
-                 proposal.record.reason.empty() ? "" : ": " + proposal.record.reason);
+                 proposal.record.reason.empty() ? "" : " reason=" + proposal.record.reason);
   }
   table_.OnProposalDone(proposal.node, Now());
 }
@@ -271,16 +275,16 @@
 async::Task<> Service::Leave() {
   table_.SetLeaving();
   SendProbes(Now());
-  deps_.election->Resign(deps_.settings->lease_s, "this node ends");
-  const double limit_s = kLeavePart * deps_.settings->heartbeat_interval_s;
+  deps_.election->Resign(deps_.settings->lease_s, "this node is shutting down");
+  const double limit_s = kLeaveTimeoutPeriods * deps_.settings->heartbeat_interval_s;
   const double end = Now() + limit_s;
   while (!scope_.cancelled() && deps_.election->holds_lease() && Now() < end) {
-    async::Sleep pause(scope_, limit_s / kLeavePolls);
+    async::Sleep pause(scope_, limit_s / kLeasePollsBeforeLeaving);
     co_await pause;
   }
-  auto leave = table_.Leave();
+  auto leave = table_.ProposeLeave();
   if (!leave || deps_.client->down()) co_return;
-  bool written = co_await Write(*leave);
+  bool written = co_await CommitProposal(*leave);
   if (written) spdlog::info("membership: this node has left");
 }
 
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -1,5 +1,5 @@
-// Runs a node's part of the membership (member_table.h): sends probes over the links to the other
-// nodes, carries proposals to the state service, and turns what comes of them into handovers.
+// Runs a node's part of the membership (member_table.h): sends probes to the other nodes, commits
+// proposals to the state service, and gives up or revokes leadership as member records require.
 #pragma once
 
 #include <functional>
@@ -31,79 +31,85 @@
     store::Client* client;
     store::WatchCache* cache;
     election::LeaderElection* election;
-    // Puts a message on the link to a node; nothing happens while there is none.
+    // Sends a message on the link to a node; does nothing if there is no link.
     std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
-    // Whether a node has said that it understands the messages of wire::MemberProbe and after.
-    std::function<bool(const std::string& node)> understands;
-    // Machines that should report to the leader.
-    std::function<size_t()> machines;
+    // Returns whether a node supports membership messages (wire::MemberProbe and later).
+    std::function<bool(const std::string& node)> supports_membership;
+    // Returns the number of machines that should report to the leader.
+    std::function<size_t()> expected_machines;
   };
   Service(async::Scope& scope, Dependencies dependencies);
 
-  // The routine that probes and proposes for as long as its scope lives.
+  // Sends probes and commits proposals until the scope is cancelled.
   async::Task<> Run();
 
-  // A member's record on the state service has changed; an empty value: it was dropped.
+  // Called when a member's record on the state service has changed; `value` is empty if it was
+  // deleted.
   void OnRecord(const std::string& node, const std::string& value);
-  // The record of the leader has changed.
+  // Called when the leader record has changed.
   void OnLeaderRecord();
+  // Called when the link to a node is established (`up`) or broken.
   void OnLink(const std::string& node, bool up);
   void OnConnectionRefused(const std::string& node);
-  void OnStatusAnswered(const std::string& node, double asked);
+  void OnStatusAnswered(const std::string& node, double requested_at);
   wire::MemberAnswer OnProbe(const wire::MemberProbe& probe);
-  // `node`: whose link it came by.
+  // `node` is the node whose link delivered the answer.
   void OnAnswer(const std::string& node, const wire::MemberAnswer& answer);
-  // A worker's report has reached this node, whatever becomes of it.
+  // Called for every worker report that reaches this node, whether or not it is accepted.
   void OnWorkerReport();
 
-  // Of this process; 0: it has not joined, or is not in good standing.
+  // The session of this process; 0 while it is not an active member (IsActiveMember()).
   uint64_t session() const { return table_.IsActiveMember() ? table_.incarnation().session : 0; }
   bool MayLead() const { return table_.IsActiveMember(); }
-  // How long a named successor is left to take the lead first.
+  // Returns how long this node waits before it tries to lead, so that the successor named by the
+  // former leader can go first; 0 if no other node was named.
   double TakeDelayS() const;
   std::vector<model::Precondition> LeadershipPreconditions() const {
-    return table_.OwnPreconditions();
+    return table_.ActiveMemberPreconditions();
   }
 
-  // An orderly end: the lead is given up, and the record says that this node has left.
+  // Shuts down in order: resigns as the leader and records that this node has left.
   async::Task<> Leave();
   wire::MembersReport Report() const;
 
  private:
-  // What has been sent to a node by its present link.
+  // The probes to a node on its current link, and how its earlier links ended.
   struct Link {
-    std::map<uint64_t, double> asked;  // steady times of probes without an answer, by sequence
+    std::map<uint64_t, double> sent_probes;  // steady times (s) of unanswered probes, by sequence
     bool probed = false;
     bool answered = false;
-    int unanswered_links = 0;  // in a row: probed, and closed without an answer
-    double not_before = 0;
+    int unanswered_links = 0;  // consecutive links that closed without an answer to any probe
+    double next_probe_at = 0;
   };
   void Tick();
-  void NotePause(double now);
+  void HandlePause(double now);
   void SendProbes(double now);
   bool MayProbe(const std::string& node, const Link& link, double now) const;
-  void ReviewLead(double now);
+  // Revokes the lease of a failed leader, and resigns if this node must or should not lead.
+  void ReviewLeadership(double now);
   model::MemberVitals Vitals(double now);
-  async::Task<> Carry(Proposal proposal);
-  async::Task<bool> Write(const Proposal& proposal);
+  // Commits a proposal, logs it and reports the outcome to the member table.
+  async::Task<> ExecuteProposal(Proposal proposal);
+  // Returns true if the transaction succeeded. After a conflict, refreshes the copies that differ.
+  async::Task<bool> CommitProposal(const Proposal& proposal);
   double Now() const { return scope_.loop().Now(); }
 
   async::Scope& scope_;
   const Dependencies deps_;
   const double probe_s_;
   MemberTable table_;
-  HandoverPolicy yield_policy_;
-  ReportCounter reports_;
+  HandoverPolicy handover_policy_;
+  ReportCounter worker_reports_;
   std::map<std::string, Link> links_;
   uint64_t sequence_ = 0;
-  double next_tick_;
-  double turn_delay_s_ = 0;
-  double pause_seen_;
-  double next_review_ = 0;
-  std::string leader_;
+  double next_tick_at_;
+  double loop_delay_s_ = 0;
+  double last_handled_pause_;  // steady time (s)
+  double next_review_at_ = 0;
+  std::string last_leader_;  // empty until the first leader is known
   std::string handover_from_, handover_to_;
   double handover_at_ = 0;
-  uint64_t judged_session_ = 0;  // told in the log
+  uint64_t logged_failed_session_ = 0;  // the last session whose failure was logged
 };
 
 }  // namespace hallpier::membership
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Addresses of the settings: IPv4 and a port. Names are never looked up.
+// Parses the addresses of the settings: an IPv4 address and a port. Host names are not supported.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 
 namespace hallpier::net {
 
-// Of "10.0.0.1:8080"; nothing if the text is not of that form.
+// Parses text like "10.0.0.1:8080". Returns std::nullopt if it has another form.
 std::optional<sockaddr_in> ParseAddress(std::string_view text);
 
 }  // namespace hallpier::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -6,64 +6,64 @@
 namespace hallpier::net {
 
 std::optional<Stream> HttpClient::TakeIdle(const std::string& endpoint) {
-  auto it = idle_.find(endpoint);
-  while (it != idle_.end()) {
+  auto it = idle_streams_.find(endpoint);
+  while (it != idle_streams_.end()) {
     Stream s = std::move(it->second.back());
     it->second.pop_back();
-    --all_;
+    --idle_count_;
     if (it->second.empty()) {
-      idle_.erase(it);
-      it = idle_.end();
+      idle_streams_.erase(it);
+      it = idle_streams_.end();
     }
     if (!s.Stale()) return s;
   }
   return std::nullopt;
 }
 
-void HttpClient::GiveUpOne() {
-  auto it = idle_.upper_bound(turn_);
-  if (it == idle_.end()) it = idle_.begin();
-  turn_ = it->first;
+void HttpClient::EvictIdle() {
+  auto it = idle_streams_.upper_bound(last_evicted_endpoint_);
+  if (it == idle_streams_.end()) it = idle_streams_.begin();
+  last_evicted_endpoint_ = it->first;
   it->second.pop_back();
-  --all_;
-  if (it->second.empty()) idle_.erase(it);
+  --idle_count_;
+  if (it->second.empty()) idle_streams_.erase(it);
 }
 
-void HttpClient::Keep(const std::string& endpoint, Stream stream) {
-  // Endpoints come and go by the thousand: what is kept for them is bounded, and they give up their
-  // connections in turn.
-  while (all_ > 0 && all_ + busy_ > max_all_) GiveUpOne();
-  if (busy_ > max_all_) return;
-  auto& pool = idle_[endpoint];
+void HttpClient::KeepIdle(const std::string& endpoint, Stream stream) {
+  // Thousands of endpoints appear and disappear. The number of connections kept for them is
+  // bounded, and endpoints lose idle connections in turn.
+  while (idle_count_ > 0 && idle_count_ + active_calls_ > max_total_) EvictIdle();
+  if (active_calls_ > max_total_) return;
+  auto& pool = idle_streams_[endpoint];
   if (pool.size() < max_idle_) {
     pool.push_back(std::move(stream));
-    ++all_;
+    ++idle_count_;
   }
 }
 
 async::Task<std::optional<wire::HttpResponse>> HttpClient::Call(async::Scope& scope,
                                                                 std::string endpoint,
                                                                 wire::HttpRequest request,
-                                                                double timeout_s, bool repeatable) {
+                                                                double timeout_s, bool idempotent) {
   const double deadline = scope.loop().Now() + timeout_s;
   const std::string bytes = wire::Serialize(request, endpoint);
-  struct Busy {
-    explicit Busy(size_t* n) : n(n) { ++*n; }
-    ~Busy() { --*n; }
-    size_t* n;
+  struct ActiveCall {
+    explicit ActiveCall(size_t* count) : count(count) { ++*count; }
+    ~ActiveCall() { --*count; }
+    size_t* count;
   };
-  Busy busy(&busy_);
+  ActiveCall active_call(&active_calls_);
   for (int attempt = 0; attempt < 2; ++attempt) {
     std::optional<Stream> stream;
     if (attempt == 0) stream = TakeIdle(endpoint);
-    const bool kept = stream.has_value();
-    if (!kept) {
+    const bool reused = stream.has_value();
+    if (!reused) {
       auto to = ParseAddress(endpoint);
       if (!to) co_return std::nullopt;
-      if (all_ > 0 && all_ + busy_ > max_all_) GiveUpOne();
+      if (idle_count_ > 0 && idle_count_ + active_calls_ > max_total_) EvictIdle();
       stream = co_await Stream::Connect(scope, *to, deadline);
-      // After a pause of the process the connection may be there although the time is over: what is
-      // not wanted any more must not be sent.
+      // After a pause of the process the connection may be established although the deadline has
+      // passed. A request that is no longer wanted must not be sent.
       if (!stream || scope.loop().Now() >= deadline) co_return std::nullopt;
     }
     wire::HttpParser parser(wire::HttpParser::Kind::kResponse, max_body_);
@@ -78,11 +78,11 @@
     }
     if (state == wire::HttpParser::State::kDone) {
       wire::HttpResponse response = parser.TakeResponse();
-      if (response.keep_alive) Keep(endpoint, std::move(*stream));
+      if (response.keep_alive) KeepIdle(endpoint, std::move(*stream));
       co_return response;
     }
-    bool again = kept && repeatable && !parser.started() && scope.loop().Now() < deadline;
-    if (!again) co_return std::nullopt;
+    bool retry = reused && idempotent && !parser.started() && scope.loop().Now() < deadline;
+    if (!retry) co_return std::nullopt;
   }
   co_return std::nullopt;
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP calls over kept connections, a bounded number per endpoint.
+// An HTTP client that reuses connections and bounds how many it keeps.
 #pragma once
 
 #include <map>
@@ -11,38 +11,42 @@
 
 namespace hallpier::net {
 
-// How a request fared that was to go by way of another node.
+// The outcome of a request that was to be relayed by another node.
 struct RelayResult {
-  bool sent = false;  // without an answer it may still be carried out
+  bool sent = false;  // if so, it may be executed even if there is no answer
   std::optional<wire::HttpResponse> answer;
 };
 
 class HttpClient {
  public:
-  // `max_idle` connections are kept per endpoint, and `max_all` in all, those in use included;
-  // `max_body` bounds what an answer may hold. Who calls bounds how many calls go out at a time.
-  HttpClient(size_t max_idle, size_t max_body, size_t max_all = 64)
-      : max_idle_(max_idle), max_body_(max_body), max_all_(max_all) {}
-  size_t idle() const { return all_; }
-
-  // Nothing means that no answer came in time: the request may have been executed, or may yet be.
-  // A call that finds its kept connection closed is sent again only if `repeatable`.
+  // Keeps up to `max_idle` idle connections per endpoint, and up to `max_total` connections in all,
+  // including those in use. `max_body` limits the size of an answer's body. Callers limit the
+  // number of concurrent calls.
+  HttpClient(size_t max_idle, size_t max_body, size_t max_total = 64)
+      : max_idle_(max_idle), max_body_(max_body), max_total_(max_total) {}
+  size_t idle() const { return idle_count_; }
+
+  // Returns std::nullopt if no answer arrived in time: the request may have been executed, or may
+  // still be. If a reused connection turns out to be closed, the request is sent again only if it
+  // is `idempotent`.
   async::Task<std::optional<wire::HttpResponse>> Call(async::Scope& scope, std::string endpoint,
                                                       wire::HttpRequest request, double timeout_s,
-                                                      bool repeatable);
+                                                      bool idempotent);
 
  private:
+  // Returns an idle connection to the endpoint that is still usable; std::nullopt if there is none.
   std::optional<Stream> TakeIdle(const std::string& endpoint);
-  void Keep(const std::string& endpoint, Stream stream);
-  void GiveUpOne();
+  void KeepIdle(const std::string& endpoint, Stream stream);
+  // Closes one idle connection, taking the endpoints in turn. Requires that there is one.
+  void EvictIdle();
 
   const size_t max_idle_;
   const size_t max_body_;
-  const size_t max_all_;
-  std::map<std::string, std::vector<Stream>> idle_;  // no empty entries
-  size_t all_ = 0;
-  size_t busy_ = 0;   // calls under way, each with a connection
-  std::string turn_;  // the endpoint that gave one up last
+  const size_t max_total_;
+  std::map<std::string, std::vector<Stream>> idle_streams_;  // no empty entries
+  size_t idle_count_ = 0;
+  size_t active_calls_ = 0;  // calls in flight, each with a connection
+  std::string last_evicted_endpoint_;
 };
 
 }  // namespace hallpier::net
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -7,13 +7,14 @@
 
 namespace hallpier::net {
 namespace {
-constexpr size_t kSlack = 32;
+// Connections accepted above the limit: max_connections / kExtraConnectionsDivisor + 1.
+constexpr size_t kExtraConnectionsDivisor = 32;
 }  // namespace
 
 bool HttpServer::Listen(const std::string& address, std::string* error) {
   auto at = ParseAddress(address);
   if (!at) {
-    *error = "not an address";
+    *error = "not an IPv4 address with a port: " + address;
     return false;
   }
   auto listener = Listener::Open(*at, error);
@@ -25,30 +26,32 @@
 struct HttpServer::Connection {
   explicit Connection(Stream s) : stream(std::move(s)) {}
   Stream stream;
-  double heard = 0;                           // of its last request, or when it came
-  bool busy = false;                          // a request of it is under way
-  bool last_request = false;                  // there is no room to keep it open
-  bool listed = false;                        // in by_silence_, and counted in its share
-  std::optional<size_t> share;                // nothing before its first request
-  std::list<Connection*>::iterator position;  // in by_silence_
+  double last_active = 0;     // steady time (s) of its last request, or of its start
+  bool busy = false;          // one of its requests is being handled
+  bool last_request = false;  // close it after this request, since no connection is free
+  bool tracked = false;       // in least_recently_active_, and counted in its class
+  std::optional<size_t> connection_class;     // std::nullopt before its first request
+  std::list<Connection*>::iterator position;  // in least_recently_active_
 };
 
 void HttpServer::Remove(Connection& c) {
-  if (!c.listed) return;
-  c.listed = false;
-  by_silence_.erase(c.position);
-  if (c.share) --used_[*c.share];
+  if (!c.tracked) return;
+  c.tracked = false;
+  least_recently_active_.erase(c.position);
+  if (c.connection_class) --open_by_class_[*c.connection_class];
 }
 
-bool HttpServer::MakeRoom() {
-  const double since = scope_.loop().Now() - limits_.evictable_after_s;
-  for (Connection* c : by_silence_) {
+bool HttpServer::EvictConnection() {
+  const double last_active_limit = scope_.loop().Now() - limits_.evictable_after_s;
+  for (Connection* c : least_recently_active_) {
     if (c->busy) continue;
-    // Machines that died never close their connections; and who is beyond its share asks again.
-    const bool beyond =
-        c->share && used_[*c->share] > limits_.connection_classes[*c->share].reserved;
-    if (c->heard > since && !beyond) continue;
-    // Its routine finds the stream ended and ends as well; its place is free at once.
+    // Machines that died never close their connections, so inactive connections are evicted. A
+    // class above its reservation loses connections in any case, since its clients connect again.
+    const bool over_reservation =
+        c->connection_class && open_by_class_[*c->connection_class] >
+                                   limits_.connection_classes[*c->connection_class].reserved;
+    if (c->last_active > last_active_limit && !over_reservation) continue;
+    // Its coroutine ends as well once it finds the stream closed; its place is free at once.
     c->stream.Shutdown();
     Remove(*c);
     return true;
@@ -56,49 +59,51 @@
   return false;
 }
 
-bool HttpServer::Admit(Connection& c, const wire::HttpRequest& request) {
-  if (!c.listed) return true;  // was given up while its request came in: answered, then closed
+bool HttpServer::AdmitRequest(Connection& c, const wire::HttpRequest& request) {
+  if (!c.tracked) return true;  // evicted while its request arrived: answered, then closed
   for (size_t i = 0; i < limits_.connection_classes.size(); ++i) {
     if (!limits_.connection_classes[i].matches(request)) continue;
-    if (c.share == i) return true;
-    if (connections() > limits_.max_connections && !MakeRoom() &&
-        used_[i] >= limits_.connection_classes[i].reserved) {
+    if (c.connection_class == i) return true;
+    if (connections() > limits_.max_connections && !EvictConnection() &&
+        open_by_class_[i] >= limits_.connection_classes[i].reserved) {
       c.last_request = true;
       return limits_.connection_classes[i].periodic;
     }
-    if (c.share) --used_[*c.share];
-    c.share = i;
-    ++used_[i];
+    if (c.connection_class) --open_by_class_[*c.connection_class];
+    c.connection_class = i;
+    ++open_by_class_[i];
     return true;
   }
   return true;
 }
 
 async::Task<> HttpServer::AcceptLoop(Listener listener) {
-  // A few more may come in than there is room for: their first request tells whose share they are
-  // of, and who can't be taken is told so. Beyond that they are closed at once and go elsewhere.
-  const size_t reserved = limits_.max_connections + limits_.max_connections / kSlack + 1;
+  // Accepts a few connections above the limit, because only the first request shows the class of a
+  // connection; a client that can't be admitted gets an error response. Connections beyond that are
+  // closed at once, so that their clients try another node.
+  const size_t max_accepted =
+      limits_.max_connections + limits_.max_connections / kExtraConnectionsDivisor + 1;
   while (!scope_.cancelled()) {
     std::optional<Stream> stream = co_await listener.Accept(scope_);
     if (!stream) {
-      // Out of sockets: those in use must end before another can be taken.
-      MakeRoom();
+      // The process is out of sockets: one in use must be closed before another can be accepted.
+      EvictConnection();
       async::Sleep pause(scope_, limits_.request_s / 50);
       co_await pause;
       continue;
     }
-    if (connections() < reserved || MakeRoom()) scope_.Spawn(Serve(std::move(*stream)));
+    if (connections() < max_accepted || EvictConnection()) scope_.Spawn(Serve(std::move(*stream)));
   }
 }
 
 async::Task<> HttpServer::Serve(Stream stream) {
   Connection c(std::move(stream));
-  c.heard = scope_.loop().Now();
-  c.position = by_silence_.insert(by_silence_.end(), &c);
-  c.listed = true;
+  c.last_active = scope_.loop().Now();
+  c.position = least_recently_active_.insert(least_recently_active_.end(), &c);
+  c.tracked = true;
   wire::HttpParser parser(wire::HttpParser::Kind::kRequest, limits_.max_body);
   bool open = true;
-  double deadline = c.heard + limits_.idle_s;
+  double deadline = c.last_active + limits_.idle_s;
   bool started = false, answered = false;
   while (open) {
     auto state = parser.Parse();
@@ -112,8 +117,10 @@
       parser.Feed(data);
       continue;
     }
-    c.heard = scope_.loop().Now();
-    if (c.listed) by_silence_.splice(by_silence_.end(), by_silence_, c.position);
+    c.last_active = scope_.loop().Now();
+    if (c.tracked)
+      least_recently_active_.splice(least_recently_active_.end(), least_recently_active_,
+                                    c.position);
     wire::HttpResponse response;
     if (state == wire::HttpParser::State::kError) {
       response.status = parser.error_status();
@@ -121,11 +128,11 @@
       response.keep_alive = false;
     } else {
       wire::HttpRequest request = parser.TakeRequest();
-      const bool keep = request.keep_alive;
-      // Nobody waits for this answer any more. Who stood still, or has fallen behind, finds many
-      // such requests; to take them up would only make the others late as well.
-      if (keep && c.stream.Ended()) break;
-      if (Admit(c, request)) {
+      const bool client_keeps_alive = request.keep_alive;
+      // The client no longer waits for the answer. A process that was paused or is overloaded finds
+      // many such requests; handling them would only delay the others as well.
+      if (client_keeps_alive && c.stream.PeerClosed()) break;
+      if (AdmitRequest(c, request)) {
         c.busy = true;
         response = co_await handler_(std::move(request));
         c.busy = false;
@@ -135,7 +142,7 @@
         response.retry_after_s = 1;
         response.keep_alive = false;
       }
-      response.keep_alive = response.keep_alive && keep && !c.last_request;
+      response.keep_alive = response.keep_alive && client_keeps_alive && !c.last_request;
     }
     open = response.keep_alive;
     const std::string bytes = wire::Serialize(response);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP server: one routine per connection, a bounded number of them.
+// An HTTP server with one coroutine per connection and a bounded number of connections.
 #pragma once
 
 #include <functional>
@@ -14,50 +14,52 @@
 class HttpServer {
  public:
   using Handler = std::function<async::Task<wire::HttpResponse>(wire::HttpRequest)>;
-  // Whose requests `matches` holds for may always have so many connections, and more while there is
-  // room; what is borrowed so is given back as soon as others need it.
+  // A class of connections: those whose requests `matches` accepts. A class may always have
+  // `reserved` connections, and more while others are free; additional ones are closed as soon as
+  // other classes need them.
   struct ConnectionClass {
     std::function<bool(const wire::HttpRequest&)> matches;
     size_t reserved;
-    // Who asks at long intervals needs no connection in between: where there is no room to keep
-    // one, the request is answered and the connection closed.
+    // Clients of this class send requests at long intervals and need no connection in between: if
+    // no connection is free, the request is answered and the connection closed.
     bool periodic = false;
   };
   struct Limits {
     size_t max_connections;
     size_t max_body;
     double idle_s;     // a connection without a request is closed after this
-    double request_s;  // a request must be there this long after its first byte
-    // Who has been silent for so long gives up its connection where there is no room for others.
+    double request_s;  // a request must be complete this long after its first byte
+    // A connection without a request for this long is closed if another one needs its place.
     double evictable_after_s;
-    std::vector<ConnectionClass> connection_classes = {};  // the first that takes a request counts
+    std::vector<ConnectionClass> connection_classes =
+        {};  // the first that matches a request applies
   };
 
   HttpServer(async::Scope& scope, Limits limits, Handler handler)
       : scope_(scope),
         limits_(std::move(limits)),
         handler_(std::move(handler)),
-        used_(limits_.connection_classes.size(), 0) {}
+        open_by_class_(limits_.connection_classes.size(), 0) {}
 
   bool Listen(const std::string& address, std::string* error);
-  size_t connections() const { return by_silence_.size(); }
+  size_t connections() const { return least_recently_active_.size(); }
 
  private:
   struct Connection;
   async::Task<> AcceptLoop(Listener listener);
   async::Task<> Serve(Stream stream);
-  // False if its share has no room left, not even for one request.
-  bool Admit(Connection& c, const wire::HttpRequest& request);
-  // Ends the connection that has been silent for longest among those that must give way; false if
-  // there is none.
-  bool MakeRoom();
+  // Returns false if the class of the request has no connection left, not even for one request.
+  bool AdmitRequest(Connection& c, const wire::HttpRequest& request);
+  // Closes the longest inactive connection among those that may be evicted. Returns false if there
+  // is none.
+  bool EvictConnection();
   void Remove(Connection& c);
 
   async::Scope& scope_;
   const Limits limits_;
   const Handler handler_;
-  std::list<Connection*> by_silence_;  // longest first
-  std::vector<size_t> used_;           // connections by share
+  std::list<Connection*> least_recently_active_;  // the longest inactive one first
+  std::vector<size_t> open_by_class_;             // number of connections, by class
 };
 
 }  // namespace hallpier::net
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -13,15 +13,15 @@
 namespace hallpier::net {
 namespace {
 
-// Pings per report period.
-constexpr double kBeats = 8;
-// A status is believed for this many beats.
-constexpr double kFreshBeats = 3;
-// A link that brought nothing for this many beats is broken.
-constexpr double kDeadBeats = 6;
+// Pings per heartbeat period.
+constexpr double kPingsPerHeartbeat = 8;
+// A status is fresh for this many ping intervals.
+constexpr double kFreshPings = 3;
+// A link without incoming data for this many ping intervals is considered broken.
+constexpr double kDeadLinkPings = 6;
 constexpr double kRelayTimeoutS = 0.8;
-// Requests that wait for one peer at a time; more are refused at once.
-constexpr size_t kMaxPending = 64;
+// Limit of relayed requests that wait for one peer; a peer at the limit is not chosen.
+constexpr size_t kMaxPendingRelays = 64;
 
 }  // namespace
 
@@ -33,7 +33,9 @@
   }
 }
 
-double PeerMesh::beat() const { return settings_.heartbeat_interval_s / kBeats; }
+double PeerMesh::PingIntervalS() const {
+  return settings_.heartbeat_interval_s / kPingsPerHeartbeat;
+}
 
 bool PeerMesh::Start(std::string* error) {
   auto at = ParseAddress(settings_.peer_bind);
@@ -44,46 +46,50 @@
   return true;
 }
 
-bool PeerMesh::Fresh(const Peer& p) const {
-  return p.connected && scope_.loop().Now() - p.heard < kFreshBeats * beat();
+bool PeerMesh::HasFreshStatus(const Peer& p) const {
+  return p.connected && scope_.loop().Now() - p.status_requested_at < kFreshPings * PingIntervalS();
 }
 
-bool PeerMesh::AnyFresh() const {
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& p) { return Fresh(*p); });
+bool PeerMesh::AnyFreshStatus() const {
+  return std::any_of(peers_.begin(), peers_.end(),
+                     [&](const auto& p) { return HasFreshStatus(*p); });
 }
 
 bool PeerMesh::AllPeersReportOutage() const {
   return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
-    return Fresh(*p) && !p->status.state_reachable;
+    return HasFreshStatus(*p) && !p->status.state_reachable;
   });
 }
 
 bool PeerMesh::AnyPeerReachesState() const {
-  return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const auto& p) { return Fresh(*p) && p->status.state_reachable; });
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& p) {
+    return HasFreshStatus(*p) && p->status.state_reachable;
+  });
 }
 
 async::Task<RelayResult> PeerMesh::Relay(wire::HttpRequest request) {
   Peer* best = nullptr;
   for (auto& p : peers_) {
-    if (!Fresh(*p) || !p->status.state_reachable || p->pending.size() >= kMaxPending) continue;
-    if (best == nullptr || p->pending.size() < best->pending.size()) best = p.get();
+    if (!HasFreshStatus(*p) || !p->status.state_reachable ||
+        p->pending_relays.size() >= kMaxPendingRelays)
+      continue;
+    if (best == nullptr || p->pending_relays.size() < best->pending_relays.size()) best = p.get();
   }
   if (best == nullptr) co_return RelayResult();
-  const uint64_t id = ++next_id_;
-  auto pending = std::make_shared<Pending>();
-  best->pending[id] = pending;
+  const uint64_t id = ++last_relay_id_;
+  auto pending_relay = std::make_shared<PendingRelay>();
+  best->pending_relays[id] = pending_relay;
   wire::RelayRequest relay{id, std::move(request)};
   best->outbox += wire::Frame(wire::WritePeerMessage(std::move(relay)));
   best->wake.Notify();
-  if (!pending->done) {
-    auto wait = pending->event.Await(scope_, kRelayTimeoutS);
+  if (!pending_relay->done) {
+    auto wait = pending_relay->event.Await(scope_, kRelayTimeoutS);
     co_await wait;
   }
-  best->pending.erase(id);
+  best->pending_relays.erase(id);
   RelayResult out;
   out.sent = true;
-  out.answer = std::move(pending->answer);
+  out.answer = std::move(pending_relay->answer);
   co_return out;
 }
 
@@ -108,17 +114,17 @@
 void PeerMesh::SetLink(Peer* peer, bool up) {
   peer->connected = up;
   if (up) {
-    spdlog::debug("peer {}: link up", peer->seed.node);
+    spdlog::debug("peer link up: node={}", peer->seed.node);
     peer->outbox.clear();
-    peer->asked.clear();
-    peer->cancellation_report_asked.clear();
+    peer->ping_times.clear();
+    peer->report_request_times.clear();
   } else {
-    spdlog::info("peer {}: link down", peer->seed.node);
-    peer->broke = true;
+    spdlog::info("peer link down: node={}", peer->seed.node);
+    peer->link_broken = true;
     peer->wake.Notify();
-    for (auto& [id, pending] : peer->pending) {
-      pending->done = true;
-      pending->event.Notify();
+    for (auto& [id, pending_relay] : peer->pending_relays) {
+      pending_relay->done = true;
+      pending_relay->event.Notify();
     }
   }
   if (hooks_.on_link) hooks_.on_link(peer->seed.node, up);
@@ -129,7 +135,7 @@
   while (!scope_.cancelled()) {
     int error = 0;
     std::optional<Stream> stream =
-        co_await Stream::Connect(scope_, *to, scope_.loop().Now() + 4 * beat(), &error);
+        co_await Stream::Connect(scope_, *to, scope_.loop().Now() + 4 * PingIntervalS(), &error);
     if (stream) {
       auto shared = std::make_shared<Stream>(std::move(*stream));
       auto open = std::make_shared<bool>(true);
@@ -139,15 +145,15 @@
       SetLink(peer, false);
       continue;
     }
-    // A packet filter refuses as well, and then mostly between all nodes: only where another peer
-    // can be reached does a refusal say something of this one.
-    // Nor is it one if there was no link that broke, and it is told only once for a link: else a
-    // live node behind a filter would lose the lead again and again.
-    if (error == ECONNREFUSED && peer->broke && AnyFresh()) {
-      peer->broke = false;
+    // A packet filter also refuses connections, and then mostly between all nodes. A refusal counts
+    // only if another peer is reachable, since otherwise it says nothing about this peer.
+    // It also counts only if a link has broken before, and once per link; otherwise a live leader
+    // behind a filter would lose leadership repeatedly.
+    if (error == ECONNREFUSED && peer->link_broken && AnyFreshStatus()) {
+      peer->link_broken = false;
       hooks_.on_connection_refused(peer->seed.node);
     }
-    async::Sleep pause(scope_, beat());
+    async::Sleep pause(scope_, PingIntervalS());
     co_await pause;
   }
 }
@@ -159,18 +165,18 @@
     const double now = scope_.loop().Now();
     if (now >= next_ping) {
       peer->outbox += wire::Frame(wire::WritePeerMessage(hooks_.status()));
-      peer->asked.push_back(now);
-      const bool able = hooks_.supports_cancellation_reports &&
-                        hooks_.supports_cancellation_reports(peer->seed.node);
-      if (auto q = able ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
+      peer->ping_times.push_back(now);
+      const bool supported = hooks_.supports_cancellation_reports &&
+                             hooks_.supports_cancellation_reports(peer->seed.node);
+      if (auto q = supported ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
         peer->outbox += wire::Frame(wire::WritePeerMessage(*q));
-        peer->cancellation_report_asked.push_back(now);
+        peer->report_request_times.push_back(now);
       }
-      next_ping = now + beat();
+      next_ping = now + PingIntervalS();
     }
     const std::string out = std::exchange(peer->outbox, {});
     if (!out.empty()) {
-      bool written = co_await stream->Write(scope_, out, now + kDeadBeats * beat());
+      bool written = co_await stream->Write(scope_, out, now + kDeadLinkPings * PingIntervalS());
       if (!written) break;
       continue;
     }
@@ -180,17 +186,18 @@
 }
 
 void PeerMesh::OnStatus(Peer* peer, const wire::PeerStatus& status) {
-  // Each ping gets one status, in order. It counts from when it was asked for: who stood still
-  // finds old ones in its buffers, and what they say is no longer so.
-  if (peer->asked.empty()) return;
-  peer->heard = peer->asked.front();
-  peer->asked.pop_front();
+  // Each ping is answered by one status, in order. A status is dated by the ping that requested it,
+  // since a process that was paused finds outdated answers in its buffers.
+  if (peer->ping_times.empty()) return;
+  peer->status_requested_at = peer->ping_times.front();
+  peer->ping_times.pop_front();
   peer->status = status;
   hooks_.on_status(status);
-  if (hooks_.on_status_answered) hooks_.on_status_answered(peer->seed.node, peer->heard);
+  if (hooks_.on_status_answered)
+    hooks_.on_status_answered(peer->seed.node, peer->status_requested_at);
 }
 
-bool PeerMesh::Take(Peer* peer, const std::string& payload) {
+bool PeerMesh::HandleAnswer(Peer* peer, const std::string& payload) {
   auto m = wire::ReadPeerMessage(payload);
   if (!m) {
     spdlog::warn("peer message refused: node={} reason={}", peer->seed.node, m.error().reason);
@@ -199,14 +206,14 @@
   if (auto* s = std::get_if<wire::PeerStatus>(&*m)) {
     OnStatus(peer, *s);
   } else if (auto* v = std::get_if<wire::CancellationReport>(&*m)) {
-    // Like a status, it counts from when it was asked for.
-    if (peer->cancellation_report_asked.empty()) return true;
-    const double asked = peer->cancellation_report_asked.front();
-    peer->cancellation_report_asked.pop_front();
-    hooks_.on_cancellation_report(peer->seed.node, asked, *v);
+    // Like a status, a report is dated by its request.
+    if (peer->report_request_times.empty()) return true;
+    const double requested_at = peer->report_request_times.front();
+    peer->report_request_times.pop_front();
+    hooks_.on_cancellation_report(peer->seed.node, requested_at, *v);
   } else if (auto* a = std::get_if<wire::RelayAnswer>(&*m)) {
-    auto it = peer->pending.find(a->id);
-    if (it == peer->pending.end()) return true;
+    auto it = peer->pending_relays.find(a->id);
+    if (it == peer->pending_relays.end()) return true;
     if (a->answered) it->second->answer = std::move(a->response);
     it->second->done = true;
     it->second->event.Notify();
@@ -224,12 +231,13 @@
   bool readable = true;
   while (!scope_.cancelled() && !frames.corrupt()) {
     while (auto payload = frames.Next()) {
-      readable = Take(peer, *payload);
+      readable = HandleAnswer(peer, *payload);
       if (!readable) break;
     }
     if (!readable) break;
     std::string data;
-    bool read = co_await stream->Read(scope_, data, scope_.loop().Now() + kDeadBeats * beat());
+    bool read =
+        co_await stream->Read(scope_, data, scope_.loop().Now() + kDeadLinkPings * PingIntervalS());
     if (!read) break;
     frames.Feed(data);
   }
@@ -243,12 +251,12 @@
       scope_.Spawn(Serve(std::move(*stream)));
       continue;
     }
-    async::Sleep pause(scope_, beat());
+    async::Sleep pause(scope_, PingIntervalS());
     co_await pause;
   }
 }
 
-async::Task<std::optional<std::string>> PeerMesh::Answer(std::string payload) {
+async::Task<std::optional<std::string>> PeerMesh::HandleRequest(std::string payload) {
   auto m = wire::ReadPeerMessage(payload);
   if (!m) {
     spdlog::warn("peer message refused: node=unknown reason={}", m.error().reason);
@@ -286,11 +294,11 @@
   while (!scope_.cancelled() && !frames.corrupt()) {
     std::string out;
     while (auto payload = frames.Next()) {
-      auto answer = co_await Answer(std::move(*payload));
+      auto answer = co_await HandleRequest(std::move(*payload));
       if (!answer) co_return;
       out += *answer;
     }
-    const double deadline = scope_.loop().Now() + kDeadBeats * beat();
+    const double deadline = scope_.loop().Now() + kDeadLinkPings * PingIntervalS();
     if (!out.empty()) {
       bool written = co_await stream.Write(scope_, out, deadline);
       if (!written) break;
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -1,7 +1,8 @@
-// Links to the other controllers: who is there, how they see the state service, and relaying.
+// Links to the other controllers: exchanges status, relays requests to the state service and
+// carries the messages of membership, blocks and cancellations.
 //
-// Every node dials every other one. The dialler pings with its own status and is answered with the
-// other's; relayed requests go the same way.
+// Every node connects to every other one. The connecting node sends its own status as a ping and
+// receives the other node's status as the answer; relayed requests use the same links.
 #pragma once
 
 #include <deque>
@@ -26,28 +27,31 @@
     // Executes a peer's request to the state service.
     std::function<async::Task<std::optional<wire::HttpResponse>>(wire::HttpRequest)> execute;
     std::function<void(const wire::PeerStatus&)> on_status;
-    // A node has answered with its status, which was asked for then. May be empty, like all below.
-    std::function<void(const std::string& node, double asked)> on_status_answered;
-    // The link to a node is up, or has broken.
+    // Called when a node has answered a ping that was sent at `requested_at`. This hook and those
+    // below may be empty.
+    std::function<void(const std::string& node, double requested_at)> on_status_answered;
+    // Called when the link to a node is established (`up`) or broken.
     std::function<void(const std::string& node, bool up)> on_link;
     std::function<wire::MemberAnswer(const wire::MemberProbe&)> on_member_probe;
     std::function<void(const std::string& node, const wire::MemberAnswer&)> on_member_answer;
     std::function<wire::MembersReport()> members_report;
-    // Blocks of machines (src/blocks); unset where they are off.
+    // Blocks of machines (src/blocks); empty if they are disabled.
     std::function<std::optional<wire::BlockAcknowledgement>(const wire::BlockView&)> on_block_view;
     std::function<void(const std::string& node, const wire::BlockAcknowledgement&)>
         on_block_acknowledged;
-    // A link broke and the peer's machine refuses another: its process has most likely ended.
+    // Called when a link has broken and the peer's machine refuses a new connection: the peer's
+    // process has most likely ended.
     std::function<void(const std::string& node)> on_connection_refused;
-    // Whether a node understands cancellation reports.
+    // Returns whether a node supports cancellation reports.
     std::function<bool(const std::string& node)> supports_cancellation_reports;
-    // What a node is to be asked for now; nothing: there is no need.
+    // Returns the report to request from a node now; std::nullopt if none is needed.
     std::function<std::optional<wire::CancellationReportRequest>(const std::string& node)>
         cancellation_report_request;
     std::function<wire::CancellationReport(const wire::CancellationReportRequest&)>
         cancellation_report;
-    // `asked`: when it was asked for.
-    std::function<void(const std::string& node, double asked, const wire::CancellationReport&)>
+    // `requested_at`: when the report was requested.
+    std::function<void(const std::string& node, double requested_at,
+                       const wire::CancellationReport&)>
         on_cancellation_report;
     std::function<void(const wire::CancelNotice&)> on_cancel_notice;
   };
@@ -56,19 +60,20 @@
 
   bool Start(std::string* error);
 
-  // By way of a peer that the state service answers; nothing if there is none, or no answer.
+  // Relays a request through a peer that can reach the state service. `sent` is false if there is
+  // no such peer; `answer` is empty if no answer arrived.
   async::Task<RelayResult> Relay(wire::HttpRequest request);
-  // True if every other node says, just now, that it can't reach the state service either.
+  // True if the fresh status of every other node says that it can't reach the state service either.
   bool AllPeersReportOutage() const;
-  // Tells all nodes that understand it of a cancellation that was just recorded.
+  // Sends a cancellation that was just recorded to all connected nodes that support the notice.
   void BroadcastCancellation(const wire::CancelNotice& notice);
-  // Puts a message on the link to a node; nothing happens while there is none.
+  // Sends a message on the link to a node; does nothing if there is no link.
   void Send(const std::string& node, const wire::PeerMessage& message);
-  // True if some other node says, just now, that the state service answers it.
+  // True if the fresh status of another node says that it can reach the state service.
   bool AnyPeerReachesState() const;
 
  private:
-  struct Pending {
+  struct PendingRelay {
     bool done = false;
     std::optional<wire::HttpResponse> answer;
     async::Event event;
@@ -76,37 +81,40 @@
   struct Peer {
     config::Seed seed;
     bool connected = false;
-    bool broke = false;        // there was a link, and nobody has been told of its end
-    std::deque<double> asked;  // steady times of pings without an answer yet, oldest first
-    double heard = -1;         // when the last status was asked for: it may be as old as that
+    bool link_broken = false;       // a link has broken since the last on_connection_refused call
+    std::deque<double> ping_times;  // steady times (s) of unanswered pings, oldest first
+    // Steady time (s) of the ping that `status` answered: the status may be that old.
+    double status_requested_at = -1;
     wire::PeerStatus status;
-    std::deque<double> cancellation_report_asked;  // steady times of cancellation report requests
-                                                   // without an answer yet
-    std::string outbox;                            // frames to be written
+    // Steady times (s) of unanswered cancellation report requests, oldest first.
+    std::deque<double> report_request_times;
+    std::string outbox;  // frames that have not been written yet
     async::Event wake;
-    std::map<uint64_t, std::shared_ptr<Pending>> pending;
+    std::map<uint64_t, std::shared_ptr<PendingRelay>> pending_relays;
   };
 
   async::Task<> DialLoop(Peer* peer);
   async::Task<> ReadLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
   async::Task<> WriteLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
-  // Takes in what came by the link that this node dialled; false: it can't be read.
-  bool Take(Peer* peer, const std::string& payload);
+  // Handles a message on a link that this node opened; returns false if it is malformed.
+  bool HandleAnswer(Peer* peer, const std::string& payload);
   void OnStatus(Peer* peer, const wire::PeerStatus& status);
-  // What a peer's message is answered with, as bytes to be written; nothing: it can't be read.
-  async::Task<std::optional<std::string>> Answer(std::string payload);
+  // Returns the frame that answers a peer's message, empty if it needs no answer; std::nullopt if
+  // the message is malformed.
+  async::Task<std::optional<std::string>> HandleRequest(std::string payload);
   void SetLink(Peer* peer, bool up);
   async::Task<> AcceptLoop(Listener listener);
   async::Task<> Serve(Stream stream);
-  bool Fresh(const Peer& peer) const;
-  bool AnyFresh() const;
-  double beat() const;
+  // True if the link is up and the peer's last status is recent enough to rely on.
+  bool HasFreshStatus(const Peer& peer) const;
+  bool AnyFreshStatus() const;
+  double PingIntervalS() const;
 
   async::Scope& scope_;
   const config::Settings& settings_;
   const Hooks hooks_;
   std::vector<std::unique_ptr<Peer>> peers_;
-  uint64_t next_id_ = 0;
+  uint64_t last_relay_id_ = 0;
 };
 
 }  // namespace hallpier::net
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -11,7 +11,7 @@
 namespace hallpier::net {
 namespace {
 
-// One read takes no more than this, so that a fast peer can't keep the loop to itself.
+// Limit of one read, so that a fast peer can't occupy the event loop.
 constexpr size_t kReadSize = size_t{64} * 1024;
 
 void SetNoDelay(int fd) {
@@ -19,7 +19,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 }
 
-// As recv() of one byte that stays where it is.
+// Behaves like recv() of one byte, but leaves the byte in the socket's buffer.
 ssize_t Peek(int fd) {
   char c;
   return recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -33,13 +33,15 @@
   if (fd_ >= 0) close(fd_);
 }
 
-async::Task<bool> Stream::Read(async::Scope& scope, std::string& out, double deadline, bool later) {
-  // One for all of a thread's routines: nothing is kept in it while a routine waits. In the routine
-  // itself it would make every idle connection as large. Loops of other threads have their own;
-  // sharing one mixed up what two of them read at a time.
+async::Task<bool> Stream::Read(async::Scope& scope, std::string& out, double deadline,
+                               bool wait_first) {
+  // Shared by all coroutines of a thread, since it holds no data while a coroutine is suspended. As
+  // a local variable of the coroutine it would take this much memory for every idle connection. It
+  // is per thread, because event loops of two threads that read at the same time mixed up their
+  // data when they shared one buffer.
   thread_local std::array<char, kReadSize> chunk;
   while (true) {
-    if (!later) {
+    if (!wait_first) {
       ssize_t n = recv(fd_.get(), chunk.data(), chunk.size(), 0);
       if (n > 0) {
         out.append(chunk.data(), static_cast<size_t>(n));
@@ -47,10 +49,10 @@
       }
       if (n == 0 || !WouldBlock(errno)) co_return false;
     }
-    later = false;
-    double left = deadline - scope.loop().Now();
-    if (left <= 0) co_return false;
-    async::FdWait wait(scope, fd_.get(), EV_READ, left);
+    wait_first = false;
+    double remaining_s = deadline - scope.loop().Now();
+    if (remaining_s <= 0) co_return false;
+    async::FdWait wait(scope, fd_.get(), EV_READ, remaining_s);
     async::WaitResult wake = co_await wait;
     if (wake != async::WaitResult::kReady) co_return false;
   }
@@ -64,9 +66,9 @@
       continue;
     }
     if (!WouldBlock(errno)) co_return false;
-    double left = deadline - scope.loop().Now();
-    if (left <= 0) co_return false;
-    async::FdWait wait(scope, fd_.get(), EV_WRITE, left);
+    double remaining_s = deadline - scope.loop().Now();
+    if (remaining_s <= 0) co_return false;
+    async::FdWait wait(scope, fd_.get(), EV_WRITE, remaining_s);
     async::WaitResult wake = co_await wait;
     if (wake != async::WaitResult::kReady) co_return false;
   }
@@ -75,7 +77,7 @@
 
 void Stream::Shutdown() { shutdown(fd_.get(), SHUT_RDWR); }
 
-bool Stream::Ended() const { return Peek(fd_.get()) == 0; }
+bool Stream::PeerClosed() const { return Peek(fd_.get()) == 0; }
 
 bool Stream::Stale() const {
   const ssize_t n = Peek(fd_.get());
@@ -84,26 +86,26 @@
 
 async::Task<std::optional<Stream>> Stream::Connect(
     async::Scope& scope, const sockaddr_in& to, double deadline,
-    // Written to by way of `reason`.
+    // Written through the reference `error_code`.
     // NOLINTNEXTLINE(readability-non-const-parameter)
     int* error) {
   int ignored = 0;
-  int& reason = error == nullptr ? ignored : *error;
+  int& error_code = error == nullptr ? ignored : *error;
   Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) {
-    reason = errno;
+    error_code = errno;
     co_return std::nullopt;
   }
   SetNoDelay(fd.get());
   if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), sizeof(to)) != 0) {
-    reason = errno;
-    const double left = deadline - scope.loop().Now();
-    if (reason != EINPROGRESS || left <= 0) co_return std::nullopt;
-    async::FdWait wait(scope, fd.get(), EV_WRITE, left);
+    error_code = errno;
+    const double remaining_s = deadline - scope.loop().Now();
+    if (error_code != EINPROGRESS || remaining_s <= 0) co_return std::nullopt;
+    async::FdWait wait(scope, fd.get(), EV_WRITE, remaining_s);
     async::WaitResult wake = co_await wait;
     if (wake != async::WaitResult::kReady) co_return std::nullopt;
-    socklen_t size = sizeof(reason);
-    if (getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &reason, &size) != 0 || reason != 0) {
+    socklen_t size = sizeof(error_code);
+    if (getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &error_code, &size) != 0 || error_code != 0) {
       co_return std::nullopt;
     }
   }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -31,20 +31,23 @@
  public:
   explicit Stream(Fd fd) : fd_(std::move(fd)) {}
 
-  // Appends what there is to `out`. False at the end of the stream, on errors, at the deadline
-  // (steady seconds) or when the scope is cancelled.
-  // `later`: nothing is expected to be there yet, so that a try at once would be in vain.
+  // Appends the available bytes to `out`. Returns false at the end of the stream, on errors, at the
+  // deadline (steady time, s) or when the scope is cancelled.
+  // `wait_first` waits before the first read: no data is expected yet, so reading at once would be
+  // wasted.
   async::Task<bool> Read(async::Scope& scope, std::string& out, double deadline,
-                         bool later = false);
+                         bool wait_first = false);
+  // Writes all of `data`. Returns false in the same cases as Read().
   async::Task<bool> Write(async::Scope& scope, std::string_view data, double deadline);
-  // Ends it in both directions; who waits in Read() is told at once.
+  // Closes the stream in both directions; a pending Read() returns at once.
   void Shutdown();
-  // True if the peer has closed it and all that it sent has been read.
-  bool Ended() const;
-  // True if the peer closed an idle stream, or sent what nobody asked for.
+  // True if the peer has closed the stream and all that it sent has been read.
+  bool PeerClosed() const;
+  // True if an idle stream can't be reused: the peer closed it, or sent data without a request.
   bool Stale() const;
 
-  // `error`, if given, gets the reason where the other side or the system names one.
+  // Returns std::nullopt on failure. `error`, if given, then gets the errno value where one is
+  // known.
   static async::Task<std::optional<Stream>> Connect(async::Scope& scope, const sockaddr_in& to,
                                                     double deadline, int* error = nullptr);
 
@@ -54,8 +57,9 @@
 
 class Listener {
  public:
+  // Returns std::nullopt and sets `error` if the address can't be listened on.
   static std::optional<Listener> Open(const sockaddr_in& at, std::string* error);
-  // Nothing when the scope is cancelled or the process is out of sockets just now.
+  // Returns std::nullopt when the scope is cancelled or the process is currently out of sockets.
   async::Task<std::optional<Stream>> Accept(async::Scope& scope);
 
  private:
