--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -191,7 +191,7 @@
     s.id = id;
     s.phase = found.final_record.phase;
     s.done = found.final_record.done;
-    return Answer(200, wire::WriteStatus(s));
+    return Answer(200, wire::WriteJobStatus(s));
   }
   // Counts are for display and may lag; that it is not cancelled comes from the fresh read. The
   // warm copy may know more by now, and what is cancelled stays so.
@@ -199,7 +199,7 @@
   s.id = id;
   if (const jobs::Job* job = deps_.job_table->Find(id)) s = job->Status();
   if (found.job.cancelled) s.phase = model::JobPhase::kCancelled;
-  return Answer(200, wire::WriteStatus(s));
+  return Answer(200, wire::WriteJobStatus(s));
 }
 
 std::optional<wire::FieldError> UserApi::NeverRuns(const model::JobSpec& spec) const {
@@ -295,7 +295,7 @@
     spdlog::info("job {} accepted: {} x {} cpus, team {}, awaits {}{}", id, record.spec.tasks,
                  record.spec.cpus, record.spec.team, record.spec.awaits.size(),
                  record.cancelled ? ", cancelled with what it needs" : "");
-    co_return Answer(201, wire::WritePhase(id, model::JobPhase::kPending));
+    co_return Answer(201, wire::WriteJobPhase(id, model::JobPhase::kPending));
   }
   if (r.status == store::Status::kConflict) co_return std::nullopt;
   co_return NotNow("the state service is not there");
@@ -318,10 +318,10 @@
     if (found.kind == Found::Kind::kNever) co_return Answer(404, wire::WriteError("no such job"));
     if (found.kind == Found::Kind::kUnknown) break;
     if (found.kind == Found::Kind::kFinal) {
-      co_return Answer(200, wire::WritePhase(id, found.final_record.phase));
+      co_return Answer(200, wire::WriteJobPhase(id, found.final_record.phase));
     }
     if (found.job.cancelled)
-      co_return Answer(200, wire::WritePhase(id, model::JobPhase::kCancelled));
+      co_return Answer(200, wire::WriteJobPhase(id, model::JobPhase::kCancelled));
     const std::string key = store::JobKey(id);
     const std::string value = store::WriteCancelledJob(std::move(found.job), most);
     std::vector<model::Precondition> preconditions = {{key, found.version}};
@@ -334,7 +334,7 @@
       deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
       deps_.announce(id, r.value.revision);
       spdlog::info("job {} cancelled", id);
-      co_return Answer(200, wire::WritePhase(id, model::JobPhase::kCancelled));
+      co_return Answer(200, wire::WriteJobPhase(id, model::JobPhase::kCancelled));
     }
     if (r.status == store::Status::kInvalid && value.size() > least) {
       // The limits are lower already, and this node did not know.
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // A frame takes several times as much: a view is never too large for one.
-constexpr size_t kMaxViewBytes = wire::kMaxPeerFrame / 4;
+constexpr size_t kMaxViewBytes = wire::kMaxPeerFrameBytes / 4;
 
 std::vector<std::string> ImagesNeeded(const jobs::JobTable& job_table) {
   std::set<std::string> images;
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -57,9 +57,9 @@
   if (!stream) {
     co_return MembersAnswer{target.node, std::nullopt, "can't be reached at " + target.endpoint};
   }
-  const std::string request = wire::Frame(wire::WritePeerMessage(wire::MembersRequest{}));
+  const std::string request = wire::EncodeFrame(wire::WritePeerMessage(wire::MembersRequest{}));
   bool open = co_await stream->Write(scope, request, deadline);
-  wire::FrameBuffer frames(wire::kMaxPeerFrame);
+  wire::FrameDecoder frames(wire::kMaxPeerFrameBytes);
   while (open && !frames.corrupt()) {
     if (auto payload = frames.Next()) co_return ReadAnswer(target.node, *payload);
     std::string data;
@@ -90,10 +90,11 @@
 double Seconds(uint64_t milliseconds) { return static_cast<double>(milliseconds) / kMsPerS; }
 
 std::string RowText(const wire::MemberRow& row) {
-  const std::string state(row.known ? membership::StateName(row.state) : "no record");
-  std::string line = fmt::format("  {:<20} {:<9} {:>8.1f} s  session {:<4} refuted {:<3}{}",
-                                 row.node, state, Seconds(row.since_ms), row.incarnation.session,
-                                 row.incarnation.refutation, row.leading ? "  leads" : "");
+  const std::string state(row.has_record ? membership::StateName(row.state) : "no record");
+  std::string line =
+      fmt::format("  {:<20} {:<9} {:>8.1f} s  session {:<4} refuted {:<3}{}", row.node, state,
+                  Seconds(row.state_age_ms), row.incarnation.session, row.incarnation.refutation,
+                  row.leading ? "  leads" : "");
   if (!row.suspected_by.empty()) {
     line += fmt::format("  suspected by {}", fmt::join(row.suspected_by, ", "));
   }
@@ -104,8 +105,8 @@
 void WriteRow(wire::JsonWriter& writer, const wire::MemberRow& row) {
   writer.StartObject();
   writer.Field("node").Text(row.node);
-  writer.Field("state").Text(row.known ? membership::StateName(row.state) : "unknown");
-  writer.Field("sinceS").Double(Seconds(row.since_ms));
+  writer.Field("state").Text(row.has_record ? membership::StateName(row.state) : "unknown");
+  writer.Field("sinceS").Double(Seconds(row.state_age_ms));
   writer.Field("session").Uint64(row.incarnation.session);
   writer.Field("refutation").Uint64(row.incarnation.refutation);
   writer.Field("leading").Bool(row.leading);
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -31,7 +31,7 @@
   report.revision = services_.cache->revision();
   for (const std::string& id : services_.job_table->CancelledJobs()) {
     const uint64_t version = services_.cache->Version(store::JobKey(id));
-    if (version > request.beyond) report.cancelled.push_back({id, version});
+    if (version > request.after_revision) report.cancelled.push_back({id, version});
   }
   // The report is incomplete if this process was restarted and has not loaded the records since: it
   // does not know which cancellations its predecessor acknowledged. It is also incomplete while a
@@ -39,7 +39,7 @@
   // gets no response is acknowledged to no user, and a node that reads it later has it in its watch
   // cache before it acknowledges it.
   report.complete = services_.cache->loaded() && pending_cancellations_() == 0 &&
-                    report.cancelled.size() <= wire::kMaxCancellations;
+                    report.cancelled.size() <= wire::kMaxCancellationsPerFrame;
   if (!report.complete) report.cancelled.clear();
   return report;
 }
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -77,9 +77,10 @@
   // token even without commands.
   if (commands.empty() && (worker->agent.token == token || !commands_.CacheIsCurrent()))
     co_return false;
-  wire::HttpRequest request{.method = "POST",
-                            .target = "/commands",
-                            .body = wire::WriteCommands(token, worker->agent.epoch, commands)};
+  wire::HttpRequest request{
+      .method = "POST",
+      .target = "/commands",
+      .body = wire::WriteDirectCommands(token, worker->agent.epoch, commands)};
   auto response = co_await worker_client_.Call(
       term, worker->endpoint, std::move(request),
       kCommandTimeoutRatio * services_.settings->heartbeat_interval_s, false);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -211,7 +211,8 @@
   hooks->on_member_probe = [this](const wire::MemberProbe& probe) {
     return membership_->OnProbe(probe);
   };
-  hooks->on_member_answer = [this](const std::string& node, const wire::MemberAnswer& answer) {
+  hooks->on_member_answer = [this](const std::string& node,
+                                   const wire::MemberProbeResponse& answer) {
     membership_->OnAnswer(node, answer);
   };
   hooks->members_report = [this] { return membership_->Report(); };
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -417,17 +417,17 @@
   wire::MemberRow own;
   own.node = options_.node;
   own.incarnation = own_incarnation_;
-  own.known = own_record_.has_value();
+  own.has_record = own_record_.has_value();
   own.state = own_record_ ? own_record_->state : model::MemberState::kAlive;
   if (own_record_ && !own_record_->by.empty()) own.suspected_by = {own_record_->by};
   rows.push_back(std::move(own));
   for (const auto& [node, member] : members_) {
     wire::MemberRow row;
     row.node = node;
-    row.known = member.record.has_value();
+    row.has_record = member.record.has_value();
     if (member.record) row.incarnation = {member.record->incarnation.session, member.refutation};
     row.state = ReportedState(member);
-    row.since_ms =
+    row.state_age_ms =
         static_cast<uint64_t>(std::max(0.0, now - member.reported_state_since) * kMsPerS);
     std::set<std::string> suspecting;
     if (member.record && !member.record->by.empty()) suspecting.insert(member.record->by);
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -160,12 +160,12 @@
   table_.OnStatusAnswered(node, requested_at);
 }
 
-wire::MemberAnswer Service::OnProbe(const wire::MemberProbe& probe) {
+wire::MemberProbeResponse Service::OnProbe(const wire::MemberProbe& probe) {
   table_.OnProbe(probe.status);
   return {probe.sequence, table_.Status(Now())};
 }
 
-void Service::OnAnswer(const std::string& node, const wire::MemberAnswer& answer) {
+void Service::OnAnswer(const std::string& node, const wire::MemberProbeResponse& answer) {
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -52,9 +52,9 @@
   void OnLink(const std::string& node, bool up);
   void OnConnectionRefused(const std::string& node);
   void OnStatusAnswered(const std::string& node, double requested_at);
-  wire::MemberAnswer OnProbe(const wire::MemberProbe& probe);
+  wire::MemberProbeResponse OnProbe(const wire::MemberProbe& probe);
   // `node` is the node whose link delivered the answer.
-  void OnAnswer(const std::string& node, const wire::MemberAnswer& answer);
+  void OnAnswer(const std::string& node, const wire::MemberProbeResponse& answer);
   // Called for every worker report that reaches this node, whether or not it is accepted.
   void OnWorkerReport();
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -68,8 +68,8 @@
     }
     wire::HttpParser parser(wire::HttpParser::Kind::kResponse, max_body_);
     bool written = co_await stream->Write(scope, bytes, deadline);
-    auto state = wire::HttpParser::State::kMore;
-    while (written && state == wire::HttpParser::State::kMore) {
+    auto state = wire::HttpParser::State::kNeedMore;
+    while (written && state == wire::HttpParser::State::kNeedMore) {
       std::string data;
       bool read = co_await stream->Read(scope, data, deadline);
       if (!read) break;
@@ -81,7 +81,7 @@
       if (response.keep_alive) KeepIdle(endpoint, std::move(*stream));
       co_return response;
     }
-    bool retry = reused && idempotent && !parser.started() && scope.loop().Now() < deadline;
+    bool retry = reused && idempotent && !parser.message_started() && scope.loop().Now() < deadline;
     if (!retry) co_return std::nullopt;
   }
   co_return std::nullopt;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -107,7 +107,7 @@
   bool started = false, answered = false;
   while (open) {
     auto state = parser.Parse();
-    if (state == wire::HttpParser::State::kMore) {
+    if (state == wire::HttpParser::State::kNeedMore) {
       std::string data;
       open = co_await c.stream.Read(scope_, data, deadline, answered && !started);
       if (open && !started) {
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -80,7 +80,7 @@
   auto pending_relay = std::make_shared<PendingRelay>();
   best->pending_relays[id] = pending_relay;
   wire::RelayRequest relay{id, std::move(request)};
-  best->outbox += wire::Frame(wire::WritePeerMessage(std::move(relay)));
+  best->outbox += wire::EncodeFrame(wire::WritePeerMessage(std::move(relay)));
   best->wake.Notify();
   if (!pending_relay->done) {
     auto wait = pending_relay->event.Await(scope_, kRelayTimeoutS);
@@ -98,7 +98,7 @@
     if (!p->connected || !hooks_.supports_cancellation_reports ||
         !hooks_.supports_cancellation_reports(p->seed.node))
       continue;
-    p->outbox += wire::Frame(wire::WritePeerMessage(notice));
+    p->outbox += wire::EncodeFrame(wire::WritePeerMessage(notice));
     p->wake.Notify();
   }
 }
@@ -106,7 +106,7 @@
 void PeerMesh::Send(const std::string& node, const wire::PeerMessage& message) {
   for (auto& p : peers_) {
     if (p->seed.node != node || !p->connected) continue;
-    p->outbox += wire::Frame(wire::WritePeerMessage(message));
+    p->outbox += wire::EncodeFrame(wire::WritePeerMessage(message));
     p->wake.Notify();
   }
 }
@@ -164,12 +164,12 @@
   while (*open && !scope_.cancelled()) {
     const double now = scope_.loop().Now();
     if (now >= next_ping) {
-      peer->outbox += wire::Frame(wire::WritePeerMessage(hooks_.status()));
+      peer->outbox += wire::EncodeFrame(wire::WritePeerMessage(hooks_.status()));
       peer->ping_times.push_back(now);
       const bool supported = hooks_.supports_cancellation_reports &&
                              hooks_.supports_cancellation_reports(peer->seed.node);
       if (auto q = supported ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
-        peer->outbox += wire::Frame(wire::WritePeerMessage(*q));
+        peer->outbox += wire::EncodeFrame(wire::WritePeerMessage(*q));
         peer->report_request_times.push_back(now);
       }
       next_ping = now + PingIntervalS();
@@ -211,13 +211,13 @@
     const double requested_at = peer->report_request_times.front();
     peer->report_request_times.pop_front();
     hooks_.on_cancellation_report(peer->seed.node, requested_at, *v);
-  } else if (auto* a = std::get_if<wire::RelayAnswer>(&*m)) {
+  } else if (auto* a = std::get_if<wire::RelayResponse>(&*m)) {
     auto it = peer->pending_relays.find(a->id);
     if (it == peer->pending_relays.end()) return true;
-    if (a->answered) it->second->answer = std::move(a->response);
+    if (a->has_response) it->second->answer = std::move(a->response);
     it->second->done = true;
     it->second->event.Notify();
-  } else if (auto* answer = std::get_if<wire::MemberAnswer>(&*m)) {
+  } else if (auto* answer = std::get_if<wire::MemberProbeResponse>(&*m)) {
     if (hooks_.on_member_answer) hooks_.on_member_answer(peer->seed.node, *answer);
   } else if (auto* acknowledged = std::get_if<wire::BlockAcknowledgement>(&*m)) {
     if (hooks_.on_block_acknowledged) hooks_.on_block_acknowledged(peer->seed.node, *acknowledged);
@@ -227,7 +227,7 @@
 
 async::Task<> PeerMesh::ReadLoop(Peer* peer, std::shared_ptr<Stream> stream,
                                  std::shared_ptr<bool> open) {
-  wire::FrameBuffer frames(wire::kMaxPeerFrame);
+  wire::FrameDecoder frames(wire::kMaxPeerFrameBytes);
   bool readable = true;
   while (!scope_.cancelled() && !frames.corrupt()) {
     while (auto payload = frames.Next()) {
@@ -271,10 +271,10 @@
   } else if (auto* n = std::get_if<wire::CancelNotice>(&*m)) {
     hooks_.on_cancel_notice(*n);
   } else if (auto* q = std::get_if<wire::RelayRequest>(&*m)) {
-    wire::RelayAnswer relayed;
+    wire::RelayResponse relayed;
     relayed.id = q->id;
     auto r = co_await hooks_.execute(std::move(q->request));
-    relayed.answered = r.has_value();
+    relayed.has_response = r.has_value();
     if (r) relayed.response = std::move(*r);
     answer = std::move(relayed);
   } else if (auto* probe = std::get_if<wire::MemberProbe>(&*m)) {
@@ -286,11 +286,11 @@
     off.node = settings_.node;
     answer = hooks_.members_report ? hooks_.members_report() : std::move(off);
   }
-  co_return answer ? wire::Frame(wire::WritePeerMessage(*answer)) : std::string();
+  co_return answer ? wire::EncodeFrame(wire::WritePeerMessage(*answer)) : std::string();
 }
 
 async::Task<> PeerMesh::Serve(Stream stream) {
-  wire::FrameBuffer frames(wire::kMaxPeerFrame);
+  wire::FrameDecoder frames(wire::kMaxPeerFrameBytes);
   while (!scope_.cancelled() && !frames.corrupt()) {
     std::string out;
     while (auto payload = frames.Next()) {
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -32,8 +32,8 @@
     std::function<void(const std::string& node, double requested_at)> on_status_answered;
     // Called when the link to a node is established (`up`) or broken.
     std::function<void(const std::string& node, bool up)> on_link;
-    std::function<wire::MemberAnswer(const wire::MemberProbe&)> on_member_probe;
-    std::function<void(const std::string& node, const wire::MemberAnswer&)> on_member_answer;
+    std::function<wire::MemberProbeResponse(const wire::MemberProbe&)> on_member_probe;
+    std::function<void(const std::string& node, const wire::MemberProbeResponse&)> on_member_answer;
     std::function<wire::MembersReport()> members_report;
     // Blocks of machines (src/blocks); empty if they are disabled.
     std::function<std::optional<wire::BlockAcknowledgement>(const wire::BlockView&)> on_block_view;
--- a/src/store/machine_name_codec.cc
+++ b/src/store/machine_name_codec.cc
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <utility>
 
-#include "wire/digits.h"
+#include "wire/base64_digits.h"
 
 namespace hallpier::store {
 namespace {
@@ -111,7 +111,7 @@
   return codec;
 }
 
-size_t MachineNameCodec::digits_per_code() const { return wire::DigitsFor(code_count_); }
+size_t MachineNameCodec::digits_per_code() const { return wire::DigitsNeeded(code_count_); }
 
 uint64_t MachineNameCodec::CodeOf(const std::string& machine) const {
   if (machine.empty()) return 0;
--- a/src/store/machine_name_codec.h
+++ b/src/store/machine_name_codec.h
@@ -29,7 +29,7 @@
   static DecodeResult<MachineNameCodec> Read(const wire::JsonValue& record);
   void Write(wire::JsonWriter& json) const;
 
-  // Number of base-64 digits (wire/digits.h) that is enough for every code.
+  // Number of base-64 digits (wire/base64_digits.h) that is enough for every code.
   size_t digits_per_code() const;
   // Returns the code of a machine, or 0 for an empty name. Requires a machine of the task group
   // that the codec was built for.
--- a/src/store/packed_task_group.cc
+++ b/src/store/packed_task_group.cc
@@ -9,7 +9,7 @@
 
 #include "model/job.h"
 #include "store/machine_name_codec.h"
-#include "wire/digits.h"
+#include "wire/base64_digits.h"
 
 namespace hallpier::store {
 namespace {
--- a/src/wire/digits.cc
+++ b/src/wire/base64_digits.cc
@@ -1,4 +1,4 @@
-#include "wire/digits.h"
+#include "wire/base64_digits.h"
 
 namespace hallpier::wire {
 namespace {
@@ -7,7 +7,7 @@
 constexpr size_t kBits = 6;
 }  // namespace
 
-size_t DigitsFor(uint64_t most) {
+size_t DigitsNeeded(uint64_t most) {
   size_t width = 1;
   for (; most >> kBits != 0; most >>= kBits) ++width;
   return width;
--- a/src/wire/digits.h
+++ b/src/wire/base64_digits.h
@@ -11,7 +11,7 @@
 namespace hallpier::wire {
 
 // Characters that every number up to `most` fits.
-size_t DigitsFor(uint64_t most);
+size_t DigitsNeeded(uint64_t most);
 // Appends `value`, highest digit first; it must fit `width`.
 void PutDigits(std::string& out, uint64_t value, size_t width);
 // Takes `width` characters from the front; nothing if there are fewer, or others than digits.
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -10,7 +10,7 @@
 
 // No frame holds more entries than this; a larger count is taken for a malformed one before
 // anything is reserved for it.
-constexpr uint64_t kMaxEntries = kMaxPeerFrame;
+constexpr uint64_t kMaxEntries = kMaxPeerFrameBytes;
 
 void PutTaskView(std::string& out, const model::TaskView& view) {
   PutBytes(out, view.task.job);
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -4,13 +4,13 @@
 
 namespace hallpier::wire {
 
-std::string Frame(std::string_view payload) {
+std::string EncodeFrame(std::string_view payload) {
   std::string out;
   PutBytes(out, payload);
   return out;
 }
 
-std::optional<std::string> FrameBuffer::Next() {
+std::optional<std::string> FrameDecoder::Next() {
   if (corrupt_) return std::nullopt;
   VarintReader reader(buffer_);
   const uint64_t size = reader.Varint();
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -8,13 +8,13 @@
 
 namespace hallpier::wire {
 
-std::string Frame(std::string_view payload);
+std::string EncodeFrame(std::string_view payload);
 
 // Takes frames out of a byte stream.
-class FrameBuffer {
+class FrameDecoder {
  public:
   // `max_frame`: bytes of a payload; a longer frame makes the stream corrupt.
-  explicit FrameBuffer(size_t max_frame) : max_frame_(max_frame) {}
+  explicit FrameDecoder(size_t max_frame) : max_frame_(max_frame) {}
 
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
   // The next payload; nothing if more bytes are needed or the stream is corrupt.
--- a/src/wire/http_parser.cc
+++ b/src/wire/http_parser.cc
@@ -128,7 +128,7 @@
   const size_t end = buffer_.find(kHeadEnd, scanned_ < overlap ? 0 : scanned_ - overlap);
   scanned_ = buffer_.size();
   if (end == std::string::npos) {
-    return buffer_.size() > kMaxHead ? Fail(kHeadersTooLarge) : State::kMore;
+    return buffer_.size() > kMaxHead ? Fail(kHeadersTooLarge) : State::kNeedMore;
   }
   if (end > kMaxHead) return Fail(kHeadersTooLarge);
   const std::string_view head(buffer_.data(), end);
@@ -146,7 +146,7 @@
   while (true) {
     const size_t line_end = buffer_.find(kLineEnd);
     if (line_end == std::string::npos) {
-      return buffer_.size() > kMaxChunkHead ? Fail(kBadRequest) : State::kMore;
+      return buffer_.size() > kMaxChunkHead ? Fail(kBadRequest) : State::kNeedMore;
     }
     const std::string_view line(buffer_.data(), line_end);
     size_t size = 0;
@@ -154,7 +154,7 @@
     if (size > max_body_ || body().size() + size > max_body_) return Fail(kContentTooLarge);
     const size_t start = line_end + kLineEnd.size();
     const size_t end = start + size;
-    if (buffer_.size() < end + kLineEnd.size()) return State::kMore;
+    if (buffer_.size() < end + kLineEnd.size()) return State::kNeedMore;
     if (buffer_.compare(end, kLineEnd.size(), kLineEnd) != 0) return Fail(kBadRequest);
     body().append(buffer_, start, size);
     buffer_.erase(0, end + kLineEnd.size());
@@ -163,7 +163,7 @@
 }
 
 HttpParser::State HttpParser::ParseSizedBody() {
-  if (buffer_.size() < length_) return State::kMore;
+  if (buffer_.size() < length_) return State::kNeedMore;
   if (buffer_.size() == length_) {
     body() = std::move(buffer_);
     buffer_.clear();
--- a/src/wire/http_parser.h
+++ b/src/wire/http_parser.h
@@ -13,7 +13,7 @@
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
-  enum class State { kMore, kDone, kError };
+  enum class State { kNeedMore, kDone, kError };
 
   // `max_body`: bytes; a message with a longer body is an error.
   HttpParser(Kind kind, size_t max_body) : kind_(kind), max_body_(max_body) {}
@@ -22,7 +22,7 @@
   // Tries to complete one message from what has been fed.
   State Parse();
   // True once a part of a message has been taken in.
-  bool started() const { return head_done_ || !buffer_.empty(); }
+  bool message_started() const { return head_done_ || !buffer_.empty(); }
   // With kError: the status that tells the peer what was wrong.
   int error_status() const { return error_status_; }
   // With kDone: the message; the parser is then ready for the next.
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -77,9 +77,9 @@
   PutBytes(out, row.node);
   PutIncarnation(out, row.incarnation);
   PutEnum(out, row.state);
-  PutFlag(out, row.known);
+  PutFlag(out, row.has_record);
   PutFlag(out, row.leading);
-  PutVarint(out, row.since_ms);
+  PutVarint(out, row.state_age_ms);
   PutNames(out, row.suspected_by);
   PutBytes(out, row.reason);
 }
@@ -89,9 +89,9 @@
   row.node = reader.Bytes();
   row.incarnation = ReadIncarnation(reader);
   row.state = ReadState(reader);
-  row.known = reader.Flag();
+  row.has_record = reader.Flag();
   row.leading = reader.Flag();
-  row.since_ms = reader.Varint();
+  row.state_age_ms = reader.Varint();
   row.suspected_by = reader.Names("the number of accusers", kMaxMembers);
   row.reason = reader.Bytes();
   return row;
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -10,12 +10,12 @@
 enum Type : uint64_t {
   kStatus = 1,
   kRelayRequest = 2,
-  kRelayAnswer = 3,
+  kRelayResponse = 3,
   kCancellationReportRequest = 4,
   kCancellationReport = 5,
   kCancelNotice = 6,
   kMemberProbe = 7,
-  kMemberAnswer = 8,
+  kMemberProbeResponse = 8,
   kMembersRequest = 9,
   kMembersReport = 10,
   kBlockView = 11,
@@ -51,16 +51,16 @@
     PutBytes(out, relay.request.target);
     PutBytes(out, relay.request.body);
   }
-  void operator()(const RelayAnswer& answer) {
-    PutVarint(out, kRelayAnswer);
+  void operator()(const RelayResponse& answer) {
+    PutVarint(out, kRelayResponse);
     PutVarint(out, answer.id);
-    PutFlag(out, answer.answered);
+    PutFlag(out, answer.has_response);
     PutVarint(out, static_cast<uint64_t>(answer.response.status));
     PutBytes(out, answer.response.body);
   }
   void operator()(const CancellationReportRequest& request) {
     PutVarint(out, kCancellationReportRequest);
-    PutVarint(out, request.beyond);
+    PutVarint(out, request.after_revision);
   }
   void operator()(const CancellationReport& report) {
     PutVarint(out, kCancellationReport);
@@ -78,8 +78,8 @@
     PutVarint(out, probe.sequence);
     PutMemberStatus(out, probe.status);
   }
-  void operator()(const MemberAnswer& answer) {
-    PutVarint(out, kMemberAnswer);
+  void operator()(const MemberProbeResponse& answer) {
+    PutVarint(out, kMemberProbeResponse);
     PutVarint(out, answer.sequence);
     PutMemberStatus(out, answer.status);
   }
@@ -117,11 +117,11 @@
   return request;
 }
 
-RelayAnswer ReadRelayAnswer(VarintReader& reader) {
+RelayResponse ReadRelayAnswer(VarintReader& reader) {
   constexpr uint64_t kMaxStatus = 999;
-  RelayAnswer answer;
+  RelayResponse answer;
   answer.id = reader.Varint();
-  answer.answered = reader.Flag();
+  answer.has_response = reader.Flag();
   const uint64_t status = reader.Varint();
   if (status > kMaxStatus) {
     reader.Refuse("the status of a relayed answer", status);
@@ -146,7 +146,7 @@
   report.complete = reader.Flag();
   report.revision = reader.Varint();
   report.cancelled =
-      reader.List("the number of cancellations", kMaxCancellations, ReadCancellation);
+      reader.List("the number of cancellations", kMaxCancellationsPerFrame, ReadCancellation);
   return report;
 }
 
@@ -157,8 +157,8 @@
   return probe;
 }
 
-MemberAnswer ReadAnswer(VarintReader& reader) {
-  MemberAnswer answer;
+MemberProbeResponse ReadAnswer(VarintReader& reader) {
+  MemberProbeResponse answer;
   answer.sequence = reader.Varint();
   answer.status = ReadMemberStatus(reader);
   return answer;
@@ -171,7 +171,7 @@
       return ReadStatus(reader);
     case kRelayRequest:
       return ReadRelayRequest(reader);
-    case kRelayAnswer:
+    case kRelayResponse:
       return ReadRelayAnswer(reader);
     case kCancellationReportRequest:
       return CancellationReportRequest{reader.Varint()};
@@ -181,7 +181,7 @@
       return CancelNotice{ReadCancellation(reader)};
     case kMemberProbe:
       return ReadProbe(reader);
-    case kMemberAnswer:
+    case kMemberProbeResponse:
       return ReadAnswer(reader);
     case kMembersRequest:
       return MembersRequest{};
@@ -203,7 +203,7 @@
       return "a status";
     case kRelayRequest:
       return "a request to relay";
-    case kRelayAnswer:
+    case kRelayResponse:
       return "a relayed answer";
     case kCancellationReportRequest:
       return "a request for cancellations";
@@ -213,7 +213,7 @@
       return "a notice of a cancellation";
     case kMemberProbe:
       return "a probe";
-    case kMemberAnswer:
+    case kMemberProbeResponse:
       return "an answer to a probe";
     case kMembersRequest:
       return "a request for members";
--- a/src/wire/peer_codec.h
+++ b/src/wire/peer_codec.h
@@ -11,9 +11,9 @@
 namespace hallpier::wire {
 
 // Bytes of a frame's payload.
-inline constexpr size_t kMaxPeerFrame = size_t{256} * 1024;
+inline constexpr size_t kMaxPeerFrameBytes = size_t{256} * 1024;
 // Cancellations in one frame; job ids are short.
-inline constexpr size_t kMaxCancellations = 4096;
+inline constexpr size_t kMaxCancellationsPerFrame = 4096;
 
 // What came, as far as its type can be told, and what is wrong with it; for a log.
 struct MalformedMessage {
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -30,9 +30,9 @@
   HttpRequest request;
 };
 
-struct RelayAnswer {
+struct RelayResponse {
   uint64_t id = 0;
-  bool answered = false;  // false: no answer came, or the peer refused
+  bool has_response = false;  // false: no answer came, or the peer refused
   HttpResponse response;
 };
 
@@ -49,7 +49,7 @@
 // Sent by a leader that the state service does not answer: it asks for every cancellation that it
 // may lack, which are those beyond this revision.
 struct CancellationReportRequest {
-  uint64_t beyond = 0;
+  uint64_t after_revision = 0;
 };
 
 // `complete`: every cancellation that this node may ever have confirmed to a user is in
@@ -84,7 +84,7 @@
   MemberStatus status;
 };
 
-struct MemberAnswer {
+struct MemberProbeResponse {
   uint64_t sequence = 0;
   MemberStatus status;
 };
@@ -96,9 +96,9 @@
   std::string node;
   model::Incarnation incarnation;
   model::MemberState state = model::MemberState::kAlive;
-  bool known = false;  // false: it has no record; an older version, or without membership
+  bool has_record = false;  // false: it has no record; an older version, or without membership
   bool leading = false;
-  uint64_t since_ms = 0;  // how long it has been in its state, as far as this node knows
+  uint64_t state_age_ms = 0;  // how long it has been in its state, as far as this node knows
   std::vector<std::string> suspected_by;
   std::string reason;  // of the suspicion or the verdict
   bool operator==(const MemberRow&) const = default;
@@ -134,8 +134,8 @@
   bool operator==(const BlockAcknowledgement&) const = default;
 };
 
-using PeerMessage = std::variant<PeerStatus, RelayRequest, RelayAnswer, CancellationReportRequest,
-                                 CancellationReport, CancelNotice, MemberProbe, MemberAnswer,
+using PeerMessage = std::variant<PeerStatus, RelayRequest, RelayResponse, CancellationReportRequest,
+                                 CancellationReport, CancelNotice, MemberProbe, MemberProbeResponse,
                                  MembersRequest, MembersReport, BlockView, BlockAcknowledgement>;
 
 }  // namespace hallpier::wire
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -170,7 +170,7 @@
   writer.EndObject();
 }
 
-std::string WriteStatus(const model::JobStatus& status) {
+std::string WriteJobStatus(const model::JobStatus& status) {
   JsonWriter writer;
   writer.StartObject();
   writer.Field("id").Text(status.id);
@@ -181,7 +181,7 @@
   return writer.Take();
 }
 
-std::string WritePhase(std::string_view id, model::JobPhase phase) {
+std::string WriteJobPhase(std::string_view id, model::JobPhase phase) {
   JsonWriter writer;
   writer.StartObject();
   writer.Field("id").Text(id);
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -23,8 +23,8 @@
 Result<model::JobSpec, FieldError> ReadJobSpec(const JsonValue& object);
 void WriteJobSpec(JsonWriter& writer, const model::JobSpec& spec);
 
-std::string WriteStatus(const model::JobStatus& status);
-std::string WritePhase(std::string_view id, model::JobPhase phase);
+std::string WriteJobStatus(const model::JobStatus& status);
+std::string WriteJobPhase(std::string_view id, model::JobPhase phase);
 // `field`: the one at fault; empty: none.
 std::string WriteError(std::string_view reason, std::string_view field = {});
 
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -106,8 +106,8 @@
   return writer.Take();
 }
 
-std::string WriteCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
-                          const std::vector<model::WorkerCommand>& commands) {
+std::string WriteDirectCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
+                                const std::vector<model::WorkerCommand>& commands) {
   JsonWriter writer;
   writer.StartObject();
   writer.Field("epoch").Uint64(token.value());
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -18,8 +18,8 @@
 std::string WriteHeartbeatResponse(model::FencingToken token,
                                    const std::vector<model::WorkerCommand>& commands);
 // A direct command, which only the agent epoch that it names carries out.
-std::string WriteCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
-                          const std::vector<model::WorkerCommand>& commands);
+std::string WriteDirectCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
+                                const std::vector<model::WorkerCommand>& commands);
 // For a worker that asks a node that does not lead. Empty: there is no leader to name.
 std::string WriteRedirect(std::string_view leader);
 
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -331,7 +331,7 @@
   const auto views = Next();
   EXPECT_GT(views.size(), 1U);
   for (const auto& view : views) {
-    EXPECT_LE(wire::WritePeerMessage(view).size(), wire::kMaxPeerFrame);
+    EXPECT_LE(wire::WritePeerMessage(view).size(), wire::kMaxPeerFrameBytes);
   }
   EXPECT_EQ(Take(views), views.size());
   EXPECT_EQ(mirror_.registry().machines().size(), 4000U);
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -51,7 +51,7 @@
   void AskPeers(double now) {
     for (auto& [node, peer] : peers_) {
       const wire::CancellationReportRequest q = watermark_.RequestFor(node, 100);
-      const auto cancellation_report = peer(now, q.beyond);
+      const auto cancellation_report = peer(now, q.after_revision);
       if (!cancellation_report) continue;
       for (const wire::Cancellation& c : cancellation_report->cancelled) {
         auto record = job_table_.CancelledRecord(c.job);
@@ -197,8 +197,8 @@
   EXPECT_EQ(watermark.Watermark(21), 18) << "the oldest counts";
   watermark.OnCancellationReport("node-2", 25, {false, 500, {}});
   EXPECT_EQ(watermark.Watermark(26), 18) << "who does not vouch has said nothing";
-  EXPECT_EQ(watermark.RequestFor("node-2", 90).beyond, 100U);
-  EXPECT_EQ(watermark.RequestFor("node-2", 120).beyond, 120U);
+  EXPECT_EQ(watermark.RequestFor("node-2", 90).after_revision, 100U);
+  EXPECT_EQ(watermark.RequestFor("node-2", 120).after_revision, 120U);
   // The last answer and a whole lease after it end before cancel_s is over.
   EXPECT_LT(watermark.renewal_bound_s() + kLease, kCancel);
   EXPECT_GT(watermark.renewal_bound_s() + kLease, kCancel - kReport / 2);
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -319,9 +319,9 @@
 }
 
 TEST(GoldenMessage, Status) {
-  EXPECT_EQ(wire::WriteStatus({"run-000412", model::JobPhase::kRunning, 3, 13}),
+  EXPECT_EQ(wire::WriteJobStatus({"run-000412", model::JobPhase::kRunning, 3, 13}),
             R"({"id":"run-000412","phase":"running","done":3,"running":13})");
-  EXPECT_EQ(wire::WritePhase("run-000412", model::JobPhase::kPending),
+  EXPECT_EQ(wire::WriteJobPhase("run-000412", model::JobPhase::kPending),
             R"({"id":"run-000412","phase":"pending"})");
   EXPECT_EQ(wire::JobPhaseName(model::JobPhase::kDone), "done");
   EXPECT_EQ(wire::JobPhaseName(model::JobPhase::kCancelled), "cancelled");
@@ -387,7 +387,7 @@
       {model::CommandKind::kForget, {"run-000398", 0}, 1, 0}};
   EXPECT_EQ(wire::WriteHeartbeatResponse(model::FencingToken(41), commands),
             R"({"epoch":41,)" + text);
-  EXPECT_EQ(wire::WriteCommands(model::FencingToken(41), model::AgentEpoch(3), commands),
+  EXPECT_EQ(wire::WriteDirectCommands(model::FencingToken(41), model::AgentEpoch(3), commands),
             R"({"epoch":41,"tenure":3,)" + text);
 }
 
@@ -500,8 +500,8 @@
 // --- Peer frames -------------------------------------------------------------------------------
 
 TEST(GoldenPeerFrame, LengthPrefix) {
-  EXPECT_EQ(Hex(wire::Frame("abc")), "03616263");
-  EXPECT_EQ(Hex(wire::Frame(std::string(200, 'x')).substr(0, 3)), "c80178");
+  EXPECT_EQ(Hex(wire::EncodeFrame("abc")), "03616263");
+  EXPECT_EQ(Hex(wire::EncodeFrame(std::string(200, 'x')).substr(0, 3)), "c80178");
 }
 
 // Enumerators are sent as their numbers.
@@ -529,8 +529,8 @@
   ExpectFrame(wire::RelayRequest{9, {"POST", "/txn", "{}"}}, "02 09 04504f5354 042f74786e 027b7d");
 }
 
-TEST(GoldenPeerFrame, RelayAnswer) {
-  ExpectFrame(wire::RelayAnswer{9, true, {503, "{}"}}, "03 09 01 f703 027b7d");
+TEST(GoldenPeerFrame, RelayResponse) {
+  ExpectFrame(wire::RelayResponse{9, true, {503, "{}"}}, "03 09 01 f703 027b7d");
 }
 
 TEST(GoldenPeerFrame, CancellationReportRequest) {
@@ -560,9 +560,10 @@
               "026e33 00 00 00 00");
 }
 
-TEST(GoldenPeerFrame, MemberAnswer) {
+TEST(GoldenPeerFrame, MemberProbeResponse) {
   ExpectFrame(
-      wire::MemberAnswer{1, {"n2", {5, 0}, model::MemberState::kLeft, {false, true, 0, 0}, "", {}}},
+      wire::MemberProbeResponse{
+          1, {"n2", {5, 0}, model::MemberState::kLeft, {false, true, 0, 0}, "", {}}},
       "08 01 026e32 05 00 03 00 01 00 00 00 00");
 }
 
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -16,7 +16,7 @@
       "POST /submissions?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
   for (size_t i = 0; i + 1 < text.size(); ++i) {
     p.Feed(text.substr(i, 1));
-    ASSERT_EQ(p.Parse(), State::kMore) << i;
+    ASSERT_EQ(p.Parse(), State::kNeedMore) << i;
   }
   p.Feed("y");
   ASSERT_EQ(p.Parse(), State::kDone);
@@ -41,7 +41,7 @@
 TEST(HttpParser, ReadsChunkedAnswersAndRetryAfter) {
   HttpParser p(HttpParser::Kind::kResponse, 100);
   p.Feed("HTTP/1.1 503 x\r\nRetry-After: 7\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-  ASSERT_EQ(p.Parse(), State::kMore);
+  ASSERT_EQ(p.Parse(), State::kNeedMore);
   p.Feed("2;x=y\r\nde\r\n0\r\n\r\n");
   ASSERT_EQ(p.Parse(), State::kDone);
   HttpResponse r = p.TakeResponse();
@@ -87,8 +87,8 @@
 TEST(HttpParser, RefusesEndlessHeads) {
   HttpParser p(HttpParser::Kind::kRequest, 10);
   p.Feed("GET /a HTTP/1.1\r\n");
-  auto state = State::kMore;
-  for (int i = 0; i < 10000 && state == State::kMore; ++i) {
+  auto state = State::kNeedMore;
+  for (int i = 0; i < 10000 && state == State::kNeedMore; ++i) {
     p.Feed("X-Filler: 0123456789\r\n");
     state = p.Parse();
   }
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -47,10 +47,10 @@
 TEST(LargeFleet, ANodeHandsOverAsManyCancellationsAsAFrameMayHave) {
   wire::CancellationReport report;
   report.complete = true;
-  for (size_t i = 0; i < wire::kMaxCancellations; ++i) {
+  for (size_t i = 0; i < wire::kMaxCancellationsPerFrame; ++i) {
     report.cancelled.push_back({"run-" + std::to_string(100000000 + i), UINT64_MAX});
   }
-  EXPECT_LT(wire::WritePeerMessage(report).size(), wire::kMaxPeerFrame);
+  EXPECT_LT(wire::WritePeerMessage(report).size(), wire::kMaxPeerFrameBytes);
 }
 
 }  // namespace
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -171,7 +171,7 @@
       EXPECT_EQ(answer.report->rows.size(), 3U);
       for (const wire::MemberRow& row : answer.report->rows) {
         EXPECT_EQ(row.state, MemberState::kAlive);
-        EXPECT_TRUE(row.known);
+        EXPECT_TRUE(row.has_record);
         EXPECT_EQ(row.leading, row.node == Leader());
       }
     }
@@ -198,7 +198,8 @@
     EXPECT_TRUE(Is(0, MemberState::kAlive));
     auto answers = co_await Command(NodeSettings(0, 3));
     EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
-    EXPECT_FALSE(answers.at(0).report->rows.at(2).known) << "never failed for answering no probe";
+    EXPECT_FALSE(answers.at(0).report->rows.at(2).has_record)
+        << "never failed for answering no probe";
     EXPECT_FALSE(answers.at(2).report->enabled);
     co_await RunsAJob(2);
   }
@@ -213,8 +214,8 @@
     stranger.observations = {{"node-0", {UINT64_MAX, 5}, MemberState::kFailed, 1}};
     const std::string probe = wire::WritePeerMessage(wire::MemberProbe{1, stranger});
     for (const std::string& bytes :
-         {std::string("\xff\xff\xff\xff\x7f"), wire::Frame(std::string(1, kUnknownType)),
-          wire::Frame(probe.substr(3)), wire::Frame(probe)}) {
+         {std::string("\xff\xff\xff\xff\x7f"), wire::EncodeFrame(std::string(1, kUnknownType)),
+          wire::EncodeFrame(probe.substr(3)), wire::EncodeFrame(probe)}) {
       auto to = net::ParseAddress(At(1));
       int error = 0;
       auto stream = co_await net::Stream::Connect(scope_, *to, loop_.Now() + 1, &error);
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -188,7 +188,7 @@
   async::Task<> AnswerPings(net::Listener listener) {
     auto stream = co_await listener.Accept(scope_);
     if (!stream) co_return;
-    wire::FrameBuffer frames(wire::kMaxPeerFrame);
+    wire::FrameDecoder frames(wire::kMaxPeerFrameBytes);
     while (!scope_.cancelled()) {
       std::string data;
       bool read = co_await stream->Read(scope_, data, loop_.Now() + 5);
@@ -199,7 +199,7 @@
         wire::PeerStatus s;
         s.node = "node-1";
         s.state_reachable = false;
-        out += wire::Frame(wire::WritePeerMessage(s));
+        out += wire::EncodeFrame(wire::WritePeerMessage(s));
         ++answered_;
       }
       if (!out.empty()) co_await stream->Write(scope_, out, loop_.Now() + 1);
@@ -262,7 +262,7 @@
       return std::nullopt;
     };
     hooks.cancellation_report = [](const wire::CancellationReportRequest& q) {
-      return wire::CancellationReport{true, 50, {{"run-1", q.beyond + 1}}};
+      return wire::CancellationReport{true, 50, {{"run-1", q.after_revision + 1}}};
     };
     hooks.on_cancellation_report = [this](const std::string& from, double asked,
                                           const wire::CancellationReport& v) {
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -42,10 +42,10 @@
   EXPECT_FALSE(bytes.ok()) << "a text longer than what is there";
 }
 
-TEST(FrameBuffer, TakesFramesFromAnyCutOfTheStream) {
+TEST(FrameDecoder, TakesFramesFromAnyCutOfTheStream) {
   const std::string big(1000, 'x');
-  const std::string stream = Frame("one") + Frame("") + Frame(big);
-  FrameBuffer f(2000);
+  const std::string stream = EncodeFrame("one") + EncodeFrame("") + EncodeFrame(big);
+  FrameDecoder f(2000);
   std::vector<std::string> got;
   for (char c : stream) {
     f.Feed(std::string_view(&c, 1));
@@ -55,12 +55,12 @@
   EXPECT_FALSE(f.corrupt());
 }
 
-TEST(FrameBuffer, RefusesFramesOverTheBound) {
-  FrameBuffer f(100);
-  f.Feed(Frame(std::string(101, 'x')));
+TEST(FrameDecoder, RefusesFramesOverTheBound) {
+  FrameDecoder f(100);
+  f.Feed(EncodeFrame(std::string(101, 'x')));
   EXPECT_FALSE(f.Next());
   EXPECT_TRUE(f.corrupt());
-  FrameBuffer g(100);
+  FrameDecoder g(100);
   g.Feed(std::string(10, '\xff'));
   EXPECT_FALSE(g.Next());
   EXPECT_TRUE(g.corrupt());
@@ -92,7 +92,7 @@
   }
   back = ReadPeerMessage(WritePeerMessage(CancellationReportRequest{431}));
   ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<CancellationReportRequest>(*back).beyond, 431U);
+  EXPECT_EQ(std::get<CancellationReportRequest>(*back).after_revision, 431U);
   back = ReadPeerMessage(WritePeerMessage(CancelNotice{{"run-1", 430}}));
   ASSERT_TRUE(back);
   EXPECT_EQ(std::get<CancelNotice>(*back).cancelled, (Cancellation{"run-1", 430}));
@@ -176,7 +176,7 @@
       case 1:
         return RelayRequest{Number(), {.method = Text(), .target = Text(), .body = Text()}};
       case 2:
-        return RelayAnswer{Number(), Flag(), {.status = 599, .body = Text()}};
+        return RelayResponse{Number(), Flag(), {.status = 599, .body = Text()}};
       case 3:
         return CancellationReportRequest{Number()};
       case 4:
@@ -188,7 +188,7 @@
       case 6:
         return MemberProbe{Number(), Status()};
       case 7:
-        return MemberAnswer{Number(), Status()};
+        return MemberProbeResponse{Number(), Status()};
       case 8:
         return MembersRequest{};
       case 9:
@@ -262,7 +262,7 @@
   constexpr size_t kPhase = 14;  // behind the view's head, the machine's and the task's name
   phase[kPhase] = 9;
   EXPECT_EQ(FaultOf(phase), "a view of a block: a task's phase can't be 9");
-  std::string answer = WritePeerMessage(RelayAnswer{0, true, {.status = 0, .body = ""}});
+  std::string answer = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
   answer.resize(3);  // the type, an id and a flag
   PutVarint(answer, 1000);
   EXPECT_EQ(FaultOf(answer), "a relayed answer: the status of a relayed answer can't be 1000");
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -8,8 +8,8 @@
 #include "model/machine_type.h"
 #include "store/machine_type_pages.h"
 #include "store/packed_task_group.h"
+#include "wire/base64_digits.h"
 #include "wire/cloud_codec.h"
-#include "wire/digits.h"
 #include "wire/peer_codec.h"
 #include "wire/peer_messages.h"
 
@@ -71,9 +71,9 @@
   q.request.target = "/txn";
   q.request.body = "{}";
   EXPECT_EQ(Hex(wire::WritePeerMessage(q)), "020904504f5354042f74786e027b7d");
-  wire::RelayAnswer a;
+  wire::RelayResponse a;
   a.id = 9;
-  a.answered = true;
+  a.has_response = true;
   a.response.status = 200;
   a.response.body = R"({"rev":5})";
   EXPECT_EQ(Hex(wire::WritePeerMessage(a)), "030901c801097b22726576223a357d");
@@ -114,8 +114,8 @@
   EXPECT_EQ(wire::TakeDigits(left, 1), std::nullopt);
   left = "A*";
   EXPECT_EQ(wire::TakeDigits(left, 2), std::nullopt);
-  EXPECT_EQ(wire::DigitsFor(63), 1U);
-  EXPECT_EQ(wire::DigitsFor(64), 2U);
+  EXPECT_EQ(wire::DigitsNeeded(63), 1U);
+  EXPECT_EQ(wire::DigitsNeeded(64), 2U);
   const std::vector<bool> flags = {true, false, false, true, true, false, true};
   EXPECT_EQ(wire::UnpackFlags(wire::PackFlags(flags), 7), flags);
   EXPECT_FALSE(wire::UnpackFlags(wire::PackFlags(flags), 6)) << "a flag too many";
