--- a/src/wire/base64_digits.h
+++ b/src/wire/base64_digits.h
@@ -1,4 +1,5 @@
-// Numbers as text of base 64, six bits a character: for values that must be JSON and stay small.
+// Fixed-width numbers in base 64, six bits per character: a compact form for numbers in JSON
+// strings. This is not the Base64 encoding of RFC 4648.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +11,19 @@
 
 namespace hallpier::wire {
 
-// Characters that every number up to `most` fits.
-size_t DigitsNeeded(uint64_t most);
-// Appends `value`, highest digit first; it must fit `width`.
+// Returns the number of digits needed for every number up to `max`.
+size_t DigitsNeeded(uint64_t max);
+// Appends `value` with exactly `width` digits, most significant digit first. Requires that `value`
+// fits `width` digits.
 void PutDigits(std::string& out, uint64_t value, size_t width);
-// Takes `width` characters from the front; nothing if there are fewer, or others than digits.
+// Removes `width` digits from the front of `text` and returns their value. Returns std::nullopt,
+// and leaves `text` unchanged, if it is shorter than `width` or contains any other character.
 std::optional<uint64_t> TakeDigits(std::string_view& text, size_t width);
 
-// Flags, six a character; the last one is filled up with false.
+// Encodes flags, six per character; the last character is padded with false.
 std::string PackFlags(const std::vector<bool>& flags);
+// Decodes `count` flags. Returns std::nullopt if the length of `text` does not match `count`, a
+// character is not a digit or a padding bit is set.
 std::optional<std::vector<bool>> UnpackFlags(std::string_view text, size_t count);
 
 }  // namespace hallpier::wire
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -8,8 +8,8 @@
 namespace hallpier::wire {
 namespace {
 
-// No frame holds more entries than this; a larger count is taken for a malformed one before
-// anything is reserved for it.
+// An entry takes at least one byte, so no frame holds more entries than this. A larger count is
+// rejected as malformed before memory is reserved for it.
 constexpr uint64_t kMaxEntries = kMaxPeerFrameBytes;
 
 void PutTaskView(std::string& out, const model::TaskView& view) {
@@ -25,10 +25,10 @@
 model::TaskView ReadTaskView(VarintReader& reader) {
   model::TaskView view;
   view.task.job = reader.Bytes();
-  view.task.index = static_cast<uint32_t>(reader.Count("a task's number", model::kMaxTasks));
+  view.task.index = static_cast<uint32_t>(reader.Count("task index", model::kMaxTasks));
   view.attempt = reader.Varint();
-  view.phase = reader.Enum("a task's phase", model::TaskPhase::kExited);
-  view.cause = reader.Enum("the cause of a task's end", model::ExitCause::kUnknown);
+  view.phase = reader.Enum("task phase", model::TaskPhase::kExited);
+  view.cause = reader.Enum("task exit cause", model::ExitCause::kUnknown);
   view.seen_start = reader.Flag();
   view.for_ms = reader.Varint();
   return view;
@@ -41,8 +41,8 @@
   view.zone = reader.Bytes();
   view.spot = reader.Flag();
   view.usable = reader.Flag();
-  view.images = reader.Names("the number of images", kMaxEntries);
-  view.tasks = reader.List("the number of tasks", kMaxEntries, ReadTaskView);
+  view.images = reader.Strings("image count", kMaxEntries);
+  view.tasks = reader.List("task count", kMaxEntries, ReadTaskView);
   return view;
 }
 
@@ -50,7 +50,7 @@
   PutBytes(out, failures.job);
   PutFlag(out, failures.suspected);
   PutFlag(out, failures.retry_due);
-  PutNames(out, failures.failed_on);
+  PutStrings(out, failures.failed_on);
 }
 
 model::JobFailures ReadJobFailures(VarintReader& reader) {
@@ -58,7 +58,7 @@
   failures.job = reader.Bytes();
   failures.suspected = reader.Flag();
   failures.retry_due = reader.Flag();
-  failures.failed_on = reader.Names("the number of machines that failed a job", kMaxEntries);
+  failures.failed_on = reader.Strings("failed machine count", kMaxEntries);
   return failures;
 }
 
@@ -70,7 +70,7 @@
   PutBytes(out, view.zone);
   PutFlag(out, view.spot);
   PutFlag(out, view.usable);
-  PutNames(out, view.images);
+  PutStrings(out, view.images);
   PutVarint(out, view.tasks.size());
   for (const model::TaskView& task : view.tasks) PutTaskView(out, task);
 }
@@ -80,7 +80,7 @@
   PutVarint(out, view.sequence);
   PutVarint(out, view.changed.size());
   for (const model::MachineView& machine : view.changed) PutMachineView(out, machine);
-  PutNames(out, view.gone);
+  PutStrings(out, view.gone);
   PutVarint(out, view.failures.size());
   for (const model::JobFailures& failures : view.failures) PutJobFailures(out, failures);
 }
@@ -89,9 +89,9 @@
   BlockView view;
   view.token = model::FencingToken(reader.Varint());
   view.sequence = reader.Varint();
-  view.changed = reader.List("the number of machines", kMaxEntries, ReadMachineView);
-  view.gone = reader.Names("the number of machines that are gone", kMaxEntries);
-  view.failures = reader.List("the number of jobs that fail", kMaxEntries, ReadJobFailures);
+  view.changed = reader.List("machine count", kMaxEntries, ReadMachineView);
+  view.gone = reader.Strings("removed machine count", kMaxEntries);
+  view.failures = reader.List("failing job count", kMaxEntries, ReadJobFailures);
   return view;
 }
 
--- a/src/wire/block_codec.h
+++ b/src/wire/block_codec.h
@@ -1,4 +1,7 @@
-// The varint form of what the leader and holders of blocks say to each other (wire/peer.h).
+// Encodes and decodes the messages about blocks of machines in the varint codec (see
+// wire/peer_codec.h).
+//
+// The Read functions report malformed input through `reader`: its ok() is false afterwards.
 #pragma once
 
 #include <string>
@@ -10,13 +13,12 @@
 namespace hallpier::wire {
 
 void PutBlockView(std::string& out, const BlockView& view);
-// What is malformed shows in `reader`.
 BlockView ReadBlockView(VarintReader& reader);
 
 void PutBlockAcknowledgement(std::string& out, const BlockAcknowledgement& acknowledgement);
 BlockAcknowledgement ReadBlockAcknowledgement(VarintReader& reader);
 
-// One machine's part of a view.
+// Appends one machine, in the form that a block view contains.
 void PutMachineView(std::string& out, const model::MachineView& view);
 
 }  // namespace hallpier::wire
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -1,4 +1,5 @@
-// The cloud's JSON: machine types, lists of machines, scaling out and in.
+// Encodes and decodes the cloud's JSON: machine types, machine lists, scale-out and scale-in
+// requests.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +14,19 @@
 
 namespace hallpier::wire {
 
-// Nothing if a type lacks its name, processors or memory.
+// Returns std::nullopt if the list is missing or a type has no name, CPU count or memory size.
 std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& object);
-// `pages`: of how many lists this is the first; 0: it is the only one, or not the first.
+// `pages` is the number of lists that the types are split over. Only the first of several lists
+// carries it; pass 0 for a later or a single list.
 std::string WriteMachineTypes(const std::vector<model::MachineType>& machine_types,
                               uint64_t pages = 0);
 
 std::string WriteScaleOutRequest(const model::ScaleOutRequest& request);
-// The names of the machines that were granted; they may be fewer than asked for.
+// Returns the names of the machines that the cloud provided, which may be fewer than requested, or
+// std::nullopt if the body is malformed.
 std::optional<std::vector<std::string>> ReadScaleOutResponse(std::string_view body);
 std::string WriteScaleInRequest(const std::vector<std::string>& machines);
+// Returns one page of the machine list, or std::nullopt if the body is malformed.
 std::optional<model::CloudMachineList> ReadMachineList(std::string_view body);
 
 }  // namespace hallpier::wire
--- a/src/wire/enum_names.h
+++ b/src/wire/enum_names.h
@@ -1,4 +1,4 @@
-// Tables of the words that an enumeration has on the wire.
+// Tables that map enum values to their names on the wire.
 #pragma once
 
 #include <array>
@@ -13,29 +13,30 @@
 template <class E, size_t N>
 using EnumNames = std::array<std::pair<E, std::string_view>, N>;
 
-// The word for a value; empty if the table has none.
+// Returns the name of a value; empty if the table has no entry for it.
 template <class E, size_t N>
 std::string_view NameOf(const EnumNames<E, N>& names, E value) {
-  for (const auto& [known, name] : names) {
-    if (known == value) return name;
+  for (const auto& [entry_value, name] : names) {
+    if (entry_value == value) return name;
   }
   return {};
 }
 
-// Nothing if the table does not have the word.
+// Returns the value with the given name, or std::nullopt if the table has no such name.
 template <class E, size_t N>
-std::optional<E> ValueOf(const EnumNames<E, N>& names, std::string_view word) {
-  for (const auto& [known, name] : names) {
-    if (name == word) return known;
+std::optional<E> ValueOf(const EnumNames<E, N>& names, std::string_view name) {
+  for (const auto& [value, entry_name] : names) {
+    if (entry_name == name) return value;
   }
   return std::nullopt;
 }
 
-// A member of a JSON object that holds such a word; nothing if it is missing or unknown.
+// Returns the value of a JSON member that holds an enum name, or std::nullopt if the member is
+// missing, not a string or an unknown name.
 template <class E, size_t N>
 std::optional<E> GetEnum(const EnumNames<E, N>& names, const JsonValue& object, const char* field) {
-  auto word = GetText(object, field);
-  return word ? ValueOf(names, *word) : std::nullopt;
+  auto name = GetText(object, field);
+  return name ? ValueOf(names, *name) : std::nullopt;
 }
 
 }  // namespace hallpier::wire
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -18,20 +18,21 @@
     corrupt_ = buffer_.size() >= kMaxVarintBytes;
     return std::nullopt;
   }
-  if (size > max_frame_) {
+  if (size > max_payload_bytes_) {
     corrupt_ = true;
     return std::nullopt;
   }
-  std::string head;
-  PutVarint(head, size);
-  if (buffer_.size() < head.size() + size) return std::nullopt;
-  // A length written in more bytes than it needs is none of ours.
-  if (buffer_.compare(0, head.size(), head) != 0) {
+  std::string header;
+  PutVarint(header, size);
+  if (buffer_.size() < header.size() + size) return std::nullopt;
+  // Controllers encode the length in as few bytes as possible, so a longer encoding comes from
+  // something else.
+  if (buffer_.compare(0, header.size(), header) != 0) {
     corrupt_ = true;
     return std::nullopt;
   }
-  std::string payload = buffer_.substr(head.size(), size);
-  buffer_.erase(0, head.size() + size);
+  std::string payload = buffer_.substr(header.size(), size);
+  buffer_.erase(0, header.size() + size);
   return payload;
 }
 
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,4 +1,4 @@
-// Frames of the links between controllers: one length and one payload.
+// Frames on the connections between controllers: the payload length as a varint, then the payload.
 #pragma once
 
 #include <cstddef>
@@ -8,21 +8,23 @@
 
 namespace hallpier::wire {
 
+// Returns the payload with its length in front.
 std::string EncodeFrame(std::string_view payload);
 
-// Takes frames out of a byte stream.
+// Splits a byte stream into frames.
 class FrameDecoder {
  public:
-  // `max_frame`: bytes of a payload; a longer frame makes the stream corrupt.
-  explicit FrameDecoder(size_t max_frame) : max_frame_(max_frame) {}
+  // `max_payload_bytes` bounds the payload of a frame; the stream is corrupt if one is longer.
+  explicit FrameDecoder(size_t max_payload_bytes) : max_payload_bytes_(max_payload_bytes) {}
 
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
-  // The next payload; nothing if more bytes are needed or the stream is corrupt.
+  // Returns the next payload, or std::nullopt if more bytes are needed or the stream is corrupt.
   std::optional<std::string> Next();
+  // True once an invalid frame was found; Next() then returns nothing more.
   bool corrupt() const { return corrupt_; }
 
  private:
-  const size_t max_frame_;
+  const size_t max_payload_bytes_;
   std::string buffer_;
   bool corrupt_ = false;
 };
--- a/src/wire/http.cc
+++ b/src/wire/http.cc
@@ -3,11 +3,11 @@
 namespace hallpier::wire {
 namespace {
 
-// Bytes reserved for the head of a message.
-constexpr size_t kTypicalHead = 160;
+// Reserved for the start line and headers of a message.
+constexpr size_t kTypicalHeadBytes = 160;
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-std::string_view Reason(int status) {
+std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -46,7 +46,7 @@
 
 std::string Serialize(const HttpRequest& request, std::string_view host) {
   std::string out;
-  out.reserve(kTypicalHead + request.body.size());
+  out.reserve(kTypicalHeadBytes + request.body.size());
   out.append(request.method)
       .append(" ")
       .append(request.target)
@@ -63,11 +63,11 @@
 
 std::string Serialize(const HttpResponse& response) {
   std::string out;
-  out.reserve(kTypicalHead + response.body.size());
+  out.reserve(kTypicalHeadBytes + response.body.size());
   out.append("HTTP/1.1 ")
       .append(std::to_string(response.status))
       .append(" ")
-      .append(Reason(response.status));
+      .append(ReasonPhrase(response.status));
   out.append("\r\nContent-Type: application/json\r\nContent-Length: ")
       .append(std::to_string(response.body.size()));
   if (response.retry_after_s > 0) {
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, and how they are written.
+// HTTP/1.1 requests and responses, and their serialization.
 #pragma once
 
 #include <string>
@@ -8,17 +8,18 @@
 
 struct HttpRequest {
   std::string method;
-  std::string target;  // as sent, with the query
+  std::string target;  // path and query, still percent-encoded
   std::string body;
   bool keep_alive = true;
 
+  // Returns the target without its query.
   std::string_view path() const;
 };
 
 struct HttpResponse {
   int status = 0;
   std::string body;
-  int retry_after_s = 0;  // 0: no header
+  int retry_after_s = 0;  // 0: no Retry-After header
   bool keep_alive = true;
 };
 
--- a/src/wire/http_parser.cc
+++ b/src/wire/http_parser.cc
@@ -7,28 +7,29 @@
 namespace hallpier::wire {
 namespace {
 
-// Heads of our peers are a few hundred bytes; whatever is far beyond that is no peer of ours.
-constexpr size_t kMaxHead = size_t{16} * 1024;
-// The line with a chunk's size.
-constexpr size_t kMaxChunkHead = 64;
+// Start line and headers. Those of known peers take a few hundred bytes, so a much longer head
+// comes from something else.
+constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
+// The size line of a chunk.
+constexpr size_t kMaxChunkSizeLineBytes = 64;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 
 constexpr int kBadRequest = 400;
 constexpr int kContentTooLarge = 413;
 constexpr int kHeadersTooLarge = 431;
 
-char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char ToLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool EqualsNoCase(std::string_view left, std::string_view right) {
+bool EqualsIgnoreCase(std::string_view left, std::string_view right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
-                    [](char a, char b) { return Lower(a) == Lower(b); });
+                    [](char a, char b) { return ToLower(a) == ToLower(b); });
 }
 
-bool ContainsNoCase(std::string_view text, std::string_view word) {
+bool ContainsIgnoreCase(std::string_view text, std::string_view word) {
   for (size_t i = 0; i + word.size() <= text.size(); ++i) {
-    if (EqualsNoCase(text.substr(i, word.size()), word)) return true;
+    if (EqualsIgnoreCase(text.substr(i, word.size()), word)) return true;
   }
   return false;
 }
@@ -48,9 +49,9 @@
 }
 
 bool IsToken(std::string_view text) {
-  constexpr char kDelete = 127;
-  return !text.empty() &&
-         std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c >= kDelete; });
+  constexpr char kDeleteCharacter = 127;
+  return !text.empty() && std::none_of(text.begin(), text.end(),
+                                       [](char c) { return c <= ' ' || c >= kDeleteCharacter; });
 }
 
 }  // namespace
@@ -65,20 +66,21 @@
   if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) return false;
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = Trim(line.substr(colon + 1));
-  if (EqualsNoCase(name, "content-length")) {
+  if (EqualsIgnoreCase(name, "content-length")) {
     size_t length = 0;
-    // Two different lengths are how one message is made to look like two.
-    if (!ParseNumber(value, length) || (has_length_ && length != length_)) return false;
-    length_ = length;
-    has_length_ = true;
-  } else if (EqualsNoCase(name, "transfer-encoding")) {
-    if (!EqualsNoCase(value, "chunked")) return false;
+    // Conflicting lengths allow request smuggling: one message is made to look like two.
+    if (!ParseNumber(value, length) || (has_content_length_ && length != content_length_))
+      return false;
+    content_length_ = length;
+    has_content_length_ = true;
+  } else if (EqualsIgnoreCase(name, "transfer-encoding")) {
+    if (!EqualsIgnoreCase(value, "chunked")) return false;
     chunked_ = true;
-  } else if (EqualsNoCase(name, "connection")) {
-    const bool close = ContainsNoCase(value, "close");
+  } else if (EqualsIgnoreCase(name, "connection")) {
+    const bool close = ContainsIgnoreCase(value, "close");
     request_.keep_alive = request_.keep_alive && !close;
     response_.keep_alive = response_.keep_alive && !close;
-  } else if (EqualsNoCase(name, "retry-after")) {
+  } else if (EqualsIgnoreCase(name, "retry-after")) {
     int seconds = 0;
     if (ParseNumber(value, seconds)) response_.retry_after_s = seconds;
   }
@@ -123,20 +125,21 @@
 }
 
 HttpParser::State HttpParser::ParseHead() {
-  // The end of the head may have come in two parts.
+  // The blank line that ends the head may have arrived in two parts.
   const size_t overlap = kHeadEnd.size() - 1;
   const size_t end = buffer_.find(kHeadEnd, scanned_ < overlap ? 0 : scanned_ - overlap);
   scanned_ = buffer_.size();
   if (end == std::string::npos) {
-    return buffer_.size() > kMaxHead ? Fail(kHeadersTooLarge) : State::kNeedMore;
+    return buffer_.size() > kMaxHeadBytes ? Fail(kHeadersTooLarge) : State::kNeedMore;
   }
-  if (end > kMaxHead) return Fail(kHeadersTooLarge);
+  if (end > kMaxHeadBytes) return Fail(kHeadersTooLarge);
   const std::string_view head(buffer_.data(), end);
-  const std::string_view first = head.substr(0, head.find(kLineEnd));
-  const bool readable = kind_ == Kind::kRequest ? ParseRequestLine(first) : ParseStatusLine(first);
-  if (!readable || !ParseHeaders(head)) return Fail(kBadRequest);
-  if (chunked_ && has_length_) return Fail(kBadRequest);
-  if (length_ > max_body_) return Fail(kContentTooLarge);
+  const std::string_view start_line = head.substr(0, head.find(kLineEnd));
+  const bool valid =
+      kind_ == Kind::kRequest ? ParseRequestLine(start_line) : ParseStatusLine(start_line);
+  if (!valid || !ParseHeaders(head)) return Fail(kBadRequest);
+  if (chunked_ && has_content_length_) return Fail(kBadRequest);
+  if (content_length_ > max_body_bytes_) return Fail(kContentTooLarge);
   head_done_ = true;
   buffer_.erase(0, end + kHeadEnd.size());
   return State::kDone;
@@ -146,12 +149,13 @@
   while (true) {
     const size_t line_end = buffer_.find(kLineEnd);
     if (line_end == std::string::npos) {
-      return buffer_.size() > kMaxChunkHead ? Fail(kBadRequest) : State::kNeedMore;
+      return buffer_.size() > kMaxChunkSizeLineBytes ? Fail(kBadRequest) : State::kNeedMore;
     }
     const std::string_view line(buffer_.data(), line_end);
     size_t size = 0;
-    if (!ParseNumber(line.substr(0, line.find(';')), size, kHexadecimal)) return Fail(kBadRequest);
-    if (size > max_body_ || body().size() + size > max_body_) return Fail(kContentTooLarge);
+    if (!ParseNumber(line.substr(0, line.find(';')), size, kHexBase)) return Fail(kBadRequest);
+    if (size > max_body_bytes_ || body().size() + size > max_body_bytes_)
+      return Fail(kContentTooLarge);
     const size_t start = line_end + kLineEnd.size();
     const size_t end = start + size;
     if (buffer_.size() < end + kLineEnd.size()) return State::kNeedMore;
@@ -163,13 +167,13 @@
 }
 
 HttpParser::State HttpParser::ParseSizedBody() {
-  if (buffer_.size() < length_) return State::kNeedMore;
-  if (buffer_.size() == length_) {
+  if (buffer_.size() < content_length_) return State::kNeedMore;
+  if (buffer_.size() == content_length_) {
     body() = std::move(buffer_);
     buffer_.clear();
   } else {
-    body() = buffer_.substr(0, length_);
-    buffer_.erase(0, length_);
+    body() = buffer_.substr(0, content_length_);
+    buffer_.erase(0, content_length_);
   }
   return State::kDone;
 }
@@ -186,8 +190,8 @@
   scanned_ = 0;
   head_done_ = false;
   chunked_ = false;
-  has_length_ = false;
-  length_ = 0;
+  has_content_length_ = false;
+  content_length_ = 0;
   request_ = {};
   response_ = {};
 }
--- a/src/wire/http_parser.h
+++ b/src/wire/http_parser.h
@@ -1,4 +1,4 @@
-// An incremental parser of HTTP/1.1 messages. Does no I/O.
+// Incremental parser for HTTP/1.1 messages. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +9,23 @@
 
 namespace hallpier::wire {
 
-// Takes bytes as they come and says when a whole message is there.
+// Accepts bytes as they arrive and reports when a message is complete.
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
   enum class State { kNeedMore, kDone, kError };
 
-  // `max_body`: bytes; a message with a longer body is an error.
-  HttpParser(Kind kind, size_t max_body) : kind_(kind), max_body_(max_body) {}
+  // `max_body_bytes` bounds the body; a message with a longer body is an error.
+  HttpParser(Kind kind, size_t max_body_bytes) : kind_(kind), max_body_bytes_(max_body_bytes) {}
 
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
-  // Tries to complete one message from what has been fed.
+  // Tries to complete one message from the bytes fed so far.
   State Parse();
-  // True once a part of a message has been taken in.
+  // True once bytes of the next message have arrived.
   bool message_started() const { return head_done_ || !buffer_.empty(); }
-  // With kError: the status that tells the peer what was wrong.
+  // The HTTP status that describes the error to the peer. Valid after kError.
   int error_status() const { return error_status_; }
-  // With kDone: the message; the parser is then ready for the next.
+  // Return the parsed message and reset the parser for the next one. Valid after kDone.
   HttpRequest TakeRequest();
   HttpResponse TakeResponse();
 
@@ -34,7 +34,7 @@
   State ParseHead();
   bool ParseRequestLine(std::string_view line);
   bool ParseStatusLine(std::string_view line);
-  // The lines of the head behind the first.
+  // Parses the lines of `head` after the start line.
   bool ParseHeaders(std::string_view head);
   bool ParseHeader(std::string_view line);
   State ParseChunks();
@@ -43,13 +43,13 @@
   std::string& body() { return kind_ == Kind::kRequest ? request_.body : response_.body; }
 
   const Kind kind_;
-  const size_t max_body_;
+  const size_t max_body_bytes_;
   std::string buffer_;
-  size_t scanned_ = 0;  // bytes of the buffer without the end of the head
+  size_t scanned_ = 0;  // leading bytes of buffer_ already searched for the end of the head
   bool head_done_ = false;
   bool chunked_ = false;
-  bool has_length_ = false;
-  size_t length_ = 0;
+  bool has_content_length_ = false;
+  size_t content_length_ = 0;
   int error_status_ = 400;
   HttpRequest request_;
   HttpResponse response_;
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,5 +1,5 @@
-// Checked reads and compact writes over RapidJSON. A read gives nothing if the member is missing,
-// null or of another type.
+// Checked reads and compact writes on top of RapidJSON. The Get functions return std::nullopt if
+// the member is missing, null or of another type.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -20,7 +20,7 @@
 class JsonWriter : public rapidjson::Writer<rapidjson::StringBuffer> {
  public:
   JsonWriter() : rapidjson::Writer<rapidjson::StringBuffer>(buffer_) {}
-  // The name of the member whose value comes next.
+  // Writes the name of a member; its value must be written next.
   JsonWriter& Field(const char* name) {
     Key(name);
     return *this;
@@ -28,6 +28,7 @@
   void Text(std::string_view text) {
     String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
   }
+  // Writes null for an empty text.
   void TextOrNull(std::string_view text) {
     if (text.empty()) {
       Null();
@@ -35,16 +36,17 @@
       Text(text);
     }
   }
-  // A JSON text that is written as it is.
+  // Writes a JSON text unchanged.
   void Raw(std::string_view json) { RawValue(json.data(), json.size(), rapidjson::kObjectType); }
-  // What has been written.
+  // Returns everything written so far.
   std::string Take() const { return {buffer_.GetString(), buffer_.GetSize()}; }
 
  private:
   rapidjson::StringBuffer buffer_;
 };
 
-// Nothing unless the text is one JSON object. Depth is bounded by the text: parsing is iterative.
+// Parses a text that is a single JSON object; std::nullopt for anything else. Only the length
+// of the text limits the nesting depth; parsing is iterative, so depth does not use the stack.
 inline std::optional<rapidjson::Document> ParseObject(std::string_view text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
@@ -53,7 +55,7 @@
   return document;
 }
 
-// A member that is there and not null.
+// Returns a member, or null if it is missing or JSON null.
 inline const JsonValue* Find(const JsonValue& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   auto member = object.FindMember(name);
@@ -72,6 +74,7 @@
   return value->GetUint64();
 }
 
+// Returns a finite number.
 inline std::optional<double> GetAmount(const JsonValue& object, const char* name) {
   const JsonValue* value = Find(object, name);
   if (value == nullptr || !value->IsNumber() || !std::isfinite(value->GetDouble()))
@@ -85,7 +88,7 @@
   return value->GetBool();
 }
 
-// The texts in a list; what is not a text is left out. Null, or no list: none.
+// Returns the strings of a list and skips other items. Empty if `list` is null or not a list.
 inline std::vector<std::string> GetTexts(const JsonValue* list) {
   std::vector<std::string> out;
   if (list == nullptr || !list->IsArray()) return out;
@@ -95,7 +98,7 @@
   return out;
 }
 
-// The value as compact JSON.
+// Returns the value as compact JSON.
 inline std::string Dump(const JsonValue& value) {
   JsonWriter writer;
   value.Accept(writer);
--- a/src/wire/limits.h
+++ b/src/wire/limits.h
@@ -1,11 +1,11 @@
-// Limits on what is taken from the wire.
+// Limits on values received from users and workers.
 #pragma once
 
 #include <cstddef>
 
 namespace hallpier::wire {
 
-// Bytes of a name or another short text.
-inline constexpr size_t kMaxText = 200;
+// Names and other short texts.
+inline constexpr size_t kMaxNameBytes = 200;
 
 }  // namespace hallpier::wire
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -8,8 +8,8 @@
 namespace hallpier::wire {
 namespace {
 
-// No message names more controllers than this; a larger count is taken for a malformed one before
-// anything is reserved for it.
+// No message names more controllers than this. A larger count is rejected as malformed before
+// memory is reserved for it.
 constexpr uint64_t kMaxMembers = 10000;
 
 void PutIncarnation(std::string& out, const model::Incarnation& incarnation) {
@@ -24,36 +24,37 @@
   return incarnation;
 }
 
-// A state that is not known is refused; what is returned then is not used.
-model::MemberState ReadState(VarintReader& reader) {
-  return reader.Enum("a member's state", model::MemberState::kLeft);
+// An unknown state makes the reader fail; the returned value must not be used then.
+model::MemberState ReadMemberState(VarintReader& reader) {
+  return reader.Enum("member state", model::MemberState::kLeft);
 }
 
-// 0 stands for never, so that all others are one more than they are; the largest can't be.
-void PutHeard(std::string& out, const std::optional<uint64_t>& heard_ms_ago) {
-  constexpr uint64_t kLongest = std::numeric_limits<uint64_t>::max() - 1;
-  PutVarint(out, heard_ms_ago ? std::min(*heard_ms_ago, kLongest) + 1 : 0);
+// 0 stands for never, so every time is sent plus one. The largest uint64_t has no successor; it is
+// sent as the next smaller time.
+void PutHeardAgo(std::string& out, const std::optional<uint64_t>& heard_ms_ago) {
+  constexpr uint64_t kMaxEncodableMs = std::numeric_limits<uint64_t>::max() - 1;
+  PutVarint(out, heard_ms_ago ? std::min(*heard_ms_ago, kMaxEncodableMs) + 1 : 0);
 }
 
-std::optional<uint64_t> ReadHeard(VarintReader& reader) {
-  const uint64_t heard = reader.Varint();
-  if (heard == 0) return std::nullopt;
-  return heard - 1;
+std::optional<uint64_t> ReadHeardAgo(VarintReader& reader) {
+  const uint64_t encoded = reader.Varint();
+  if (encoded == 0) return std::nullopt;
+  return encoded - 1;
 }
 
 void PutObservation(std::string& out, const model::MemberObservation& observation) {
   PutBytes(out, observation.node);
   PutIncarnation(out, observation.incarnation);
   PutEnum(out, observation.state);
-  PutHeard(out, observation.heard_ms_ago);
+  PutHeardAgo(out, observation.heard_ms_ago);
 }
 
 model::MemberObservation ReadObservation(VarintReader& reader) {
   model::MemberObservation observation;
   observation.node = reader.Bytes();
   observation.incarnation = ReadIncarnation(reader);
-  observation.state = ReadState(reader);
-  observation.heard_ms_ago = ReadHeard(reader);
+  observation.state = ReadMemberState(reader);
+  observation.heard_ms_ago = ReadHeardAgo(reader);
   return observation;
 }
 
@@ -73,26 +74,26 @@
   return vitals;
 }
 
-void PutRow(std::string& out, const MemberRow& row) {
+void PutMemberRow(std::string& out, const MemberRow& row) {
   PutBytes(out, row.node);
   PutIncarnation(out, row.incarnation);
   PutEnum(out, row.state);
   PutFlag(out, row.has_record);
   PutFlag(out, row.leading);
   PutVarint(out, row.state_age_ms);
-  PutNames(out, row.suspected_by);
+  PutStrings(out, row.suspected_by);
   PutBytes(out, row.reason);
 }
 
-MemberRow ReadRow(VarintReader& reader) {
+MemberRow ReadMemberRow(VarintReader& reader) {
   MemberRow row;
   row.node = reader.Bytes();
   row.incarnation = ReadIncarnation(reader);
-  row.state = ReadState(reader);
+  row.state = ReadMemberState(reader);
   row.has_record = reader.Flag();
   row.leading = reader.Flag();
   row.state_age_ms = reader.Varint();
-  row.suspected_by = reader.Names("the number of accusers", kMaxMembers);
+  row.suspected_by = reader.Strings("suspecting member count", kMaxMembers);
   row.reason = reader.Bytes();
   return row;
 }
@@ -115,10 +116,10 @@
   MemberStatus status;
   status.node = reader.Bytes();
   status.incarnation = ReadIncarnation(reader);
-  status.state = ReadState(reader);
+  status.state = ReadMemberState(reader);
   status.vitals = ReadVitals(reader);
   status.yields_to = reader.Bytes();
-  status.observations = reader.List("the number of observations", kMaxMembers, ReadObservation);
+  status.observations = reader.List("observation count", kMaxMembers, ReadObservation);
   return status;
 }
 
@@ -126,7 +127,7 @@
   PutBytes(out, report.node);
   PutFlag(out, report.enabled);
   PutVarint(out, report.rows.size());
-  for (const MemberRow& row : report.rows) PutRow(out, row);
+  for (const MemberRow& row : report.rows) PutMemberRow(out, row);
   PutBytes(out, report.handover_from);
   PutBytes(out, report.handover_to);
   PutVarint(out, report.handover_ms_ago);
@@ -136,7 +137,7 @@
   MembersReport report;
   report.node = reader.Bytes();
   report.enabled = reader.Flag();
-  report.rows = reader.List("the number of members", kMaxMembers, ReadRow);
+  report.rows = reader.List("member count", kMaxMembers, ReadMemberRow);
   report.handover_from = reader.Bytes();
   report.handover_to = reader.Bytes();
   report.handover_ms_ago = reader.Varint();
--- a/src/wire/member_codec.h
+++ b/src/wire/member_codec.h
@@ -1,4 +1,6 @@
-// The varint form of what nodes say of each other's membership (wire/peer.h).
+// Encodes and decodes membership messages in the varint codec (see wire/peer_codec.h).
+//
+// The Read functions report malformed input through `reader`: its ok() is false afterwards.
 #pragma once
 
 #include <string>
@@ -9,7 +11,6 @@
 namespace hallpier::wire {
 
 void PutMemberStatus(std::string& out, const MemberStatus& status);
-// What is malformed shows in `reader`.
 MemberStatus ReadMemberStatus(VarintReader& reader);
 
 void PutMembersReport(std::string& out, const MembersReport& report);
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -7,8 +7,9 @@
 namespace hallpier::wire {
 namespace {
 
-enum Type : uint64_t {
-  kStatus = 1,
+// Type numbers on the wire, in the order of the alternatives of PeerMessage.
+enum MessageType : uint64_t {
+  kPeerStatus = 1,
   kRelayRequest = 2,
   kRelayResponse = 3,
   kCancellationReportRequest = 4,
@@ -34,11 +35,11 @@
   return cancellation;
 }
 
-struct Writer {
+struct MessageWriter {
   std::string out;
 
   void operator()(const PeerStatus& status) {
-    PutVarint(out, kStatus);
+    PutVarint(out, kPeerStatus);
     PutBytes(out, status.node);
     PutVarint(out, status.token.value());
     PutFlag(out, status.leading);
@@ -51,12 +52,12 @@
     PutBytes(out, relay.request.target);
     PutBytes(out, relay.request.body);
   }
-  void operator()(const RelayResponse& answer) {
+  void operator()(const RelayResponse& response) {
     PutVarint(out, kRelayResponse);
-    PutVarint(out, answer.id);
-    PutFlag(out, answer.has_response);
-    PutVarint(out, static_cast<uint64_t>(answer.response.status));
-    PutBytes(out, answer.response.body);
+    PutVarint(out, response.id);
+    PutFlag(out, response.has_response);
+    PutVarint(out, static_cast<uint64_t>(response.response.status));
+    PutBytes(out, response.response.body);
   }
   void operator()(const CancellationReportRequest& request) {
     PutVarint(out, kCancellationReportRequest);
@@ -78,10 +79,10 @@
     PutVarint(out, probe.sequence);
     PutMemberStatus(out, probe.status);
   }
-  void operator()(const MemberProbeResponse& answer) {
+  void operator()(const MemberProbeResponse& response) {
     PutVarint(out, kMemberProbeResponse);
-    PutVarint(out, answer.sequence);
-    PutMemberStatus(out, answer.status);
+    PutVarint(out, response.sequence);
+    PutMemberStatus(out, response.status);
   }
   void operator()(const MembersRequest& /*request*/) { PutVarint(out, kMembersRequest); }
   void operator()(const MembersReport& report) {
@@ -101,7 +102,7 @@
 }  // namespace
 
 std::string WritePeerMessage(const PeerMessage& message) {
-  Writer writer;
+  MessageWriter writer;
   std::visit(writer, message);
   return std::move(writer.out);
 }
@@ -117,22 +118,22 @@
   return request;
 }
 
-RelayResponse ReadRelayAnswer(VarintReader& reader) {
-  constexpr uint64_t kMaxStatus = 999;
-  RelayResponse answer;
-  answer.id = reader.Varint();
-  answer.has_response = reader.Flag();
+RelayResponse ReadRelayResponse(VarintReader& reader) {
+  constexpr uint64_t kMaxHttpStatus = 999;
+  RelayResponse response;
+  response.id = reader.Varint();
+  response.has_response = reader.Flag();
   const uint64_t status = reader.Varint();
-  if (status > kMaxStatus) {
-    reader.Refuse("the status of a relayed answer", status);
-    return answer;
+  if (status > kMaxHttpStatus) {
+    reader.Reject("HTTP status", status);
+    return response;
   }
-  answer.response.status = static_cast<int>(status);
-  answer.response.body = reader.Bytes();
-  return answer;
+  response.response.status = static_cast<int>(status);
+  response.response.body = reader.Bytes();
+  return response;
 }
 
-PeerStatus ReadStatus(VarintReader& reader) {
+PeerStatus ReadPeerStatus(VarintReader& reader) {
   PeerStatus status;
   status.node = reader.Bytes();
   status.token = model::FencingToken(reader.Varint());
@@ -145,34 +146,33 @@
   CancellationReport report;
   report.complete = reader.Flag();
   report.revision = reader.Varint();
-  report.cancelled =
-      reader.List("the number of cancellations", kMaxCancellationsPerFrame, ReadCancellation);
+  report.cancelled = reader.List("cancellation count", kMaxCancellationsPerFrame, ReadCancellation);
   return report;
 }
 
-MemberProbe ReadProbe(VarintReader& reader) {
+MemberProbe ReadMemberProbe(VarintReader& reader) {
   MemberProbe probe;
   probe.sequence = reader.Varint();
   probe.status = ReadMemberStatus(reader);
   return probe;
 }
 
-MemberProbeResponse ReadAnswer(VarintReader& reader) {
-  MemberProbeResponse answer;
-  answer.sequence = reader.Varint();
-  answer.status = ReadMemberStatus(reader);
-  return answer;
+MemberProbeResponse ReadMemberProbeResponse(VarintReader& reader) {
+  MemberProbeResponse response;
+  response.sequence = reader.Varint();
+  response.status = ReadMemberStatus(reader);
+  return response;
 }
 
-// The message behind the type; what is malformed shows in the reader.
+// Reads the message after its type. Malformed input makes the reader fail.
 PeerMessage ReadBody(uint64_t type, VarintReader& reader) {
   switch (type) {
-    case kStatus:
-      return ReadStatus(reader);
+    case kPeerStatus:
+      return ReadPeerStatus(reader);
     case kRelayRequest:
       return ReadRelayRequest(reader);
     case kRelayResponse:
-      return ReadRelayAnswer(reader);
+      return ReadRelayResponse(reader);
     case kCancellationReportRequest:
       return CancellationReportRequest{reader.Varint()};
     case kCancellationReport:
@@ -180,9 +180,9 @@
     case kCancelNotice:
       return CancelNotice{ReadCancellation(reader)};
     case kMemberProbe:
-      return ReadProbe(reader);
+      return ReadMemberProbe(reader);
     case kMemberProbeResponse:
-      return ReadAnswer(reader);
+      return ReadMemberProbeResponse(reader);
     case kMembersRequest:
       return MembersRequest{};
     case kMembersReport:
@@ -192,37 +192,37 @@
     case kBlockAcknowledgement:
       return ReadBlockAcknowledgement(reader);
     default:
-      reader.Refuse("the type of a message", type);
+      reader.Reject("message type", type);
       return MembersRequest{};
   }
 }
 
 std::string_view TypeName(uint64_t type) {
   switch (type) {
-    case kStatus:
-      return "a status";
+    case kPeerStatus:
+      return "a peer status";
     case kRelayRequest:
-      return "a request to relay";
+      return "a relay request";
     case kRelayResponse:
-      return "a relayed answer";
+      return "a relay response";
     case kCancellationReportRequest:
-      return "a request for cancellations";
+      return "a cancellation report request";
     case kCancellationReport:
-      return "a report of cancellations";
+      return "a cancellation report";
     case kCancelNotice:
-      return "a notice of a cancellation";
+      return "a cancellation notice";
     case kMemberProbe:
-      return "a probe";
+      return "a member probe";
     case kMemberProbeResponse:
-      return "an answer to a probe";
+      return "a member probe response";
     case kMembersRequest:
-      return "a request for members";
+      return "a members request";
     case kMembersReport:
-      return "a report of members";
+      return "a members report";
     case kBlockView:
-      return "a view of a block";
+      return "a block view";
     case kBlockAcknowledgement:
-      return "an acknowledgement of a view";
+      return "a block acknowledgement";
     default:
       return "a message of an unknown type";
   }
@@ -235,12 +235,12 @@
   const uint64_t type = reader.Varint();
   PeerMessage message = ReadBody(type, reader);
   if (reader.Finished()) return message;
-  const std::string fault = reader.ok() ? "more than it should be" : reader.fault();
-  return MalformedMessage{std::string(TypeName(type)) + ": " + fault};
+  const std::string error = reader.ok() ? "unexpected bytes after the message" : reader.error();
+  return MalformedMessage{std::string(TypeName(type)) + ": " + error};
 }
 
 std::string_view PeerMessageName(const PeerMessage& message) {
-  // The alternatives of the variant stand in the order of the types, which begin with 1.
+  // The alternatives of PeerMessage are in the order of the type numbers, which start at 1.
   return TypeName(message.index() + 1);
 }
 
--- a/src/wire/peer_codec.h
+++ b/src/wire/peer_codec.h
@@ -1,4 +1,4 @@
-// The bytes of messages between controllers, in the varint codec.
+// Encodes and decodes the messages between controllers in the varint codec.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +10,20 @@
 
 namespace hallpier::wire {
 
-// Bytes of a frame's payload.
+// Limit on the payload of a frame.
 inline constexpr size_t kMaxPeerFrameBytes = size_t{256} * 1024;
-// Cancellations in one frame; job ids are short.
+// Limit on the cancellations in one frame. Job ids are short, so they fit kMaxPeerFrameBytes.
 inline constexpr size_t kMaxCancellationsPerFrame = 4096;
 
-// What came, as far as its type can be told, and what is wrong with it; for a log.
+// Why a payload could not be decoded.
 struct MalformedMessage {
-  std::string reason;
+  std::string reason;  // the type of the message, if it is known, and the error; for logs
 };
 
-// The payload of a frame.
+// Returns the payload of a frame.
 std::string WritePeerMessage(const PeerMessage& message);
 Result<PeerMessage, MalformedMessage> ReadPeerMessage(std::string_view payload);
-// What a message is, in words for a log or a console.
+// Returns the type of a message in words, for logs and console output.
 std::string_view PeerMessageName(const PeerMessage& message);
 
 }  // namespace hallpier::wire
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -1,4 +1,4 @@
-// The messages between controllers. wire/peer_codec.h has their bytes.
+// The messages between controllers. Their encoding is in wire/peer_codec.h.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,17 @@
 
 namespace hallpier::wire {
 
-// How a node sees the lead and the state service; sent as a ping, and back as its answer.
+// A node's view of the leadership and of the state service. Sent both as a ping and as its
+// response.
 struct PeerStatus {
   std::string node;
-  model::FencingToken token;  // the highest that it knows
+  model::FencingToken token;  // the highest that the node knows
   bool leading = false;
-  bool state_reachable = false;  // the state service answers it
+  bool state_reachable = false;  // true if the state service answers the node
   bool operator==(const PeerStatus&) const = default;
 };
 
-// A request to the state service on behalf of a node that is refused there.
+// Asks the receiver to relay a request to the state service, which refuses the sender.
 struct RelayRequest {
   uint64_t id = 0;
   HttpRequest request;
@@ -32,104 +33,108 @@
 
 struct RelayResponse {
   uint64_t id = 0;
-  bool has_response = false;  // false: no answer came, or the peer refused
+  bool has_response = false;  // false if the service did not answer or the peer refused to relay
   HttpResponse response;
 };
 
-// A job's record says that it is cancelled; `version` is the revision of that change.
+// A job whose record marks it as cancelled.
 struct Cancellation {
   std::string job;
-  uint64_t version = 0;
+  uint64_t version = 0;  // the revision that recorded the cancellation
   bool operator==(const Cancellation&) const = default;
 };
 
-// Cancellation reports are understood by nodes whose recorded format is at least
-// store::kCancellationReportFormat, and sent to no other.
+// Cancellation reports are sent only to nodes whose recorded format is at least
+// store::kCancellationReportFormat; others may not understand them.
 
-// Sent by a leader that the state service does not answer: it asks for every cancellation that it
-// may lack, which are those beyond this revision.
+// Sent by a leader that the state service does not answer. Asks for every cancellation that the
+// leader may have missed: those with a revision after `after_revision`.
 struct CancellationReportRequest {
   uint64_t after_revision = 0;
 };
 
-// `complete`: every cancellation that this node may ever have confirmed to a user is in
-// `cancelled`, or no newer than the revision asked for. `revision`: how far its own watch cache is.
+// `complete` is true if every cancellation that the sender may ever have confirmed to a user is
+// either in `cancelled` or no newer than the request's `after_revision`. `revision` is the revision
+// that the sender's watch cache has reached.
 struct CancellationReport {
   bool complete = false;
   uint64_t revision = 0;
   std::vector<Cancellation> cancelled;
 };
 
-// Sent unasked as soon as a cancellation is recorded, so that its tasks are stopped early.
+// Sent without a request as soon as a cancellation is recorded, so that the job's tasks are stopped
+// early.
 struct CancelNotice {
   Cancellation cancelled;
 };
 
-// Membership (src/membership) is understood by nodes whose recorded format is at least
-// store::kMembershipFormat, and sent to no other.
+// Membership messages (src/membership) are sent only to nodes whose recorded format is at least
+// store::kMembershipFormat; others may not understand them.
 
+// A node's view of itself and of the other members.
 struct MemberStatus {
   std::string node;
   model::Incarnation incarnation;
-  model::MemberState state = model::MemberState::kAlive;  // kLeft: it is shutting down
+  model::MemberState state = model::MemberState::kAlive;  // kLeft: the node is shutting down
   model::MemberVitals vitals;
-  std::string yields_to;  // a leader that resigns names its successor
+  std::string yields_to;  // the successor that a resigning leader names; otherwise empty
   std::vector<model::MemberObservation> observations;
   bool operator==(const MemberStatus&) const = default;
 };
 
-// The answer to a probe repeats its sequence number.
 struct MemberProbe {
   uint64_t sequence = 0;
   MemberStatus status;
 };
 
 struct MemberProbeResponse {
-  uint64_t sequence = 0;
+  uint64_t sequence = 0;  // that of the probe
   MemberStatus status;
 };
 
-// Sent by the command line: asks how a node sees all members.
+// Asks a node for its view of all members. Sent by the command line.
 struct MembersRequest {};
 
+// A member as seen by the node that sends the report.
 struct MemberRow {
   std::string node;
   model::Incarnation incarnation;
   model::MemberState state = model::MemberState::kAlive;
-  bool has_record = false;  // false: it has no record; an older version, or without membership
+  bool has_record = false;  // false if it runs an older version or has membership off
   bool leading = false;
-  uint64_t state_age_ms = 0;  // how long it has been in its state, as far as this node knows
+  uint64_t state_age_ms = 0;  // how long the reporting node has known it in this state
   std::vector<std::string> suspected_by;
-  std::string reason;  // of the suspicion or the verdict
+  std::string reason;  // why it is suspected or was declared failed
   bool operator==(const MemberRow&) const = default;
 };
 
 struct MembersReport {
-  std::string node;      // whose view it is
-  bool enabled = false;  // false: membership is off there, and the rest is empty
+  std::string node;      // the reporting node
+  bool enabled = false;  // false if membership is off on that node; the rest is then empty
   std::vector<MemberRow> rows;
-  // The last change of the leader that this node saw; empty: none.
+  // The last change of leader that the node observed; empty if it has observed none.
   std::string handover_from, handover_to;
   uint64_t handover_ms_ago = 0;
   bool operator==(const MembersReport&) const = default;
 };
 
-// Blocks of machines (src/blocks) are understood by nodes whose recorded format is at least
-// store::kBlocksFormat, and sent to no other.
+// Block messages (src/blocks) are sent only to nodes whose recorded format is at least
+// store::kBlocksFormat; others may not understand them.
 
-// The state of machines as a holder of a block needs it: what has changed since the view before.
+// The state of machines that a controller needs to place tasks in its block: the changes since the
+// previous view.
 struct BlockView {
-  model::FencingToken token;  // of the leader that sends it; the highest one counts
-  uint64_t sequence = 0;      // 1: all that was sent before is void
+  model::FencingToken token;  // of the sending leader; views with a lower one are outdated
+  uint64_t sequence = 0;      // 1 starts over: all earlier views are void
   std::vector<model::MachineView> changed;
-  std::vector<std::string> gone;
-  std::vector<model::JobFailures> failures;  // the whole list
+  std::vector<std::string> gone;             // removed machines
+  std::vector<model::JobFailures> failures;  // the complete list, not only changes
   bool operator==(const BlockView&) const = default;
 };
 
 struct BlockAcknowledgement {
-  uint64_t sequence = 0;   // of the view; 0: one was missed, and all is to be sent anew
-  uint64_t session = 0;    // of the process that answers
+  uint64_t sequence = 0;   // of the view; 0 if a view was missed and all must be sent again
+  uint64_t session = 0;    // of the acknowledging process
   bool can_place = false;  // the state service answers it, and its watch cache is current
   bool operator==(const BlockAcknowledgement&) const = default;
 };
--- a/src/wire/state_codec.cc
+++ b/src/wire/state_codec.cc
@@ -15,16 +15,16 @@
   return model::KeyValue{std::move(*key), Dump(data->value), *version};
 }
 
-// A write names its key as "put" and has a value; a drop names it as "drop".
+// A write has its key in "put" and its value in "data"; a deletion has its key in "drop".
 std::optional<model::WatchEvent> ReadWatchEvent(const JsonValue& object) {
   auto version = GetCount(object, "stamp");
-  auto put = GetText(object, "put");
-  auto drop = GetText(object, "drop");
-  if (!version || put.has_value() == drop.has_value()) return std::nullopt;
-  if (drop) return model::WatchEvent{std::move(*drop), {}, *version};
+  auto put_key = GetText(object, "put");
+  auto drop_key = GetText(object, "drop");
+  if (!version || put_key.has_value() == drop_key.has_value()) return std::nullopt;
+  if (drop_key) return model::WatchEvent{std::move(*drop_key), {}, *version};
   auto data = object.FindMember("data");
   if (data == object.MemberEnd()) return std::nullopt;
-  return model::WatchEvent{std::move(*put), Dump(data->value), *version};
+  return model::WatchEvent{std::move(*put_key), Dump(data->value), *version};
 }
 
 }  // namespace
--- a/src/wire/state_codec.h
+++ b/src/wire/state_codec.h
@@ -1,4 +1,5 @@
-// The state service's JSON: reads, compare-and-swap transactions, watches and leases.
+// Encodes and decodes the state service's JSON: reads, compare-and-swap transactions, watches and
+// leases.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +12,12 @@
 
 namespace hallpier::wire {
 
-// Each is nothing, or empty, if the body is malformed.
+// The Read functions return std::nullopt, or an empty list, if the body is malformed.
 std::optional<model::KeyValue> ReadKeyValue(std::string_view body);
 std::optional<model::KeyValueList> ReadKeyValueList(std::string_view body);
 std::optional<model::WatchResponse> ReadWatchResponse(std::string_view body);
 std::optional<uint64_t> ReadRevision(std::string_view body);
-// The keys whose preconditions did not hold.
+// Returns the keys whose preconditions did not hold.
 std::vector<std::string> ReadFailedPreconditions(std::string_view body);
 std::optional<uint64_t> ReadLeaseId(std::string_view body);
 
--- a/src/wire/url_query.cc
+++ b/src/wire/url_query.cc
@@ -12,8 +12,8 @@
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 bool IsLetter(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z'); }
 
-// Negative: not a hexadecimal digit.
-int HexDigit(char c) {
+// Returns -1 if `c` is not a hexadecimal digit.
+int HexDigitValue(char c) {
   constexpr int kTen = 10;
   if (IsDigit(c)) return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + kTen;
@@ -21,10 +21,10 @@
   return -1;
 }
 
-// Whether an escaped character ("%2F") stands at `at`.
+// True if a percent escape such as "%2F" starts at `at`.
 bool IsEscape(std::string_view text, size_t at) {
-  return text[at] == '%' && at + 2 < text.size() && HexDigit(text[at + 1]) >= 0 &&
-         HexDigit(text[at + 2]) >= 0;
+  return text[at] == '%' && at + 2 < text.size() && HexDigitValue(text[at + 1]) >= 0 &&
+         HexDigitValue(text[at + 2]) >= 0;
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
     } else if (c == '=' && part == &parameter.name) {
       part = &parameter.value;
     } else if (IsEscape(target, i)) {
-      const int code = HexDigit(target[i + 1]) * kHexBase + HexDigit(target[i + 2]);
+      const int code = HexDigitValue(target[i + 1]) * kHexBase + HexDigitValue(target[i + 2]);
       part->push_back(static_cast<char>(code));
       i += 2;
     } else {
@@ -55,10 +55,10 @@
 }
 
 std::string EscapeQuery(std::string_view text) {
-  constexpr std::string_view kPlain = "-_./";
+  constexpr std::string_view kUnescaped = "-_./";
   std::string escaped;
   for (const char c : text) {
-    if (IsDigit(c) || IsLetter(c) || kPlain.find(c) != std::string_view::npos) {
+    if (IsDigit(c) || IsLetter(c) || kUnescaped.find(c) != std::string_view::npos) {
       escaped.push_back(c);
       continue;
     }
--- a/src/wire/url_query.h
+++ b/src/wire/url_query.h
@@ -1,4 +1,4 @@
-// The query of a URL: what stands behind the question mark.
+// Parsing and escaping of URL queries: the part after the question mark.
 #pragma once
 
 #include <string>
@@ -12,8 +12,9 @@
   std::string value;
 };
 
-// Splits "a=b&c=d" behind the question mark and undoes percent escapes.
+// Splits the query "a=b&c=d" of a request target and decodes percent escapes.
 std::vector<QueryParameter> ParseQuery(std::string_view target);
+// Percent-encodes a parameter's name or value.
 std::string EscapeQuery(std::string_view text);
 
 }  // namespace hallpier::wire
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -20,15 +20,15 @@
 constexpr EnumNames<model::JobKind, 2> kJobKinds = {
     {{model::JobKind::kArray, "array"}, {model::JobKind::kService, "standing"}}};
 
-// Far beyond any machine, near enough that sums of them stay exact enough.
+// Far more than any machine has, yet small enough that sums keep sufficient precision.
 constexpr double kMaxAmount = 1e9;
 
-// Reads the fields of a submission one by one and remembers the first fault.
-class SpecReader {
+// Reads the fields of a submission one by one and keeps the first error.
+class JobSpecReader {
  public:
-  explicit SpecReader(const JsonValue& object) : object_(object) {}
+  explicit JobSpecReader(const JsonValue& object) : object_(object) {}
 
-  // Nothing: all that was read so far is good.
+  // std::nullopt if all fields read so far are valid.
   const std::optional<FieldError>& error() const { return error_; }
 
   void Fail(const char* field, std::string reason) {
@@ -37,7 +37,7 @@
   bool Has(const char* field) const { return Find(object_, field) != nullptr; }
   std::string Text(const char* field) {
     auto text = GetText(object_, field);
-    if (!text || text->empty() || text->size() > kMaxText) {
+    if (!text || text->empty() || text->size() > kMaxNameBytes) {
       Fail(field, "must be a text of 1 to 200 bytes");
       return {};
     }
@@ -90,7 +90,7 @@
         !std::all_of(ids.begin(), ids.end(), model::IsJobId)) {
       Fail("awaits", "must be null or a list of job ids");
     }
-    // A job that is named twice is one dependency.
+    // Repeated job ids count as one dependency.
     std::sort(ids.begin(), ids.end());
     ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
     return ids;
@@ -109,7 +109,7 @@
 }
 
 Result<model::JobSpec, FieldError> ReadJobSpec(const JsonValue& object) {
-  SpecReader reader(object);
+  JobSpecReader reader(object);
   model::JobSpec spec;
   spec.id = reader.JobId();
   spec.job_class = reader.Text("lane");
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -1,4 +1,4 @@
-// Submissions, polls and cancellations in the JSON of the users' protocol.
+// Encodes and decodes the JSON of the users' protocol: submissions, job status and cancellations.
 #pragma once
 
 #include <optional>
@@ -12,11 +12,12 @@
 namespace hallpier::wire {
 
 std::string_view JobPhaseName(model::JobPhase phase);
+// Returns std::nullopt if no phase has this name.
 std::optional<model::JobPhase> ParseJobPhase(std::string_view name);
 
-// The first field of a submission that is missing or invalid, by its name on the wire.
+// The first missing or invalid field of a submission.
 struct FieldError {
-  std::string field;
+  std::string field;  // its name on the wire
   std::string reason;
 };
 
@@ -25,7 +26,7 @@
 
 std::string WriteJobStatus(const model::JobStatus& status);
 std::string WriteJobPhase(std::string_view id, model::JobPhase phase);
-// `field`: the one at fault; empty: none.
+// `field` is the invalid field of the request; empty if the error is not about a field.
 std::string WriteError(std::string_view reason, std::string_view field = {});
 
 }  // namespace hallpier::wire
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -39,8 +39,8 @@
   return status;
 }
 
-// Null: there are none. Nothing if any can't be read: a list that lacks a task would prove its
-// absence.
+// Returns an empty list if `list` is null, and std::nullopt if any entry is unreadable: leaving the
+// task out would count as proof that the machine does not run it.
 std::optional<std::vector<model::TaskStatus>> ReadTaskStatuses(const JsonValue* list) {
   std::vector<model::TaskStatus> tasks;
   if (list == nullptr) return tasks;
@@ -78,7 +78,7 @@
   auto zone = GetText(*document, "hall");
   auto agent_epoch = GetCount(*document, "tenure");
   auto sequence = GetCount(*document, "tick");
-  if (!machine || machine->empty() || machine->size() > kMaxText) return std::nullopt;
+  if (!machine || machine->empty() || machine->size() > kMaxNameBytes) return std::nullopt;
   if (!endpoint || !machine_type || !zone || !agent_epoch || !sequence) return std::nullopt;
   auto tasks = ReadTaskStatuses(Find(*document, "pieces"));
   if (!tasks) return std::nullopt;
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -1,4 +1,4 @@
-// Heartbeats and commands in the JSON of the workers' protocol.
+// Encodes and decodes the JSON of the workers' protocol: heartbeats and commands.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,17 @@
 
 namespace hallpier::wire {
 
-// Nothing if it is malformed. A list of tasks with an entry that can't be read is malformed as a
-// whole: it would prove the absence of a task that it fails to name.
+// Returns std::nullopt if the body is malformed. One unreadable task makes the whole heartbeat
+// malformed: a task that is missing from the list counts as proof that the machine does not run it.
 std::optional<model::Heartbeat> ReadHeartbeat(std::string_view body);
 std::string WriteHeartbeatResponse(model::FencingToken token,
                                    const std::vector<model::WorkerCommand>& commands);
-// A direct command, which only the agent epoch that it names carries out.
+// Commands that the leader sends directly to a worker. Only an agent with this epoch carries them
+// out.
 std::string WriteDirectCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
                                 const std::vector<model::WorkerCommand>& commands);
-// For a worker that asks a node that does not lead. Empty: there is no leader to name.
+// The response to a worker that contacts a node that is not the leader. `leader` is empty if there
+// is no known leader.
 std::string WriteRedirect(std::string_view leader);
 
 }  // namespace hallpier::wire
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -239,38 +239,38 @@
 }
 
 TEST(PeerMessages, AFaultNamesTheMessageAndTheField) {
-  EXPECT_EQ(FaultOf("\x63"), "a message of an unknown type: the type of a message can't be 99");
+  EXPECT_EQ(FaultOf("\x63"), "a message of an unknown type: message type has the invalid value 99");
   EXPECT_EQ(FaultOf(WritePeerMessage(MembersRequest{}) + "x"),
-            "a request for members: more than it should be");
+            "a members request: unexpected bytes after the message");
   std::string report = WritePeerMessage(MembersReport{});
-  EXPECT_EQ(FaultOf(report.substr(0, report.size() - 1)), "a report of members: cut short");
+  EXPECT_EQ(FaultOf(report.substr(0, report.size() - 1)), "a members report: truncated");
   constexpr size_t kRowCount = 3;  // behind the type, an empty name and a flag
   std::string rows = report.substr(0, kRowCount);
   PutVarint(rows, 10001);
-  EXPECT_EQ(FaultOf(rows), "a report of members: the number of members can't be 10001");
+  EXPECT_EQ(FaultOf(rows), "a members report: member count has the invalid value 10001");
   MembersReport one;
   one.rows.push_back({"", {0, 0}, model::MemberState::kLeft, true, false, 0, {}, ""});
   std::string state = WritePeerMessage(one);
   constexpr size_t kState = kRowCount + 1 + 3;  // behind the count, a name and an incarnation
   ASSERT_EQ(state[kState], static_cast<char>(model::MemberState::kLeft));
   state[kState] = 4;
-  EXPECT_EQ(FaultOf(state), "a report of members: a member's state can't be 4");
+  EXPECT_EQ(FaultOf(state), "a members report: member state has the invalid value 4");
   BlockView machine;
   machine.changed.push_back(
       {.machine = "", .machine_type = "", .zone = "", .images = {}, .tasks = {{}}});
   std::string phase = WritePeerMessage(machine);
   constexpr size_t kPhase = 14;  // behind the view's head, the machine's and the task's name
   phase[kPhase] = 9;
-  EXPECT_EQ(FaultOf(phase), "a view of a block: a task's phase can't be 9");
+  EXPECT_EQ(FaultOf(phase), "a block view: task phase has the invalid value 9");
   std::string answer = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
   answer.resize(3);  // the type, an id and a flag
   PutVarint(answer, 1000);
-  EXPECT_EQ(FaultOf(answer), "a relayed answer: the status of a relayed answer can't be 1000");
+  EXPECT_EQ(FaultOf(answer), "a relay response: HTTP status has the invalid value 1000");
 }
 
 TEST(PeerMessages, EachHasAName) {
-  EXPECT_EQ(PeerMessageName(PeerStatus{}), "a status");
-  EXPECT_EQ(PeerMessageName(MembersReport{}), "a report of members");
+  EXPECT_EQ(PeerMessageName(PeerStatus{}), "a peer status");
+  EXPECT_EQ(PeerMessageName(MembersReport{}), "a members report");
 }
 
 }  // namespace
