--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -22,7 +22,7 @@
     cluster_.emplace(options);
     ASSERT_TRUE(cluster_->RunUntil([&] { return Settled(options); }, 30));
     leader_ = cluster_->Leader();
-    other_ = cluster_->HolderAnotherThan(leader_);
+    other_ = cluster_->HolderOtherThan(leader_);
   }
   void Start() { Start(Options()); }
   bool Settled(const Options& options) const {
@@ -37,13 +37,13 @@
     }
   }
   void ExpectNoHarm() {
-    EXPECT_EQ(cluster_->overshoots(), 0) << "peak " << cluster_->peak().used;
-    EXPECT_EQ(cluster_->started_twice(), 0);
-    EXPECT_EQ(cluster_->started_after_cancel(), 0);
+    EXPECT_EQ(cluster_->starts_over_limit(), 0) << "peak " << cluster_->peak().used;
+    EXPECT_EQ(cluster_->duplicate_starts(), 0);
+    EXPECT_EQ(cluster_->starts_after_cancel(), 0);
   }
   void ExpectAllEnds(double limit_s = 240) {
-    EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->AllFinal(); }, limit_s))
-        << cluster_->Unfinished() << " are left";
+    EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->AllFinished(); }, limit_s))
+        << cluster_->UnfinishedJobs() << " are left";
     ExpectNoHarm();
   }
 
@@ -68,13 +68,13 @@
   options.run_s = 20;
   Start(options);
   Submit(1, 3);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 3; }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() == 3; }, 20));
   for (int i = 0; i < 3; ++i) {
     model::JobSpec spec = Spec("run-9" + std::to_string(i), 1);
     spec.priority = model::Priority::kUrgent;
     cluster_->Submit(spec);
   }
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 4; }, 10));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() == 4; }, 10));
   ExpectAllEnds();
   EXPECT_EQ(cluster_->peak().used, 4);
 }
@@ -87,26 +87,26 @@
   for (const bool restarts : {false, true}) {
     Start();
     Submit(12, 4);
-    cluster_->NextPlacement(other_, GetParam(),
-                            [&] { cluster_->At(0.001, [this] { cluster_->Kill(other_); }); });
-    ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->Holds(other_); }, 20));
+    cluster_->SetNextPlacementFault(
+        other_, GetParam(), [&] { cluster_->At(0.001, [this] { cluster_->Kill(other_); }); });
+    ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
     if (restarts) cluster_->Restart(other_);
     ExpectAllEnds();
-    EXPECT_EQ(cluster_->Holds(other_), restarts);
+    EXPECT_EQ(cluster_->HoldsBlock(other_), restarts);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fates, DyingHolderTest,
-                         testing::Values(DeliveryFault::kNeverSent, DeliveryFault::kNone,
+                         testing::Values(DeliveryFault::kNotSent, DeliveryFault::kNone,
                                          DeliveryFault::kAnswerLost, DeliveryFault::kLate));
 
 // What it sent before it froze is carried out after its block has passed on.
 TEST_F(BlocksClusterTest, AFrozenHolderThatWakesAfterTheRecallPlacesNothing) {
   Start();
   cluster_->RunFor(2);
-  cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
+  cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
   Submit(12, 4);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->Holds(other_); }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
   cluster_->TakePlacements(other_);
   cluster_->RunFor(9);
   cluster_->Resume(other_);
@@ -114,7 +114,7 @@
   EXPECT_EQ(cluster_->TakePlacements(other_), 0);
   ExpectAllEnds();
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->Holds(other_)) << "well again, it gets a block";
+  EXPECT_TRUE(cluster_->HoldsBlock(other_)) << "well again, it gets a block";
 }
 
 // A placement of `other_` that is carried out long after it froze, while urgent work that holds the
@@ -124,8 +124,8 @@
   void FreezeWithinAPlacement() {
     Options options;
     options.run_s = 40;
-    options.late_least_s = 10;
-    options.late_s = 12;
+    options.min_late_s = 10;
+    options.max_late_s = 12;
     Start(options);
     const blocks::Division division(cluster_->Division());
     const size_t holder = *division.IndexOf(other_);
@@ -134,7 +134,7 @@
       spec.id = "run-" + std::to_string(i);
     }
     bool sent = false;
-    cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] {
+    cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate, [&] {
       sent = true;
       cluster_->At(0, [this] { cluster_->Freeze(other_); });
     });
@@ -147,7 +147,7 @@
       spec.priority = model::Priority::kUrgent;
       cluster_->Submit(spec);
     }
-    ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() >= 12; }, 9));
+    ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() >= 12; }, 9));
     cluster_->RunFor(12);
     ExpectNoHarm();
   }
@@ -161,7 +161,7 @@
 // The division and the shares are as they were: an older leader knows none of them.
 TEST_F(LateHolderTest, ItLosesByTheTokenOnceAnOlderLeaderPlaces) {
   FreezeWithinAPlacement();
-  cluster_->SetLeadersDivide(false);
+  cluster_->SetNewLeadersUseBlocks(false);
   cluster_->Kill(leader_);
   FillTheLimit();
 }
@@ -171,7 +171,7 @@
   Submit(20, 4);
   cluster_->RunFor(2);
   cluster_->CutFromState(other_, true);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->Holds(other_); }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
   cluster_->TakePlacements(other_);
   cluster_->RunFor(2);
   cluster_->CutFromState(other_, false);
@@ -200,7 +200,7 @@
   Start();
   const std::string key = GetParam() ? store::DivisionKey() : store::ShareKey("");
   bool killed = false;
-  cluster_->OnRecordWrite([&](const std::string& written) {
+  cluster_->OnBlockRecordWrite([&](const std::string& written) {
     if (!written.starts_with(key) || killed) return;
     killed = true;
     cluster_->At(0, [this] { cluster_->Kill(leader_); });
@@ -224,7 +224,7 @@
   options.run_s = 60;
   Start(options);
   Submit(3, 4);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 12; }, 30));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() == 12; }, 30));
   const std::string machine = *cluster_->MachinesOf(other_).begin();
   cluster_->CutMachine(machine, true);
   Submit(6, 4);
@@ -238,14 +238,14 @@
   options.run_s = 15;
   Start(options);
   Submit(10, 4);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() == 12; }, 30));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() == 12; }, 30));
   const int starts = cluster_->starts();
   cluster_->SetLimit(5);
   cluster_->RunFor(2.5);
   const int just_then = cluster_->starts() - starts;
-  EXPECT_GE(cluster_->Used(), 10) << "what runs goes on";
+  EXPECT_GE(cluster_->UsedCpus(), 10) << "what runs goes on";
   EXPECT_LE(just_then, 3);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() <= 5; }, 60));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() <= 5; }, 60));
   ExpectAllEnds(400);
 }
 
@@ -255,7 +255,7 @@
   options.machines = 18;
   Start(options);
   Submit(4, 2, 4);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Used() >= 4; }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() >= 4; }, 20));
   ExpectAllEnds();
 }
 
@@ -267,14 +267,15 @@
   Submit(1, 1, 4);
   Submit(40, 2);
   cluster_->RunFor(40);
-  EXPECT_LT(cluster_->Unfinished(), 41);
+  EXPECT_LT(cluster_->UnfinishedJobs(), 41);
   ExpectAllEnds(400);
 }
 
 TEST_F(BlocksClusterTest, ACancellationBeatsAPlacementThatIsUnderWay) {
   Start();
   cluster_->Submit(Spec("run-900", 6));
-  cluster_->NextPlacement(other_, DeliveryFault::kLate, [&] { cluster_->Cancel("run-900"); });
+  cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate,
+                                  [&] { cluster_->Cancel("run-900"); });
   Submit(6, 4);
   ExpectAllEnds();
 }
@@ -282,7 +283,7 @@
 TEST_F(BlocksClusterTest, ACancellationInTheMomentOfARecall) {
   Start();
   Submit(10, 4);
-  cluster_->OnRecordWrite([&](const std::string& key) {
+  cluster_->OnBlockRecordWrite([&](const std::string& key) {
     if (key == store::DivisionKey()) cluster_->Cancel("run-9");
   });
   cluster_->RunFor(1);
@@ -306,7 +307,7 @@
   Submit(30, 4);
   cluster_->RunFor(2);
   bool out = false;
-  cluster_->OnRecordWrite([&](const std::string& key) {
+  cluster_->OnBlockRecordWrite([&](const std::string& key) {
     if (key == store::DivisionKey() && !std::exchange(out, true)) cluster_->SetOutage(true);
   });
   cluster_->Kill(other_);
@@ -323,7 +324,7 @@
   Start();
   Submit(30, 4);
   cluster_->RunFor(3);
-  cluster_->SetLeadersDivide(false);
+  cluster_->SetNewLeadersUseBlocks(false);
   cluster_->Kill(leader_);
   cluster_->RunFor(10);
   for (const std::string& name : cluster_->names()) cluster_->TakePlacements(name);
@@ -336,7 +337,7 @@
   const std::string old_leader = cluster_->Leader();
   Submit(10, 4);
   cluster_->RunFor(2);
-  cluster_->SetLeadersDivide(true);
+  cluster_->SetNewLeadersUseBlocks(true);
   cluster_->Kill(old_leader);
   cluster_->Restart(leader_);
   cluster_->RunFor(10);
@@ -371,7 +372,7 @@
       case 5:
         return cluster_->SetOutage(cluster_->Uniform(0, 1) < 0.3);
       case 6:
-        return cluster_->SetLeadersDivide(cluster_->Uniform(0, 1) < 0.8);
+        return cluster_->SetNewLeadersUseBlocks(cluster_->Uniform(0, 1) < 0.8);
       default:
         return Mend(name);
     }
@@ -395,8 +396,8 @@
   options.nodes = std::uniform_int_distribution<int>(3, 9)(random);
   options.machines = 3 * options.nodes;
   options.limit = std::floor(uniform(6, 20)) + 0.5;
-  options.lost = uniform(0, 0.1);
-  options.late = uniform(0, 0.1);
+  options.lost_answer_rate = uniform(0, 0.1);
+  options.late_rate = uniform(0, 0.1);
   options.watch_lag_s = uniform(0.02, 0.8);
   cluster_.emplace(options);
   for (double end = cluster_->now() + kStormS; cluster_->now() < end;) {
@@ -406,7 +407,7 @@
     Strike();
     cluster_->RunFor(cluster_->Uniform(0.1, 1.5));
   }
-  cluster_->SetLeadersDivide(true);
+  cluster_->SetNewLeadersUseBlocks(true);
   for (const std::string& name : cluster_->names()) {
     Mend(name);
     cluster_->Restart(name);
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -31,7 +31,7 @@
   // Reads only what the fake workers run; each task takes one processor.
   void Record() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
-      peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
+      peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
     });
     state_->Watch([this](const std::string& key, const std::string& value) {
       if (key == store::DivisionKey()) ++divisions_;
@@ -156,19 +156,19 @@
 TEST_F(BlocksNodesTest, ThreePlaceAtATimeAndTheLimitHolds) {
   StartWithRecorder(3);
   Run(ManySubmissions());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(BlocksNodesTest, TheBlocksOfAHolderAndOfALeaderThatEndPassOn) {
   StartWithRecorder(3);
   Run(AHolderAndThenTheLeaderEnd());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(BlocksNodesTest, WithANodeThatKnowsNoBlocksNobodyHoldsOne) {
   StartWithRecorder(3);
   Run(OneGoesBackAndForth());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(BlocksNodesTest, RecordsThatContradictEachOtherAreSetRight) {
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -52,11 +52,11 @@
     bool over = co_await Within(5, [&] { return state_->Value(store::JobKey("run-1")).empty(); });
     EXPECT_TRUE(over);
     co_await Pause(2 * kReport);
-    state_->LoseAnswers("hallpier/a/t/run-2", FakeStateService::Lost::kLate);
+    state_->LoseAnswers("hallpier/a/t/run-2", FakeStateService::Execution::kDeferred);
     co_await Accepted(0, Spec("run-2", 4));
     auto urgent = Spec("run-3", 4);
     urgent.priority = model::Priority::kUrgent;
-    bool lost = co_await Within(10, [&] { return state_->lost() == 1; });
+    bool lost = co_await Within(10, [&] { return state_->lost_answers() == 1; });
     EXPECT_TRUE(lost);
     co_await Accepted(0, urgent);
     // Both can't run at a time, whichever was settled first.
@@ -66,7 +66,7 @@
       co_await Pause(0.02);
       most = std::max<double>(most, cloud_->Running("run-2") + cloud_->Running("run-3"));
     }
-    EXPECT_EQ(state_->CarryOutLate(), 0) << "it was settled: sent again, or overtaken for good";
+    EXPECT_EQ(state_->ExecuteDeferred(), 0) << "it was settled: sent again, or overtaken for good";
     co_await Pause(1);
     most = std::max<double>(most, cloud_->Running("run-2") + cloud_->Running("run-3"));
     EXPECT_EQ(most, 4);
@@ -76,7 +76,7 @@
 TEST_F(LatePlacementTest, IsSettledBeforeAnythingElseIsPlaced) {
   Start(1);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // New machines are up at once and get work while writes lag, and the leader ends.
@@ -85,14 +85,14 @@
   LateAndNextLeaderTest() { run_s_ = 2; }
   async::Task<> Script() {
     co_await StartOthersOnceItLeads();
-    state_->LoseAnswers("hallpier/a/t/run-1", FakeStateService::Lost::kLate, 2);
+    state_->LoseAnswers("hallpier/a/t/run-1", FakeStateService::Execution::kDeferred, 2);
     co_await Accepted(1, Spec("run-1", 20));
-    bool ok = co_await Within(10, [&] { return state_->lost() >= 1; });
+    bool ok = co_await Within(10, [&] { return state_->lost_answers() >= 1; });
     EXPECT_TRUE(ok);
     End(0);
     ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, R"("phase":"running")", 15);
     EXPECT_TRUE(ok);
-    EXPECT_EQ(state_->CarryOutLate(), 0) << "the new leader's token makes them void";
+    EXPECT_EQ(state_->ExecuteDeferred(), 0) << "the new leader's token makes them void";
     ok = co_await Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":20)", 30);
     EXPECT_TRUE(ok);
   }
@@ -102,7 +102,7 @@
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
   EXPECT_EQ(cloud_->starts(), 20);
 }
 
@@ -150,7 +150,7 @@
   LostAnswerTest() { run_s_ = 30; }
   async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
-    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Lost::kAtOnce);
+    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Execution::kImmediate);
     wire::HttpResponse r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 503) << "it can't know, and says so at once";
     EXPECT_GT(r.retry_after_s, 0);
@@ -158,7 +158,7 @@
     r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 200);
     co_await Runs("run-2", 3);
-    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Lost::kAtOnce);
+    state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Execution::kImmediate);
     r = co_await Ask(1, "POST", "/submissions/run-2/withdraw");
     EXPECT_EQ(r.status, 503);
     co_await AllSay("run-2", "cancelled");
@@ -166,7 +166,7 @@
     EXPECT_EQ(told, "cancelled");
     co_await Runs("run-2", 0);
     // A leader whose placement was carried out without an answer starts it all the same, once.
-    state_->LoseAnswers("hallpier/a/t/run-3", FakeStateService::Lost::kAtOnce, 2);
+    state_->LoseAnswers("hallpier/a/t/run-3", FakeStateService::Execution::kImmediate, 2);
     co_await Accepted(2, Spec("run-3", 5));
     co_await Runs("run-3", 5);
   }
@@ -175,7 +175,7 @@
 TEST_F(LostAnswerTest, IsNoReasonToSayAnythingOlder) {
   Start(3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
   EXPECT_EQ(cloud_->starts(), 9);
 }
 
@@ -208,7 +208,7 @@
     co_await Accepted(0, Spec("run-40", 1));
     bool begun = co_await Within(5, [&] { return cloud_->Running("run-40") == 1; });
     EXPECT_TRUE(begun);
-    state_->DelayTxns("hallpier/a/j/run-40", 0.8);
+    state_->DelayTransactions("hallpier/a/j/run-40", 0.8);
     const std::string told = co_await Withdraw(1, "run-40");
     EXPECT_EQ(told, "done");
     co_await AllSay("run-40", R"("phase":"done")");
@@ -266,7 +266,7 @@
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // All controllers are away for longer than a lease: every task is gone, and all that was accepted
@@ -293,7 +293,7 @@
 TEST_F(AllAwayTest, LosesNothingThatWasAccepted) {
   Start(3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // Leaders change again and again, also inside an outage.
@@ -315,7 +315,7 @@
 TEST_F(ManyLeadersTest, StartNothingTwice) {
   Start(3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // One-task jobs come four a second, a quarter of them cancelled, with as many writes as the
@@ -358,7 +358,7 @@
 TEST_F(SwarmTest, OfOneTaskJobsIsServedAndTold) {
   Start(3);
   Run(Script());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // What can't run, or lacks a field, is refused whatever else goes on; what is done stays done.
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -114,7 +114,7 @@
     state_ = std::make_unique<FakeStateService>(scope_);
     cloud_ = std::make_unique<FakeCloud>(scope_, options);
     RequireStarted(state_->Listen(At(20), &error), "the state service", error);
-    RequireStarted(state_->ListenApart(At(22), &error), "its second way in", error);
+    RequireStarted(state_->ListenSecondary(At(22), &error), "its second way in", error);
     RequireStarted(cloud_->Listen(At(21), &error), "the cloud", error);
   }
 
@@ -248,7 +248,7 @@
   std::optional<config::StateLimits> state_next_;
   config::OperatorOptions operators_;
   int apart_ = -1;
-  int refused_ = -1;  // the node that Cut() takes the state service from, and nothing else
+  int refused_ = -1;  // the node that CutSecondary() takes the state service from, and nothing else
   double lease_s_ = 3;
   std::optional<double> cancel_s_;
 };
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -23,7 +23,7 @@
   Run(RunsAJob(this, Until(1, "POST", "/submissions", body, 201, "pending", 10),
                Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":9)", 20)));
   EXPECT_EQ(cloud_->starts(), 9);
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 class OutageTest : public EndToEnd {
@@ -59,7 +59,7 @@
 TEST_F(OutageTest, AnOutageDelaysButNeverMisinforms) {
   Start(1);
   Run(Outage());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // After troubles everybody asks at once, on every node, and no question may be left without an
@@ -169,13 +169,13 @@
 TEST_F(BackAtOnceTest, NothingIsLostAndNothingStartsTwice) {
   Start(3);
   Run(Back());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(CrashTest, OneNodeOfThreeCarriesOn) {
   Start(3);
   Run(Crash());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // A leader that has lost the state service and the other controllers, but not its workers: it
@@ -194,7 +194,7 @@
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "GET", "/submissions/run-6", "", 200, R"("phase":"running")", 10);
     EXPECT_TRUE(ok);
-    state_->Cut(true);
+    state_->CutSecondary(true);
     const double cut = loop_.Now();
     async::Sleep pause(scope_, 0.3);
     co_await pause;
@@ -209,7 +209,7 @@
     EXPECT_LT(loop_.Now() - cut, 1.5 + 0.5);
     ok = co_await Until(1, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 30);
     EXPECT_TRUE(ok);
-    state_->Cut(false);
+    state_->CutSecondary(false);
     ok = co_await Until(0, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 10);
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "POST", "/checkin", Report(3), 421, "node-", 5);
@@ -220,7 +220,7 @@
 TEST_F(ApartTest, ALeaderThatIsCutOffGivesWayAndNothingStartsTwice) {
   Start(3);
   Run(Apart());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // Machines come and go by the thousand; what is kept open to them must not use up the sockets.
--- a/tests/fakes/fake_cloud.cc
+++ b/tests/fakes/fake_cloud.cc
@@ -34,7 +34,7 @@
   return count;
 }
 
-int FakeCloud::RunningOf(const std::string& prefix) const {
+int FakeCloud::RunningWithPrefix(const std::string& prefix) const {
   int count = 0;
   for (const auto& [name, worker] : machines_) {
     count += worker->CountRunning([&](const std::string& job) { return job.starts_with(prefix); });
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -34,11 +34,11 @@
   }
   // Starts of tasks so far, and those of a task that was running on another machine at the time.
   int starts() const { return starts_; }
-  int started_twice() const { return started_twice_; }
+  int duplicate_starts() const { return started_twice_; }
   // Tasks of a job that run now, on any machine.
   int Running(const std::string& job) const;
   // Tasks that run now, of all jobs whose names begin with this.
-  int RunningOf(const std::string& prefix) const;
+  int RunningWithPrefix(const std::string& prefix) const;
   // Called before every start of a task.
   void WatchStarts(std::function<void(const model::TaskId&)> on_start) {
     on_start_ = std::move(on_start);
--- a/tests/fakes/fake_state_service.cc
+++ b/tests/fakes/fake_state_service.cc
@@ -186,7 +186,7 @@
   if (lose_count_ == 0 || !Writes(body, lose_prefix_)) co_return Commit(body);
   --lose_count_;
   ++lost_so_far_;
-  if (lost_ == Lost::kAtOnce) {
+  if (lost_ == Execution::kImmediate) {
     Commit(body);
   } else {
     late_.push_back(std::move(body));
@@ -196,7 +196,7 @@
   co_return Answer(503, "{}");
 }
 
-int FakeStateService::CarryOutLate() {
+int FakeStateService::ExecuteDeferred() {
   int done = 0;
   for (const std::string& body : std::exchange(late_, {})) {
     if (Commit(body).status == 200) ++done;
--- a/tests/fakes/fake_state_service.h
+++ b/tests/fakes/fake_state_service.h
@@ -27,7 +27,7 @@
     return server_.Listen(address, error);
   }
   // A second address, for one controller alone, that Cut() closes and opens.
-  bool ListenApart(const std::string& address, std::string* error) {
+  bool ListenSecondary(const std::string& address, std::string* error) {
     return apart_.Listen(address, error);
   }
   void Cut(bool on) { cut_ = on; }
@@ -40,7 +40,7 @@
   void SetLimits(Limits limits) { limits_ = limits; }
   int refused() const { return refused_; }  // for their size or rate
   // The next `count` transactions that write a key with this prefix get no answer: they are carried
-  // out at once, or only when CarryOutLate() is called. An empty prefix: none.
+  // out at once, or only when ExecuteDeferred() is called. An empty prefix: none.
   enum class Lost { kAtOnce, kLate };
   void LoseAnswers(std::string prefix, Lost lost, int count = 1) {
     lose_prefix_ = std::move(prefix);
@@ -50,10 +50,10 @@
   // How many answers were lost so far.
   int lost() const { return lost_so_far_; }
   // Carries out what kLate has kept back; how many of these transactions had an effect.
-  int CarryOutLate();
+  int ExecuteDeferred();
   // Transactions that write a key with this prefix are carried out `delay_s` seconds after they
   // came.
-  void DelayTxns(std::string prefix, double delay_s) {
+  void DelayTransactions(std::string prefix, double delay_s) {
     delay_prefix_ = std::move(prefix);
     delay_s_ = delay_s;
   }
@@ -117,7 +117,7 @@
   Limits limits_;
   int refused_ = 0;
   std::string lose_prefix_;
-  Lost lost_ = Lost::kAtOnce;
+  Lost lost_ = Execution::kImmediate;
   int lose_count_ = 0;
   int lost_so_far_ = 0;
   std::vector<std::string> late_;
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -126,7 +126,7 @@
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
-    RequireStarted(state.ListenApart(At(4), &error), "a server", error);
+    RequireStarted(state.ListenSecondary(At(4), &error), "a server", error);
     store::Client peer(scope_, StateAt(3));
     LoneLeader node(scope_, LeaderSettings(kReport, kShortLease), StateAt(4));
     node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::RelayResult> {
@@ -139,15 +139,15 @@
     while (!lead.leading()) co_await Pause(0.01);
     const model::FencingToken token = lead.token();
     for (int flap = 0; flap < 2; ++flap) {
-      state.Cut(true);
+      state.CutSecondary(true);
       co_await Pause(1.5);
       EXPECT_TRUE(lead.MayAct()) << flap;
-      state.Cut(false);
+      state.CutSecondary(false);
       co_await Pause(0.8);
     }
     EXPECT_EQ(lead.token(), token);
     EXPECT_FALSE(state.Value(store::LeaderKey()).empty());
-    state.Cut(true);
+    state.CutSecondary(true);
     const double end = loop_.Now() + 6;
     while (!state.Value(store::LeaderKey()).empty() && loop_.Now() < end) co_await Pause(0.05);
     EXPECT_TRUE(state.Value(store::LeaderKey()).empty()) << "another node may lead";
@@ -170,10 +170,10 @@
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     const model::FencingToken token = lead.token();
-    state.LoseAnswers(store::FencingTokenKey(), FakeStateService::Lost::kAtOnce);
+    state.LoseAnswers(store::FencingTokenKey(), FakeStateService::Execution::kImmediate);
     bool raised = co_await lead.RaiseToken();
     EXPECT_FALSE(raised);
-    EXPECT_EQ(state.lost(), 1);
+    EXPECT_EQ(state.lost_answers(), 1);
     const double end = loop_.Now() + 5;
     while (node.terms < 2 && loop_.Now() < end) co_await Pause(0.01);
     EXPECT_EQ(node.terms, 2);
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -55,7 +55,7 @@
   // Node 1 knows of it, and only its cancellation report can tell the leader.
   async::Task<> HandedOver() {
     co_await Prepare();
-    state_->Cut(true);
+    state_->CutSecondary(true);
     co_await CancelledByAnother();
     bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
@@ -67,7 +67,7 @@
     EXPECT_EQ(cloud_->Running("run-2"), 6) << "the outage costs nothing else";
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetOutage(false);
-    state_->Cut(false);
+    state_->CutSecondary(false);
     ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
     EXPECT_TRUE(ok);
   }
@@ -77,7 +77,7 @@
   async::Task<> OnlyRead() {
     co_await Prepare();
     state_->SetWatchLag(10);
-    state_->Cut(true);
+    state_->CutSecondary(true);
     co_await CancelledByAnother();
     bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
@@ -88,7 +88,7 @@
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetWatchLag(0);
     state_->SetOutage(false);
-    state_->Cut(false);
+    state_->CutSecondary(false);
   }
 
   // The whole machine stands still in the outage, for long enough to be a pause. What node 1 then
@@ -96,7 +96,7 @@
   async::Task<> HandedOverAfterAPause() {
     co_await Prepare();
     state_->SetWatchLag(10);
-    state_->Cut(true);
+    state_->CutSecondary(true);
     co_await CancelledByAnother();
     bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
@@ -108,14 +108,14 @@
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetWatchLag(0);
     state_->SetOutage(false);
-    state_->Cut(false);
+    state_->CutSecondary(false);
   }
 
   // Whoever told it has ended; its node is back at once and sees the outage like all others, but
   // does not know what it told before.
   async::Task<> Forgot() {
     co_await Prepare();
-    state_->Cut(true);
+    state_->CutSecondary(true);
     for (int node : {1, 2}) co_await EndInOrder(node);
     co_await CancelledByAnother();
     state_->SetOutage(true);
@@ -123,7 +123,7 @@
     co_await Pause(told_ + kCancelS - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
     state_->SetOutage(false);
-    state_->Cut(false);
+    state_->CutSecondary(false);
     bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
     EXPECT_TRUE(ok);
     ok = co_await Within(15, [&] { return cloud_->Running("run-2") == 6; });
@@ -149,13 +149,13 @@
 TEST_F(GapTest, WhatAnotherNodeToldReachesTheOldLeader) {
   Start(3);
   Run(HandedOver());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(GapTest, WhatANodeHasReadForAUserIsHandedOverAsWell) {
   Start(3);
   Run(OnlyRead());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // Guards against: a leader that was paused renews leases on the word of the others, and holds back
@@ -172,13 +172,13 @@
 TEST_F(PauseInOutageTest, WhatIsHandedOverIsStoppedBeforeTheCopyIsConfirmed) {
   Start(3);
   Run(HandedOverAfterAPause());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(GapTest, ALeaderThatNobodyVouchesForFallsSilentInTime) {
   Start(3);
   Run(Forgot());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(GapTest, AnOutageWithoutCancellationsCarriesTasksThrough) {
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -255,20 +255,20 @@
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(LeavesInOrder());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(MembershipNodesTest, AJudgedLeaderJoinsAgainAndStartsNothingTwice) {
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(IsJudged());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(MembershipNodesTest, AJudgedLeaderGivesUpByItself) {
   Start(1);
   Run(IsJudgedAlone());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 TEST_F(MembershipNodesTest, TheCommandShowsWhatEachNodeSees) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -18,7 +18,7 @@
 constexpr double kSettleS = 10;
 
 void Settle(MembershipCluster& cluster) {
-  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.Settled(); }, kSettleS));
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, kSettleS));
 }
 
 size_t VerdictsOn(const MembershipCluster& cluster, const std::string& node) {
@@ -68,7 +68,8 @@
   cluster_->RunFor(60);
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U);
-  EXPECT_EQ(cluster_->Seen(AnotherThan(*cluster_, leader_), leader_), MemberState::kFailed);
+  EXPECT_EQ(cluster_->ObservedState(AnotherThan(*cluster_, leader_), leader_),
+            MemberState::kFailed);
 }
 
 // Where the leader's own lease is long, the verdict is what hands over.
@@ -85,11 +86,11 @@
   Start();
   cluster_->Freeze(other_);
   ASSERT_TRUE(cluster_->RunUntil(
-      [&] { return cluster_->Seen(leader_, other_) == MemberState::kSuspect; }, 5));
+      [&] { return cluster_->ObservedState(leader_, other_) == MemberState::kSuspect; }, 5));
   cluster_->Resume(other_);
   cluster_->RunFor(30);
   EXPECT_TRUE(cluster_->verdicts().empty());
-  EXPECT_TRUE(cluster_->Settled());
+  EXPECT_TRUE(cluster_->Converged());
 }
 
 TEST_F(ClusterTest, ASuspectThatWakesInTheTimeOfConfirmationRefutes) {
@@ -116,7 +117,7 @@
   cluster_->Freeze(other_);
   cluster_->RunFor(30);
   EXPECT_LE(cluster_->verdicts().size(), 1U);
-  EXPECT_TRUE(cluster_->Settled());
+  EXPECT_TRUE(cluster_->Converged());
   const uint64_t now = cluster_->Record(other_)->incarnation.session;
   EXPECT_EQ(now, session + cluster_->verdicts().size());
 }
@@ -128,7 +129,7 @@
   UntilVerdict(leader_, 5);
   cluster_->RunFor(1);
   cluster_->Resume(leader_);
-  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Settled(); }, kSettleS));
+  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_EQ(cluster_->Record(leader_)->incarnation.session, session + 1);
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U);
@@ -159,7 +160,7 @@
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
   cluster_->Cut("node-0", "node-1", false);
   cluster_->CutFromState("node-1", false);
-  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Settled(); }, kSettleS));
+  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_EQ(VerdictsOn(*cluster_, "node-0"), 0U);
 }
 
@@ -171,7 +172,7 @@
   cluster_->RunFor(30);
   EXPECT_TRUE(cluster_->verdicts().empty());
   EXPECT_EQ(cluster_->suspicions(), 0U);
-  EXPECT_TRUE(cluster_->Settled());
+  EXPECT_TRUE(cluster_->Converged());
 }
 
 TEST_F(ClusterTest, ANodeThatOneOtherStillHearsIsNotJudged) {
@@ -181,7 +182,7 @@
   cluster_->RunFor(60);
   EXPECT_TRUE(cluster_->verdicts().empty());
   EXPECT_EQ(cluster_->suspicions(), 0U);
-  EXPECT_EQ(cluster_->Seen(third, other_), MemberState::kAlive);
+  EXPECT_EQ(cluster_->ObservedState(third, other_), MemberState::kAlive);
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
@@ -226,7 +227,7 @@
   EXPECT_EQ(VerdictsOn(*cluster_, leader_), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U) << "the third node takes over";
   cluster_->Resume(accuser);
-  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Settled(); }, kSettleS));
+  EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_EQ(VerdictsOn(*cluster_, leader_), 1U);
 }
 
@@ -254,9 +255,9 @@
 // way: they prove nothing of the new one.
 TEST_F(ClusterTest, LateAnswersOfAFormerProcessKeepNobodyAlive) {
   Start();
-  for (int i = 0; i < 100; ++i) cluster_->HoldBackAnswer(other_, leader_, 1 + 0.1 * i);
+  for (int i = 0; i < 100; ++i) cluster_->DelayAnswer(other_, leader_, 1 + 0.1 * i);
   cluster_->Restart(other_);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Settled(); }, kSettleS));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_TRUE(cluster_->verdicts().empty());
   cluster_->Kill(other_);
   const double took_s = UntilVerdict(other_, 8);
@@ -268,7 +269,7 @@
   for (const std::string& name : cluster_->names()) {
     cluster_->Restart(name);
     cluster_->RunFor(0.3);
-    EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Settled(); }, kSettleS));
+    EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   }
   EXPECT_TRUE(cluster_->verdicts().empty());
   EXPECT_LE(cluster_->handovers().size(), 4U);
@@ -288,11 +289,11 @@
   Start();
   cluster_->Kill(other_);
   ASSERT_TRUE(cluster_->RunUntil(
-      [&] { return cluster_->Seen(leader_, other_) == MemberState::kSuspect; }, 5));
+      [&] { return cluster_->ObservedState(leader_, other_) == MemberState::kSuspect; }, 5));
   cluster_->SetStateOutage(true);
   cluster_->RunFor(60);
   EXPECT_TRUE(cluster_->verdicts().empty());
-  EXPECT_EQ(cluster_->Seen(leader_, other_), MemberState::kSuspect);
+  EXPECT_EQ(cluster_->ObservedState(leader_, other_), MemberState::kSuspect);
   cluster_->SetStateOutage(false);
   UntilVerdict(other_, 5);
 }
@@ -390,13 +391,13 @@
     cluster.RunFor(pause(random));
   }
   Mend(cluster);
-  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.Settled(); }, 120));
+  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, 120));
   std::set<std::pair<std::string, uint64_t>> judged;
   for (const auto& verdict : cluster.verdicts()) {
     EXPECT_TRUE(judged.insert({verdict.node, verdict.session}).second)
         << verdict.node << " session " << verdict.session << " was judged twice";
   }
-  EXPECT_EQ(cluster.WrongVerdicts(), 0U) << "of nodes that could have refuted";
+  EXPECT_EQ(cluster.FalseVerdicts(), 0U) << "of nodes that could have refuted";
   const size_t handovers = cluster.handovers().size();
   cluster.RunFor(60);
   EXPECT_EQ(cluster.handovers().size(), handovers) << "all is well, and the lead moves";
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -61,7 +61,7 @@
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find(kDone), std::string::npos);
     EXPECT_EQ(too_early_, std::vector<std::string>());
-    EXPECT_EQ(cloud_->started_twice(), 0);
+    EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
   async::Task<> Cancelled() {
@@ -164,12 +164,12 @@
     state_->SetOutage(true);
     co_await Pause(1);
     state_->SetOutage(false);
-    state_->Cut(true);
+    state_->CutSecondary(true);
     co_await Pause(0.5);
-    state_->Cut(false);
+    state_->CutSecondary(false);
     co_await Says(0, "run-2", kDone, 30);
     EXPECT_EQ(too_early_, std::vector<std::string>());
-    EXPECT_EQ(cloud_->started_twice(), 0);
+    EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
  protected:
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -224,7 +224,7 @@
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   StartAll();
   Run(Storm());
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
   EXPECT_GT(verdicts(), 0) << "the storm was none";
   EXPECT_EQ(verdicts_twice(), 0);
   EXPECT_EQ(leaders_over_leaders(), 0) << "a leader's record was written over another's";
@@ -245,7 +245,7 @@
   // Reads only what the fake workers run; each task takes one processor.
   void WatchPeak() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
-      peak_ = std::max(peak_, cloud_->RunningOf("run-") + 1);
+      peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
     });
   }
 
@@ -263,7 +263,7 @@
   EXPECT_LE(peak_, kLimit);
   EXPECT_GE(peak_, kLimit / 2) << "hardly anything ran";
   EXPECT_GT(lendings_, 3) << "hardly anything was lent";
-  EXPECT_EQ(cloud_->started_twice(), 0);
+  EXPECT_EQ(cloud_->duplicate_starts(), 0);
   EXPECT_GT(verdicts(), 0) << "the storm was none";
 }
 
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -35,7 +35,7 @@
       workers_(events_, random_, WorkerOptions(), WorkerHooks()) {
   operators_.round_s = 1;
   operators_.blocks.enabled = true;
-  operators_.blocks.holders = std::max(2.0, options_.most_holders);
+  operators_.blocks.holders = std::max(2.0, options_.max_holders);
   for (int i = 0; i < options_.nodes; ++i) {
     names_.push_back("node-" + std::to_string(i));
     StartProcess(names_.back());
@@ -114,14 +114,14 @@
   StartProcess(name);
 }
 
-void BlocksCluster::NextPlacement(const std::string& name, DeliveryFault fault,
-                                  std::function<void()> on_sent) {
+void BlocksCluster::SetNextPlacementFault(const std::string& name, DeliveryFault fault,
+                                          std::function<void()> on_sent) {
   Node& node = NodeOf(name);
   node.next_fault = fault;
   node.on_sent = std::move(on_sent);
 }
 
-std::string BlocksCluster::HolderAnotherThan(const std::string& name) const {
+std::string BlocksCluster::HolderOtherThan(const std::string& name) const {
   for (const blocks::Holder& holder : Division().holders) {
     if (holder.node != name) return holder.node;
   }
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -48,10 +48,10 @@
     double delay_s = 0.005;     // of a request to the state service, one way; up to twice as much
     double watch_lag_s = 0.05;  // of the copies
     double lost = 0;            // part of transactions whose answer is lost
-    double late = 0;          // part of transactions that get no answer and are carried out late...
-    double late_least_s = 1;  // ...by so much at least
-    double late_s = 8;        // and at the most
-    double most_holders = 9;  // 2 at least; blocks off: 0
+    double late = 0;         // part of transactions that get no answer and are carried out late...
+    double min_late_s = 1;   // ...by so much at least
+    double late_s = 8;       // and at the most
+    double max_holders = 9;  // 2 at least; blocks off: 0
     // Preconditions that are left out, for trials: "token", "division", "share", "job"; "copy": a
     // node takes its copy of the records for complete.
     std::set<std::string> without = {};
@@ -89,30 +89,30 @@
   void CutMachine(const std::string& machine, bool cut) { workers_.Cut(machine, cut); }
   // False: whoever takes the lead from now on is of a version that knows no blocks, and places on
   // all machines.
-  void SetLeadersDivide(bool divide) { leaders_divide_ = divide; }
+  void SetNewLeadersUseBlocks(bool divide) { leaders_divide_ = divide; }
   // What becomes of a transaction.
-  enum class DeliveryFault { kNone, kAnswerLost, kLate, kNeverSent };
+  enum class DeliveryFault { kNone, kAnswerLost, kLate, kNotSent };
   // Applies to a node's next transaction with placements; `on_sent` is called when it is sent.
-  void NextPlacement(const std::string& name, DeliveryFault fault,
-                     std::function<void()> on_sent = nullptr);
+  void SetNextPlacementFault(const std::string& name, DeliveryFault fault,
+                             std::function<void()> on_sent = nullptr);
   // Called after each write of a record of blocks or shares.
-  void OnRecordWrite(std::function<void(const std::string& key)> hook) {
+  void OnBlockRecordWrite(std::function<void(const std::string& key)> hook) {
     on_record_ = std::move(hook);
   }
 
   // How things are.
   std::string Leader() const { return leader_; }
   // Empty: there is none.
-  std::string HolderAnotherThan(const std::string& name) const;
+  std::string HolderOtherThan(const std::string& name) const;
   blocks::DivisionRecord Division() const;
   bool Holds(const std::string& name) const;
   // Processors in a node's share of the limit of "team".
   double ShareCpus(const std::string& name) const;
   double widen_s() const { return WidenS(); }
   const Peak& peak() const { return peak_; }
-  int overshoots() const { return overshoots_; }
-  int started_twice() const { return workers_.started_twice(); }
-  int started_after_cancel() const { return started_after_cancel_; }
+  int starts_over_limit() const { return overshoots_; }
+  int duplicate_starts() const { return workers_.duplicate_starts(); }
+  int starts_after_cancel() const { return started_after_cancel_; }
   int starts() const { return starts_; }
   uint64_t writes() const { return store_.writes(); }
   int conflicts() const { return conflicts_; }
@@ -126,7 +126,7 @@
   int TakePlacements(const std::string& name) { return std::exchange(NodeOf(name).placements, 0); }
   double Used() { return workers_.UsedCpus(); }
   int Unfinished() const;
-  bool AllFinal() const { return Unfinished() == 0; }
+  bool AllFinished() const { return Unfinished() == 0; }
   // Those of its block; all where there are no blocks.
   std::set<std::string> MachinesOf(const std::string& holder) const;
   // Called with the machine of each task that starts.
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -54,7 +54,7 @@
   const std::string record = store::WriteFencingTokenRecord(node.name);
   Execute({}, {{store::FencingTokenKey(), record, 0}});
   node.leads = true;
-  node.divides = options_.most_holders >= 2 && leaders_divide_;
+  node.divides = options_.max_holders >= 2 && leaders_divide_;
   node.token = model::FencingToken(store_.revision());
   node.unanswered.clear();
   Put(node, store::FencingTokenKey(), record, store_.revision());
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -103,11 +103,12 @@
 BlocksCluster::DeliveryFault BlocksCluster::FaultOf(Node& node, bool places) {
   DeliveryFault fault = DeliveryFault::kNone;
   if (places) fault = std::exchange(node.next_fault, DeliveryFault::kNone);
-  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.lost) {
+  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.lost_answer_rate) {
     fault = DeliveryFault::kAnswerLost;
   }
-  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.late) fault = DeliveryFault::kLate;
-  return Reaches(node) ? fault : DeliveryFault::kNeverSent;
+  if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.late_rate)
+    fault = DeliveryFault::kLate;
+  return Reaches(node) ? fault : DeliveryFault::kNotSent;
 }
 
 void BlocksCluster::SendNext(Node& node) {
@@ -133,9 +134,9 @@
   const double there_s = options_.delay_s * Uniform(1, 2);
   const double back_s = options_.delay_s * Uniform(1, 2);
   auto give_up = [this, name, transaction] { NoAnswer(name, transaction); };
-  if (fault == DeliveryFault::kNeverSent || fault == DeliveryFault::kLate) {
+  if (fault == DeliveryFault::kNotSent || fault == DeliveryFault::kLate) {
     if (fault == DeliveryFault::kLate) {
-      At(Uniform(options_.late_least_s, options_.late_s), execute);
+      At(Uniform(options_.min_late_s, options_.max_late_s), execute);
     }
     InProcessAfter(kTimeoutS, name, process, give_up);
     return;
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -85,14 +85,14 @@
   node.rate = rate;
 }
 
-void MembershipCluster::HoldBackAnswer(const std::string& from, const std::string& to,
-                                       double delay_s) {
+void MembershipCluster::DelayAnswer(const std::string& from, const std::string& to,
+                                    double delay_s) {
   const wire::MemberStatus status = Table(from).Status(LocalNow(from));
   const double asked = LocalNow(to);
   At(delay_s, [this, status, to, asked] { Table(to).OnAnswer(status, asked, LocalNow(to)); });
 }
 
-size_t MembershipCluster::WrongVerdicts() const {
+size_t MembershipCluster::FalseVerdicts() const {
   return static_cast<size_t>(std::count_if(
       verdicts_.begin(), verdicts_.end(), [](const Verdict& verdict) { return verdict.was_well; }));
 }
--- a/tests/simulation/membership_cluster.h
+++ b/tests/simulation/membership_cluster.h
@@ -88,11 +88,11 @@
     on_verdict_sent_ = std::move(hook);
   }
   // Delivers what `from` would say now to `to`, later, whatever the links are.
-  void HoldBackAnswer(const std::string& from, const std::string& to, double delay_s);
+  void DelayAnswer(const std::string& from, const std::string& to, double delay_s);
 
   // What has happened, and how things are.
   const std::vector<Verdict>& verdicts() const { return verdicts_; }
-  size_t WrongVerdicts() const;
+  size_t FalseVerdicts() const;
   const std::vector<Handover>& handovers() const { return handovers_; }
   size_t suspicions() const { return suspicions_; }
   // Empty: nobody leads.
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -55,7 +55,7 @@
   // The most processors that are free on one machine of `machine_cpus`.
   double MostFreeCpus(double machine_cpus) const;
   // Starts of a task that ran somewhere at the time.
-  int started_twice() const { return started_twice_; }
+  int duplicate_starts() const { return started_twice_; }
 
  private:
   struct Run {
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -160,7 +160,7 @@
     }
     EXPECT_GT(packed_, 0);
     EXPECT_EQ(timed_, 3);
-    EXPECT_EQ(cloud_->started_twice(), 0);
+    EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
  protected:
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -27,7 +27,7 @@
   BlocksCluster::Options options;
   options.seed = seed;
   // One block is none: the leader places alone.
-  options.most_holders = blocks > 1 ? blocks : 0;
+  options.max_holders = blocks > 1 ? blocks : 0;
   return options;
 }
 
@@ -86,7 +86,7 @@
     for (int run = 0; run < effort.runs; ++run) {
       BlocksCluster cluster(WithBlocks(blocks, effort.seed + static_cast<uint64_t>(run)));
       cluster.RunFor(kSettleS);
-      const std::string other = cluster.HolderAnotherThan(cluster.Leader());
+      const std::string other = cluster.HolderOtherThan(cluster.Leader());
       const std::string holder = blocks > 1 ? other : cluster.Leader();
       const std::set<std::string> machines = cluster.MachinesOf(holder);
       double began = 0;
@@ -141,7 +141,7 @@
       UnderLoad(Described("overshoot", "Starts beyond the limit", "starts", "The best is none."),
                 kCounts, effort,
                 [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
-                  samples.Add(cluster.overshoots());
+                  samples.Add(cluster.starts_over_limit());
                 }),
       AfterDeath(effort),
   };
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -110,8 +110,9 @@
           const std::string subject = c.Name(leader == c.Name(0) ? 1 : 0);
           const double began = c.now();
           c.Freeze(subject);
-          c.RunUntil([&] { return c.Seen(leader, subject) == model::MemberState::kSuspect; },
-                     kSettleS);
+          c.RunUntil(
+              [&] { return c.ObservedState(leader, subject) == model::MemberState::kSuspect; },
+              kSettleS);
           samples.Add(c.now() - began);
         }));
   }
