--- a/tests/fakes/fake_cloud.cc
+++ b/tests/fakes/fake_cloud.cc
@@ -12,8 +12,8 @@
 namespace hallpier::testing_support {
 namespace {
 
-// Requests beyond this get fewer machines than they ask for.
-constexpr size_t kMostMachines = 20;
+// Maximum number of machines. A request beyond it gets fewer machines than it asks for.
+constexpr size_t kMaxMachines = 20;
 constexpr const char* kMachineTypeName = "c4";
 
 }  // namespace
@@ -46,7 +46,7 @@
   if (on_start_) on_start_(task);
   ++starts_;
   for (const auto& [name, other] : machines_) {
-    if (other.get() != &worker && other->Runs(task)) ++started_twice_;
+    if (other.get() != &worker && other->Runs(task)) ++duplicate_starts_;
   }
 }
 
@@ -86,17 +86,18 @@
 
 wire::HttpResponse FakeCloud::ScaleOut(const wire::JsonValue& request) {
   const std::string name = *wire::GetText(request, "hire");
-  if (answers_.contains(name)) return Answer(200, answers_[name]);
+  if (scale_out_responses_.contains(name)) return Answer(200, scale_out_responses_[name]);
   std::vector<std::string> names;
   const uint64_t count = *wire::GetCount(request, "howMany");
-  for (uint64_t i = 0; i < count && machines_.size() < kMostMachines; ++i) {
+  for (uint64_t i = 0; i < count && machines_.size() < kMaxMachines; ++i) {
     model::CloudMachine listed;
-    listed.machine = fmt::format("vm-{:06}", next_);
-    listed.endpoint = "127.0.0.1:" + std::to_string(options_.first_port + next_ % options_.ports);
+    listed.machine = fmt::format("vm-{:06}", next_machine_);
+    listed.endpoint =
+        "127.0.0.1:" + std::to_string(options_.first_port + next_machine_ % options_.ports);
     listed.machine_type = kMachineTypeName;
     listed.zone = *wire::GetText(request, "hall");
     listed.spot = *wire::GetFlag(request, "lendable");
-    ++next_;
+    ++next_machine_;
     auto worker = std::make_unique<FakeWorker>(
         scope_, options_.worker, listed,
         [this](const FakeWorker& where, const model::TaskId& task) { OnStart(where, task); });
@@ -104,8 +105,8 @@
     names.push_back(listed.machine);
     machines_[listed.machine] = std::move(worker);
   }
-  answers_[name] = wire::WriteScaleInRequest(names);
-  return Answer(200, answers_[name]);
+  scale_out_responses_[name] = wire::WriteScaleInRequest(names);
+  return Answer(200, scale_out_responses_[name]);
 }
 
 wire::HttpResponse FakeCloud::ScaleIn(const wire::JsonValue& request) {
@@ -113,8 +114,8 @@
     auto it = machines_.find(machine.GetString());
     if (it == machines_.end()) continue;
     it->second->End();
-    // Its routines unwind later; until then the object must stay.
-    gone_.push_back(std::move(it->second));
+    // The worker's coroutines unwind later; the object must live until then.
+    removed_.push_back(std::move(it->second));
     machines_.erase(it);
   }
   return Answer(200, "{}");
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -1,7 +1,8 @@
-// A cloud on loopback, by its protocol: rents machines that are up at once, each with a FakeWorker.
-// Counts the starts of tasks over all machines, and those of a task that ran elsewhere at the time.
+// A fake cloud that speaks the cloud's HTTP protocol on loopback. It rents machines that are
+// running immediately, each with a FakeWorker. Counts the task starts on all machines, and the
+// duplicate starts: those of a task that was running on another machine at the time.
 //
-// Runs in the scope that it is given; a test owns it.
+// Runs in the given scope. Owned by a test.
 #pragma once
 
 #include <functional>
@@ -23,23 +24,25 @@
   struct Options {
     FakeWorker::Options worker;
     int first_port = 0;
-    // Of machines, used in turn: far more than there ever are machines at a time.
+    // Ports for machines, used in turn. Far more than the number of machines at any time, so that a
+    // port in use is not assigned again.
     int ports = 1000;
   };
   FakeCloud(async::Scope& scope, Options options);
   ~FakeCloud();
-  // False, with a reason, if the address can't be listened on.
+  // Returns false and sets `error` if it cannot listen on the address.
   bool Listen(const std::string& address, std::string* error) {
     return server_.Listen(address, error);
   }
-  // Starts of tasks so far, and those of a task that was running on another machine at the time.
+  // Number of task starts so far, and of the starts of a task that was running on another machine
+  // at the time.
   int starts() const { return starts_; }
-  int duplicate_starts() const { return started_twice_; }
-  // Tasks of a job that run now, on any machine.
+  int duplicate_starts() const { return duplicate_starts_; }
+  // Returns the number of running tasks of a job, on all machines.
   int Running(const std::string& job) const;
-  // Tasks that run now, of all jobs whose names begin with this.
+  // Returns the number of running tasks of all jobs whose names begin with `prefix`.
   int RunningWithPrefix(const std::string& prefix) const;
-  // Called before every start of a task.
+  // Sets a hook that is called before each task start.
   void WatchStarts(std::function<void(const model::TaskId&)> on_start) {
     on_start_ = std::move(on_start);
   }
@@ -56,11 +59,11 @@
   const Options options_;
   net::HttpServer server_;
   std::map<std::string, std::unique_ptr<FakeWorker>> machines_;
-  std::vector<std::unique_ptr<FakeWorker>> gone_;
-  std::map<std::string, std::string> answers_;  // by request name
-  int next_ = 0;
+  std::vector<std::unique_ptr<FakeWorker>> removed_;
+  std::map<std::string, std::string> scale_out_responses_;  // by request name
+  int next_machine_ = 0;
   int starts_ = 0;
-  int started_twice_ = 0;
+  int duplicate_starts_ = 0;
   std::function<void(const model::TaskId&)> on_start_;
 };
 
--- a/tests/fakes/fake_state_service.cc
+++ b/tests/fakes/fake_state_service.cc
@@ -13,9 +13,9 @@
 constexpr std::string_view kStorePrefix = "/store/";
 constexpr std::string_view kLeases = "/holds";
 constexpr std::string_view kLeasePrefix = "/holds/";
-constexpr double kExpireTickS = 0.02;
-// Longer than anybody waits for an answer.
-constexpr double kNeverS = 30;
+constexpr double kLeaseCheckIntervalS = 0.02;
+// Longer than any client waits for an answer.
+constexpr double kBeyondClientTimeoutS = 30;
 constexpr double kMsPerS = 1000;
 
 std::map<std::string, std::string> Query(const std::string& target) {
@@ -24,7 +24,7 @@
   return out;
 }
 
-uint64_t Number(const std::string& text) {
+uint64_t ParseNumber(const std::string& text) {
   uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -39,7 +39,7 @@
   writer.EndObject();
 }
 
-std::string Revision(uint64_t revision) {
+std::string RevisionBody(uint64_t revision) {
   wire::JsonWriter writer;
   writer.StartObject();
   writer.Field("rev").Uint64(revision);
@@ -53,27 +53,28 @@
     : scope_(scope),
       server_(scope, kFakeServerLimits,
               [this](wire::HttpRequest request) { return Handle(std::move(request)); }),
-      apart_(scope, kFakeServerLimits,
-             [this](wire::HttpRequest request) { return HandleApart(std::move(request)); }) {
+      secondary_server_(scope, kFakeServerLimits, [this](wire::HttpRequest request) {
+        return HandleSecondary(std::move(request));
+      }) {
   scope_.Spawn(ExpireLoop());
 }
 
 void FakeStateService::SetOutage(bool on) {
   outage_ = on;
   if (on) return;
-  // After an outage every lease has its full time again.
-  for (auto& [lease_id, lease] : leases_) lease.until = scope_.loop().Now() + lease.ttl_s;
+  // After an outage every lease has its full duration again.
+  for (auto& [lease_id, lease] : leases_) lease.expires_at = scope_.loop().Now() + lease.ttl_s;
 }
 
 async::Task<> FakeStateService::ExpireLoop() {
   while (!scope_.cancelled()) {
-    async::Sleep pause(scope_, kExpireTickS);
+    async::Sleep pause(scope_, kLeaseCheckIntervalS);
     co_await pause;
-    std::vector<uint64_t> over;
+    std::vector<uint64_t> expired;
     for (const auto& [lease_id, lease] : leases_) {
-      if (!outage_ && scope_.loop().Now() > lease.until) over.push_back(lease_id);
+      if (!outage_ && scope_.loop().Now() > lease.expires_at) expired.push_back(lease_id);
     }
-    for (uint64_t lease_id : over) EndLease(lease_id);
+    for (uint64_t lease_id : expired) EndLease(lease_id);
   }
 }
 
@@ -92,22 +93,22 @@
   return it == entries_.end() ? std::string() : it->second.value;
 }
 
-std::optional<wire::HttpResponse> FakeStateService::Refuse(const wire::JsonValue& writes) {
-  bool large = limits_.txn_ops > 0 && writes.Size() > limits_.txn_ops;
+std::optional<wire::HttpResponse> FakeStateService::CheckLimits(const wire::JsonValue& writes) {
+  bool too_large = limits_.txn_ops > 0 && writes.Size() > limits_.txn_ops;
   for (const auto& write : writes.GetArray()) {
     const bool put = wire::Find(write, "put") != nullptr;
-    large = large || (put && limits_.value_bytes > 0 &&
-                      wire::Dump(write["data"]).size() > limits_.value_bytes);
+    too_large = too_large || (put && limits_.value_bytes > 0 &&
+                              wire::Dump(write["data"]).size() > limits_.value_bytes);
   }
-  int status = large ? 400 : 0;
-  if (!large && limits_.write_rps > 0) {
-    // A burst of one second's worth.
+  int status = too_large ? 400 : 0;
+  if (!too_large && limits_.write_rps > 0) {
+    // A token bucket that allows bursts of one second's writes.
     const double now = scope_.loop().Now();
-    write_level_ =
-        std::min(limits_.write_rps, write_level_ + (now - write_at_) * limits_.write_rps);
-    write_at_ = now;
-    if (write_level_ < writes.Size()) status = 429;
-    if (status == 0) write_level_ -= writes.Size();
+    write_tokens_ =
+        std::min(limits_.write_rps, write_tokens_ + (now - write_tokens_at_) * limits_.write_rps);
+    write_tokens_at_ = now;
+    if (write_tokens_ < writes.Size()) status = 429;
+    if (status == 0) write_tokens_ -= writes.Size();
   }
   if (status == 0) return std::nullopt;
   ++refused_;
@@ -132,21 +133,21 @@
   wire::JsonWriter failed;
   failed.StartObject();
   failed.Field("failed").StartArray();
-  bool hold = true;
+  bool all_hold = true;
   for (const auto& precondition : (*request)["guards"].GetArray()) {
     const std::string key = *wire::GetText(precondition, "key");
     auto it = entries_.find(key);
     const uint64_t version = it == entries_.end() ? 0 : it->second.version;
     if (version == *wire::GetCount(precondition, "stamp")) continue;
-    hold = false;
+    all_hold = false;
     failed.Text(key);
   }
   failed.EndArray();
   failed.Field("rev").Uint64(revision_);
   failed.EndObject();
   const wire::JsonValue& writes = (*request)["then"];
-  if (auto refused = Refuse(writes)) return *refused;
-  if (!hold) return Answer(409, failed.Take());
+  if (auto refused = CheckLimits(writes)) return *refused;
+  if (!all_hold) return Answer(409, failed.Take());
   for (const auto& write : writes.GetArray()) {
     auto lease_id = wire::GetCount(write, "permit");
     if (lease_id && !leases_.contains(*lease_id)) {
@@ -154,7 +155,7 @@
     }
   }
   Apply(writes);
-  return Answer(200, Revision(revision_));
+  return Answer(200, RevisionBody(revision_));
 }
 
 void FakeStateService::Apply(const wire::JsonValue& writes) {
@@ -169,7 +170,7 @@
   changed_.Notify();
 }
 
-bool FakeStateService::Writes(const std::string& body, const std::string& prefix) {
+bool FakeStateService::WritesPrefix(const std::string& body, const std::string& prefix) {
   auto request = wire::ParseObject(body);
   if (!request) return false;
   const auto& writes = (*request)["then"];
@@ -179,29 +180,29 @@
 }
 
 async::Task<wire::HttpResponse> FakeStateService::AnswerTransaction(std::string body) {
-  if (delay_s_ > 0 && Writes(body, delay_prefix_)) {
+  if (delay_s_ > 0 && WritesPrefix(body, delay_prefix_)) {
     async::Sleep pause(scope_, delay_s_);
     co_await pause;
   }
-  if (lose_count_ == 0 || !Writes(body, lose_prefix_)) co_return Commit(body);
+  if (lose_count_ == 0 || !WritesPrefix(body, lose_prefix_)) co_return Commit(body);
   --lose_count_;
-  ++lost_so_far_;
-  if (lost_ == Execution::kImmediate) {
+  ++lost_answers_;
+  if (lost_answer_execution_ == Execution::kImmediate) {
     Commit(body);
   } else {
-    late_.push_back(std::move(body));
+    deferred_.push_back(std::move(body));
   }
-  async::Sleep never(scope_, kNeverS);
+  async::Sleep never(scope_, kBeyondClientTimeoutS);
   co_await never;
   co_return Answer(503, "{}");
 }
 
 int FakeStateService::ExecuteDeferred() {
-  int done = 0;
-  for (const std::string& body : std::exchange(late_, {})) {
-    if (Commit(body).status == 200) ++done;
+  int succeeded = 0;
+  for (const std::string& body : std::exchange(deferred_, {})) {
+    if (Commit(body).status == 200) ++succeeded;
   }
-  return done;
+  return succeeded;
 }
 
 wire::HttpResponse FakeStateService::List(const std::string& target) const {
@@ -235,27 +236,27 @@
 wire::HttpResponse FakeStateService::HandleLease(const wire::HttpRequest& request) {
   const std::string path(request.path());
   if (path == kLeases) return Grant(request.body);
-  const uint64_t lease_id = Number(path.substr(kLeasePrefix.size()));
+  const uint64_t lease_id = ParseNumber(path.substr(kLeasePrefix.size()));
   auto lease = leases_.find(lease_id);
   if (lease == leases_.end()) return Answer(404, "{}");
   if (request.method == "DELETE") {
     EndLease(lease_id);
   } else {
-    lease->second.until = scope_.loop().Now() + lease->second.ttl_s;
+    lease->second.expires_at = scope_.loop().Now() + lease->second.ttl_s;
   }
   return Answer(200, "{}");
 }
 
-FakeStateService::Changes FakeStateService::ChangesAfter(uint64_t from,
-                                                         const std::string& prefix) const {
-  bool any = false;
+FakeStateService::WatchAnswer FakeStateService::WatchAnswerAfter(uint64_t from,
+                                                                 const std::string& prefix) const {
+  bool has_events = false;
   wire::JsonWriter writer;
   writer.StartObject();
   writer.Field("rev").Uint64(revision_);
   writer.Field("news").StartArray();
   for (const auto& change : changes_) {
     if (outage_ || change.version <= from || !change.key.starts_with(prefix)) continue;
-    any = true;
+    has_events = true;
     writer.StartObject();
     writer.Field(change.value.empty() ? "drop" : "put").Text(change.key);
     if (!change.value.empty()) writer.Field("data").Raw(change.value);
@@ -264,33 +265,34 @@
   }
   writer.EndArray();
   writer.EndObject();
-  return {writer.Take(), any};
+  return {writer.Take(), has_events};
 }
 
 async::Task<wire::HttpResponse> FakeStateService::Follow(std::string target) {
   auto query = Query(target);
-  const uint64_t from = Number(query["from"]);
-  const double until =
-      scope_.loop().Now() + static_cast<double>(Number(query["blockMs"])) / kMsPerS;
+  const uint64_t from = ParseNumber(query["from"]);
+  const double deadline =
+      scope_.loop().Now() + static_cast<double>(ParseNumber(query["blockMs"])) / kMsPerS;
   while (true) {
-    Changes changes = ChangesAfter(from, query["starts"]);
-    const double left = until - scope_.loop().Now();
-    if (changes.any || left <= 0 || scope_.cancelled()) {
+    WatchAnswer changes = WatchAnswerAfter(from, query["starts"]);
+    const double remaining_s = deadline - scope_.loop().Now();
+    if (changes.has_events || remaining_s <= 0 || scope_.cancelled()) {
       if (watch_lag_s_ > 0) {
         async::Sleep lag(scope_, watch_lag_s_);
         co_await lag;
       }
       co_return Answer(200, std::move(changes.body));
     }
-    auto wait = changed_.Await(scope_, left);
+    auto wait = changed_.Await(scope_, remaining_s);
     co_await wait;
   }
 }
 
-async::Task<wire::HttpResponse> FakeStateService::HandleApart(wire::HttpRequest request) {
-  if (cut_) co_return Answer(503, "{}");
+async::Task<wire::HttpResponse> FakeStateService::HandleSecondary(wire::HttpRequest request) {
+  if (secondary_cut_) co_return Answer(503, "{}");
   wire::HttpResponse answer = co_await Handle(std::move(request));
-  if (cut_) co_return Answer(503, "{}");  // a watch that was open when the cut began
+  // A watch that was open when the address was cut off is refused as well.
+  if (secondary_cut_) co_return Answer(503, "{}");
   co_return answer;
 }
 
@@ -309,7 +311,7 @@
   if (path.starts_with(kLeases)) co_return HandleLease(request);
   if (path == "/store") co_return List(request.target);
   auto it = entries_.find(path.substr(std::min(path.size(), kStorePrefix.size())));
-  if (it == entries_.end()) co_return Answer(404, Revision(revision_));
+  if (it == entries_.end()) co_return Answer(404, RevisionBody(revision_));
   wire::JsonWriter writer;
   WriteEntry(writer, it->first, it->second.value, it->second.version);
   co_return Answer(200, writer.Take());
--- a/tests/fakes/fake_state_service.h
+++ b/tests/fakes/fake_state_service.h
@@ -1,9 +1,9 @@
-// A state service in memory, spoken to by its protocol on loopback: keys with versions,
-// transactions with preconditions, leases and watches, and the faults that tests ask for. It keeps
-// no limits and fails in no way unless it is told to; it is no simulation of the real service's
-// timing.
+// A fake in-memory state service that speaks the state service's HTTP protocol on loopback: keys
+// with versions, transactions with preconditions, leases, watches and injected faults. It enforces
+// no limits and has no failures unless a test configures them. It does not simulate the timing of
+// the real service.
 //
-// Runs in the scope that it is given, on that scope's loop; a test owns it.
+// Runs in the given scope, on that scope's event loop. Owned by a test.
 #pragma once
 
 #include <functional>
@@ -22,52 +22,52 @@
 class FakeStateService {
  public:
   explicit FakeStateService(async::Scope& scope);
-  // False, with a reason, if the address can't be listened on.
+  // Returns false and sets `error` if it cannot listen on the address.
   bool Listen(const std::string& address, std::string* error) {
     return server_.Listen(address, error);
   }
-  // A second address, for one controller alone, that Cut() closes and opens.
+  // Listens on a second address, for a single controller. While it is cut off with CutSecondary(),
+  // requests to this address are refused.
   bool ListenSecondary(const std::string& address, std::string* error) {
-    return apart_.Listen(address, error);
+    return secondary_server_.Listen(address, error);
   }
-  void Cut(bool on) { cut_ = on; }
-  // What it takes from now on; 0: anything.
+  void CutSecondary(bool on) { secondary_cut_ = on; }
+  // Limits on writes from now on; 0 means unlimited.
   struct Limits {
     size_t value_bytes = 0;
     size_t txn_ops = 0;
     double write_rps = 0;
   };
   void SetLimits(Limits limits) { limits_ = limits; }
-  int refused() const { return refused_; }  // for their size or rate
-  // The next `count` transactions that write a key with this prefix get no answer: they are carried
-  // out at once, or only when ExecuteDeferred() is called. An empty prefix: none.
-  enum class Lost { kAtOnce, kLate };
-  void LoseAnswers(std::string prefix, Lost lost, int count = 1) {
+  int refused() const { return refused_; }  // transactions refused for their size or rate
+  // Loses the answers to the next `count` transactions that write a key with this prefix. They are
+  // executed immediately, or only when ExecuteDeferred() is called.
+  enum class Execution { kImmediate, kDeferred };
+  void LoseAnswers(std::string prefix, Execution execution, int count = 1) {
     lose_prefix_ = std::move(prefix);
-    lost_ = lost;
+    lost_answer_execution_ = execution;
     lose_count_ = count;
   }
-  // How many answers were lost so far.
-  int lost() const { return lost_so_far_; }
-  // Carries out what kLate has kept back; how many of these transactions had an effect.
+  // Number of answers lost so far.
+  int lost_answers() const { return lost_answers_; }
+  // Executes the transactions deferred by kDeferred. Returns the number that succeeded.
   int ExecuteDeferred();
-  // Transactions that write a key with this prefix are carried out `delay_s` seconds after they
-  // came.
+  // Delays the execution of transactions that write a key with this prefix by `delay_s` seconds.
   void DelayTransactions(std::string prefix, double delay_s) {
     delay_prefix_ = std::move(prefix);
     delay_s_ = delay_s;
   }
-  // Watches answer this many seconds later.
+  // Delays the answers of watches by `lag_s` seconds.
   void SetWatchLag(double lag_s) { watch_lag_s_ = lag_s; }
-  // Called with every write that was carried out; an empty value: the key was dropped.
+  // Called after each executed write. `value` is empty if the key was dropped.
   using OnWrite = std::function<void(const std::string& key, const std::string& value)>;
   void Watch(OnWrite on_write) { on_write_ = std::move(on_write); }
-  // The value of a key; empty: there is none.
+  // Returns the value of a key. Empty if the key does not exist.
   std::string Value(const std::string& key) const;
-  // During an outage every request is refused, and no lease ends.
+  // During an outage every request is refused, and no lease expires.
   void SetOutage(bool on);
   uint64_t writes() const { return revision_; }
-  // Requests of any kind so far, refused ones included.
+  // Number of requests so far, including refused ones.
   int requests() const { return requests_; }
 
  private:
@@ -78,24 +78,24 @@
   };
   struct Lease {
     double ttl_s = 0;
-    double until = 0;  // steady time
+    double expires_at = 0;  // steady time
   };
   async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
-  async::Task<wire::HttpResponse> HandleApart(wire::HttpRequest request);
+  async::Task<wire::HttpResponse> HandleSecondary(wire::HttpRequest request);
   async::Task<wire::HttpResponse> Follow(std::string target);
-  // The watch's answer for changes after `from`; `any`: it names some.
-  struct Changes {
+  // Answer of a watch with the changes after a revision. `has_events` is false if there are none.
+  struct WatchAnswer {
     std::string body;
-    bool any = false;
+    bool has_events = false;
   };
-  Changes ChangesAfter(uint64_t from, const std::string& prefix) const;
+  WatchAnswer WatchAnswerAfter(uint64_t from, const std::string& prefix) const;
   wire::HttpResponse Commit(const std::string& body);
   void Apply(const wire::JsonValue& writes);
   async::Task<wire::HttpResponse> AnswerTransaction(std::string body);
-  // Whether a transaction writes a key with this prefix.
-  static bool Writes(const std::string& body, const std::string& prefix);
-  // The refusal; nothing if the limits allow the writes.
-  std::optional<wire::HttpResponse> Refuse(const wire::JsonValue& writes);
+  // Returns true if the transaction writes a key with this prefix.
+  static bool WritesPrefix(const std::string& body, const std::string& prefix);
+  // Returns the error answer if the writes exceed a limit; std::nullopt otherwise.
+  std::optional<wire::HttpResponse> CheckLimits(const wire::JsonValue& writes);
   wire::HttpResponse List(const std::string& target) const;
   wire::HttpResponse HandleLease(const wire::HttpRequest& request);
   wire::HttpResponse Grant(const std::string& body);
@@ -105,8 +105,8 @@
 
   async::Scope& scope_;
   net::HttpServer server_;
-  net::HttpServer apart_;
-  bool cut_ = false;
+  net::HttpServer secondary_server_;
+  bool secondary_cut_ = false;
   std::map<std::string, Entry> entries_;
   std::map<uint64_t, Lease> leases_;
   std::vector<model::WatchEvent> changes_;
@@ -117,15 +117,15 @@
   Limits limits_;
   int refused_ = 0;
   std::string lose_prefix_;
-  Lost lost_ = Execution::kImmediate;
+  Execution lost_answer_execution_ = Execution::kImmediate;
   int lose_count_ = 0;
-  int lost_so_far_ = 0;
-  std::vector<std::string> late_;
+  int lost_answers_ = 0;
+  std::vector<std::string> deferred_;
   std::string delay_prefix_;
   double delay_s_ = 0;
   double watch_lag_s_ = 0;
-  double write_level_ = 0;
-  double write_at_ = 0;
+  double write_tokens_ = 0;
+  double write_tokens_at_ = 0;
   OnWrite on_write_;
   async::Event changed_;
 };
--- a/tests/fakes/fake_worker.cc
+++ b/tests/fakes/fake_worker.cc
@@ -7,11 +7,12 @@
 namespace hallpier::testing_support {
 namespace {
 
-constexpr size_t kMaxAnswer = size_t{256} * 1024;
-// Within a heartbeat interval.
-constexpr double kTicks = 20;
-constexpr double kRetries = 3;
-constexpr double kMostTimeoutS = 4;
+constexpr size_t kMaxResponseBytes = size_t{256} * 1024;
+// Checks of the lease and of finished tasks, and retries of a failed heartbeat, within a heartbeat
+// interval.
+constexpr double kTicksPerHeartbeat = 20;
+constexpr double kRetriesPerHeartbeat = 3;
+constexpr double kMaxTimeoutS = 4;
 
 }  // namespace
 
@@ -20,20 +21,20 @@
     : options_(std::move(options)),
       listed_(std::move(listed)),
       on_start_(std::move(on_start)),
-      life_(scope.loop(), &scope),
-      server_(life_, kFakeServerLimits,
+      scope_(scope.loop(), &scope),
+      server_(scope_, kFakeServerLimits,
               [this](wire::HttpRequest request) { return Handle(std::move(request)); }),
-      client_(1, kMaxAnswer) {}
+      client_(1, kMaxResponseBytes) {}
 
 bool FakeWorker::Start() {
   std::string error;
   if (!server_.Listen(listed_.endpoint, &error)) return false;
-  life_.Spawn(HeartbeatLoop());
+  scope_.Spawn(HeartbeatLoop());
   return true;
 }
 
 void FakeWorker::End() {
-  life_.Cancel();
+  scope_.Cancel();
   tasks_.clear();
 }
 
@@ -72,7 +73,7 @@
   on_start_(*this, task);
   RunningTask running;
   running.attempt = attempt;
-  running.ends = life_.loop().Now() + options_.run_s;
+  running.ends_at = scope_.loop().Now() + options_.run_s;
   tasks_[task] = running;
 }
 
@@ -94,11 +95,11 @@
   }
 }
 
-bool FakeWorker::EndDueTasks() {
+bool FakeWorker::FinishDueTasks() {
   bool changed = false;
   for (auto& [task, running] : tasks_) {
-    const bool runs = running.phase == model::TaskPhase::kRunning;
-    if (!runs || life_.loop().Now() < running.ends) continue;
+    const bool is_running = running.phase == model::TaskPhase::kRunning;
+    if (!is_running || scope_.loop().Now() < running.ends_at) continue;
     running.phase = model::TaskPhase::kExited;
     running.cause = "done";
     changed = true;
@@ -107,21 +108,21 @@
 }
 
 void FakeWorker::ExpireLease(double now) {
-  if (now - renewed_ <= options_.lease_s) return;
+  if (now - lease_renewed_at_ <= options_.lease_s) return;
   tasks_.clear();
   ++agent_epoch_;
-  renewed_ = now;
+  lease_renewed_at_ = now;
 }
 
 async::Task<> FakeWorker::HeartbeatLoop() {
-  renewed_ = life_.loop().Now();
-  while (!life_.cancelled()) {
-    async::Sleep pause(life_, options_.heartbeat_interval_s / kTicks);
+  lease_renewed_at_ = scope_.loop().Now();
+  while (!scope_.cancelled()) {
+    async::Sleep pause(scope_, options_.heartbeat_interval_s / kTicksPerHeartbeat);
     co_await pause;
-    const double now = life_.loop().Now();
+    const double now = scope_.loop().Now();
     ExpireLease(now);
-    if (!EndDueTasks() && now < next_heartbeat_) continue;
-    next_heartbeat_ = now + options_.heartbeat_interval_s;
+    if (!FinishDueTasks() && now < next_heartbeat_at_) continue;
+    next_heartbeat_at_ = now + options_.heartbeat_interval_s;
     co_await SendHeartbeat(now);
   }
 }
@@ -130,21 +131,21 @@
   const uint64_t agent_epoch = agent_epoch_;
   wire::HttpRequest request{.method = "POST", .target = "/checkin", .body = WriteHeartbeat()};
   auto response =
-      co_await client_.Call(life_, options_.controllers[controller_], std::move(request),
-                            std::min(kMostTimeoutS, options_.heartbeat_interval_s), false);
-  if (life_.cancelled()) co_return;
+      co_await client_.Call(scope_, options_.controllers[controller_], std::move(request),
+                            std::min(kMaxTimeoutS, options_.heartbeat_interval_s), false);
+  if (scope_.cancelled()) co_return;
   auto answer = response ? wire::ParseObject(response->body) : std::nullopt;
   if (response && response->status == 200 && answer) {
     const uint64_t token = wire::GetCount(*answer, "epoch").value_or(0);
     if (token < token_ || agent_epoch != agent_epoch_) co_return;
     token_ = token;
-    renewed_ = now;
+    lease_renewed_at_ = now;
     Execute((*answer)["orders"]);
     co_return;
   }
   auto leader = answer ? wire::GetText(*answer, "foreman") : std::nullopt;
   controller_ = NextController(leader.value_or(""));
-  next_heartbeat_ = now + options_.heartbeat_interval_s / kRetries;
+  next_heartbeat_at_ = now + options_.heartbeat_interval_s / kRetriesPerHeartbeat;
 }
 
 size_t FakeWorker::NextController(const std::string& leader) const {
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -1,7 +1,8 @@
-// A machine's agent on loopback: sends heartbeats to the controllers, carries out commands, and
-// runs each task for a set time. Loses its tasks and begins a new agent epoch when its lease ends.
+// A fake agent of a machine, on loopback. It sends heartbeats to the controllers, executes commands
+// and runs each task for a fixed time. When its lease expires, it loses its tasks and begins a new
+// agent epoch.
 //
-// Owned by FakeCloud; runs in a scope of its own below the cloud's, until End().
+// Owned by FakeCloud. Runs in a separate scope, a child of the cloud's scope, until End().
 #pragma once
 
 #include <algorithm>
@@ -23,26 +24,26 @@
 class FakeWorker {
  public:
   struct Options {
-    std::vector<std::string> controllers;  // addresses that heartbeats go to
-    std::vector<std::string> nodes;        // the controllers' names, in the same order
+    std::vector<std::string> controllers;  // addresses of the controllers that receive heartbeats
+    std::vector<std::string> nodes;        // names of the controllers, in the same order
     double heartbeat_interval_s = 3;
     double lease_s = 45;
-    double run_s = 1;  // of every task
+    double run_s = 1;  // duration of every task
   };
   // Called before a task starts here.
   using OnStart = std::function<void(const FakeWorker& worker, const model::TaskId& task)>;
 
   FakeWorker(async::Scope& scope, Options options, model::CloudMachine listed, OnStart on_start);
 
-  // False if the machine's endpoint can't be listened on.
+  // Returns false if it cannot listen on the machine's endpoint.
   bool Start();
-  // The machine is gone, with all that it runs. Its routines unwind later; until then the object
-  // must stay.
+  // Terminates the machine and its tasks. The coroutines unwind later; the object must live until
+  // then.
   void End();
   // The machine as the cloud lists it.
   const model::CloudMachine& listed() const { return listed_; }
   bool Runs(const model::TaskId& task) const;
-  // Running tasks of the jobs for which `matches` is true.
+  // Returns the number of running tasks of the jobs for which `matches` returns true.
   template <class Matches>
   int CountRunning(Matches matches) const {
     return static_cast<int>(std::count_if(tasks_.begin(), tasks_.end(), [&](const auto& entry) {
@@ -54,34 +55,34 @@
   struct RunningTask {
     uint64_t attempt = 0;
     model::TaskPhase phase = model::TaskPhase::kRunning;
-    std::string cause;  // of its exit
-    double ends = 0;    // steady time
+    std::string cause;   // cause of its exit
+    double ends_at = 0;  // steady time
   };
 
   std::string WriteHeartbeat();
   void Execute(const wire::JsonValue& commands);
   void StartTask(const model::TaskId& task, uint64_t attempt);
-  // Ends the tasks whose time is over; true if there were any.
-  bool EndDueTasks();
+  // Finishes the tasks whose run time has elapsed. Returns true if there were any.
+  bool FinishDueTasks();
   void ExpireLease(double now);
   async::Task<> HeartbeatLoop();
   async::Task<> SendHeartbeat(double now);
-  // The controller to turn to after one that did not take the heartbeat.
+  // Returns the index of the controller to try after one that did not accept the heartbeat.
   size_t NextController(const std::string& leader) const;
   async::Task<wire::HttpResponse> Handle(wire::HttpRequest request);
 
   const Options options_;
   const model::CloudMachine listed_;
   const OnStart on_start_;
-  async::Scope life_;
+  async::Scope scope_;
   net::HttpServer server_;
   net::HttpClient client_;
   uint64_t agent_epoch_ = 1;
   uint64_t sequence_ = 0;
   uint64_t token_ = 0;
-  size_t controller_ = 0;  // that the next heartbeat goes to
-  double renewed_ = 0;     // steady time of the heartbeat whose answer renewed the lease last
-  double next_heartbeat_ = 0;
+  size_t controller_ = 0;        // index of the controller that receives the next heartbeat
+  double lease_renewed_at_ = 0;  // steady time at which the last answered heartbeat was sent
+  double next_heartbeat_at_ = 0;
   std::map<model::TaskId, RunningTask> tasks_;
 };
 
--- a/tests/fakes/http_support.h
+++ b/tests/fakes/http_support.h
@@ -1,4 +1,4 @@
-// What the fakes' HTTP servers share.
+// Helpers shared by the HTTP servers of the fakes.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace hallpier::testing_support {
 
-// Wide enough that no test meets them.
+// High enough that no test reaches them.
 inline const net::HttpServer::Limits kFakeServerLimits = {1000, size_t{256} * 1024, 600, 10, 600};
 
 inline wire::HttpResponse Answer(int status, std::string body) {
--- a/tests/fakes/main.cc
+++ b/tests/fakes/main.cc
@@ -1,15 +1,15 @@
-// A fake state service and a fake cloud with its workers on loopback, for a first try by hand: see
-// the README.
+// Runs a fake state service and a fake cloud with workers on loopback, to try out hallpier by hand.
+// See the README.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
 #include "fakes/fake_cloud.h"
 #include "fakes/fake_state_service.h"
 
-// An exception that reaches main ends the process, as it should.
+// An exception that reaches main terminates the process, which is intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-  CLI::App cli("fakes of the state service and the cloud, on loopback");
+  CLI::App cli("fake state service and fake cloud with workers, on loopback");
   int state_port = 23790;
   int cloud_port = 23791;
   hallpier::testing_support::FakeCloud::Options options;
@@ -20,9 +20,10 @@
   cli.add_option("--state-port", state_port);
   cli.add_option("--cloud-port", cloud_port);
   cli.add_option("--first-worker-port", options.first_port);
-  cli.add_option("--controllers", options.worker.controllers, "addresses that workers report to");
-  cli.add_option("--nodes", options.worker.nodes, "their names, in the same order");
-  cli.add_option("--run-s", options.worker.run_s, "how long every task runs");
+  cli.add_option("--controllers", options.worker.controllers,
+                 "controller addresses that receive the workers' heartbeats");
+  cli.add_option("--nodes", options.worker.nodes, "names of the controllers, in the same order");
+  cli.add_option("--run-s", options.worker.run_s, "duration of every task in seconds");
   CLI11_PARSE(cli, argc, argv);
   using namespace hallpier;
   async::EventLoop loop;
@@ -32,7 +33,7 @@
   std::string error;
   if (!state.Listen("127.0.0.1:" + std::to_string(state_port), &error) ||
       !cloud.Listen("127.0.0.1:" + std::to_string(cloud_port), &error)) {
-    std::fprintf(stderr, "can't listen: %s\n", error.c_str());
+    std::fprintf(stderr, "cannot listen: %s\n", error.c_str());
     return 1;
   }
   loop.Run();
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -11,11 +11,11 @@
 constexpr double kHeartbeatIntervalS = 2;
 constexpr double kLeaseS = 12;
 constexpr double kStepS = 0.05;
-// What was under way when a limit was lowered has started by then.
-constexpr double kSettleS = 3;
-// Sums of processors are compared with this tolerance.
+// Tasks already placed when a limit is lowered start within this time.
+constexpr double kLimitSettleS = 3;
+// Tolerance for comparisons of sums of processors.
 constexpr double kTolerance = 1e-6;
-constexpr int kFirstMachine = 100000;
+constexpr int kFirstMachineNumber = 100000;
 
 config::Settings MakeSettings(double limit) {
   config::Settings settings = SettingsOf();
@@ -41,9 +41,9 @@
     StartProcess(names_.back());
   }
   for (int i = 0; i < options_.machines; ++i) {
-    workers_.Add("vm-" + std::to_string(kFirstMachine + i));
+    workers_.Add("vm-" + std::to_string(kFirstMachineNumber + i));
   }
-  WatchIdle();
+  SampleIdleCpus();
 }
 
 SimulatedWorkers::Options BlocksCluster::WorkerOptions() const {
@@ -59,7 +59,7 @@
   hooks.send = [this](const model::Heartbeat& heartbeat) { DeliverHeartbeat(heartbeat); };
   hooks.cpus_of = [this](const model::TaskId& task) { return CpusOf(task); };
   hooks.on_start = [this](const std::string& machine, const model::WorkerCommand& command) {
-    NoteStart(machine, command);
+    RecordStart(machine, command);
   };
   return hooks;
 }
@@ -95,7 +95,7 @@
 void BlocksCluster::Freeze(const std::string& name) {
   Node& node = NodeOf(name);
   node.process->Freeze();
-  node.away_since = now();
+  node.unavailable_since = now();
 }
 
 void BlocksCluster::Resume(const std::string& name) {
@@ -106,7 +106,7 @@
 void BlocksCluster::Kill(const std::string& name) {
   Node& node = NodeOf(name);
   node.process->End();
-  node.away_since = now();
+  node.unavailable_since = now();
 }
 
 void BlocksCluster::Restart(const std::string& name) {
@@ -133,7 +133,7 @@
       .value_or(blocks::DivisionRecord());
 }
 
-bool BlocksCluster::Holds(const std::string& name) const {
+bool BlocksCluster::HoldsBlock(const std::string& name) const {
   return blocks::Division(Division()).IndexOf(name).has_value();
 }
 
@@ -147,7 +147,7 @@
   return std::exchange(longest_stall_, 0);
 }
 
-int BlocksCluster::Unfinished() const {
+int BlocksCluster::UnfinishedJobs() const {
   return static_cast<int>(std::count_if(submitted_.begin(), submitted_.end(), [&](const auto& job) {
     return !store_.Contains(store::FinalKey(job));
   }));
@@ -178,13 +178,14 @@
   node->context.operators = &operators_;
   node->context.machine_types = {MachineTypeOf("c4", kMachineCpus)};
   nodes_[name] = std::move(node);
-  Tick(name, process.number());
+  Tick(name, process.generation());
 }
 
-void BlocksCluster::InProcessAfter(double delay_s, const std::string& name, uint64_t process,
+void BlocksCluster::InProcessAfter(double delay_s, const std::string& name, uint64_t generation,
                                    std::function<void()> run) {
-  At(delay_s,
-     [this, name, process, run = std::move(run)] { processes_.at(name).InTurn(process, run); });
+  At(delay_s, [this, name, generation, run = std::move(run)] {
+    processes_.at(name).RunOrDefer(generation, run);
+  });
 }
 
 double BlocksCluster::CpusOf(const model::TaskId& task) const {
@@ -192,41 +193,41 @@
   return record && record->spec.team == "team" ? record->spec.cpus : 0;
 }
 
-void BlocksCluster::NoteStart(const std::string& machine, const model::WorkerCommand& command) {
-  if (cancelled_.contains(command.task.job)) ++started_after_cancel_;
+void BlocksCluster::RecordStart(const std::string& machine, const model::WorkerCommand& command) {
+  if (cancelled_.contains(command.task.job)) ++starts_after_cancel_;
   auto record = store::ReadJob(store_.Value(store::JobKey(command.task.job)));
   ++starts_;
   if (on_start_) on_start_(machine);
   if (record && command.attempt == 1) waits_.push_back(now() - record->submitted_at);
-  const double used = Used();
+  const double used = UsedCpus();
   const double limit = settings_.teams[0].cpus_max;
   if (used > peak_.used) peak_ = {used, limit};
-  // What ran when a limit was lowered may go on; nothing may be added to it.
-  const bool settled = now() - limit_changed_at_ > kSettleS;
-  if (limit > 0 && used > limit + kTolerance && settled) ++overshoots_;
+  // Tasks that ran when the limit was lowered may continue, but no task may start beyond the limit.
+  const bool settled = now() - limit_changed_at_ > kLimitSettleS;
+  if (limit > 0 && used > limit + kTolerance && settled) ++starts_over_limit_;
 }
 
 double BlocksCluster::IdleCpus(double used) {
-  const double left = settings_.teams[0].cpus_max - used;
-  const double free = workers_.MostFreeCpus(kMachineCpus);
-  double most = 0;
+  const double remaining = settings_.teams[0].cpus_max - used;
+  const double free = workers_.MaxFreeCpus(kMachineCpus);
+  double max_cpus = 0;
   for (const auto& [id, job] : NodeOf(leader_).job_table.all()) {
-    const bool fits = job.spec.cpus <= std::min(left, free) + kTolerance;
-    if (!job.cancelled && job.waiting() > 0 && fits) most = std::max(most, job.spec.cpus);
+    const bool fits = job.spec.cpus <= std::min(remaining, free) + kTolerance;
+    if (!job.cancelled && job.waiting() > 0 && fits) max_cpus = std::max(max_cpus, job.spec.cpus);
   }
-  return most;
+  return max_cpus;
 }
 
-void BlocksCluster::WatchIdle() {
-  At(kTickS, [this] { WatchIdle(); });
+void BlocksCluster::SampleIdleCpus() {
+  At(kTickIntervalS, [this] { SampleIdleCpus(); });
   if (leader_.empty() || !NodeOf(leader_).process->running()) return;
-  idle_cpu_s_ += IdleCpus(Used()) * kTickS;
+  idle_cpu_s_ += IdleCpus(UsedCpus()) * kTickIntervalS;
   double placed = 0;
   for (const auto& [id, job] : NodeOf(leader_).job_table.all()) {
     placed += job.placed() * job.spec.cpus;
   }
-  const bool stalled = IdleCpus(placed) > 0 && starts_ == starts_seen_;
-  starts_seen_ = starts_;
+  const bool stalled = IdleCpus(placed) > 0 && starts_ == starts_at_last_sample_;
+  starts_at_last_sample_ = starts_;
   if (!stalled) stalled_since_ = now();
   longest_stall_ = std::max(longest_stall_, now() - stalled_since_);
 }
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -1,10 +1,10 @@
-// Several controllers with blocks in fake time: copies of the records that lag, leaders and holders
-// that freeze, end and are cut off, transactions whose answers are lost or that are carried out
-// late, and workers that run what they are told. All from one seed. Serves the tests and
-// tools/blocks_report.
+// Simulates several controllers that share the machines in blocks, in fake time. Their copies of
+// the records lag behind the state service. Leaders and block holders freeze, terminate and are
+// partitioned; transactions lose their answers or are executed late; workers run the commands that
+// they receive. One seed determines the whole run. The tests and tools/blocks_report use it.
 //
-// blocks_cluster.cc: users, faults, what is observed. blocks_cluster_rounds.cc: what a node does in
-// its rounds. blocks_cluster_transactions.cc: a node's copy of the records and its writes.
+// blocks_cluster.cc: users, faults and measurements. blocks_cluster_rounds.cc: the rounds of a
+// node. blocks_cluster_transactions.cc: a node's copy of the records and its transactions.
 #pragma once
 
 #include <cstdint>
@@ -42,23 +42,24 @@
   struct Options {
     int nodes = 3;
     uint64_t seed = 1;
-    int machines = 9;   // of four processors each
-    double limit = 12;  // of "team"
+    int machines = 9;   // with four processors each
+    double limit = 12;  // processors of "team"
     double run_s = 4;
-    double delay_s = 0.005;     // of a request to the state service, one way; up to twice as much
-    double watch_lag_s = 0.05;  // of the copies
-    double lost = 0;            // part of transactions whose answer is lost
-    double late = 0;         // part of transactions that get no answer and are carried out late...
-    double min_late_s = 1;   // ...by so much at least
-    double late_s = 8;       // and at the most
-    double max_holders = 9;  // 2 at least; blocks off: 0
-    // Preconditions that are left out, for trials: "token", "division", "share", "job"; "copy": a
-    // node takes its copy of the records for complete.
-    std::set<std::string> without = {};
+    double delay_s = 0.005;       // minimum one-way delay to the state service; up to twice as long
+    double watch_lag_s = 0.05;    // lag of a node's copy of the records
+    double lost_answer_rate = 0;  // probability that the answer to a transaction is lost
+    double late_rate = 0;    // probability that a transaction is executed late, without an answer
+    double min_late_s = 1;   // minimum delay of a late transaction
+    double max_late_s = 8;   // maximum delay of a late transaction
+    double max_holders = 9;  // at least 2; 0 disables blocks
+    // Safety checks to disable in experiments. "token", "division", "share" and "job" omit the
+    // precondition on that record. With "copy" a node assumes that its copy of the records is
+    // complete.
+    std::set<std::string> disabled_checks = {};
   };
   struct Peak {
-    double used = 0;   // processors of "team" at a time
-    double limit = 0;  // at that time
+    double used = 0;   // highest number of processors used by "team"
+    double limit = 0;  // limit of "team" at that time
   };
 
   explicit BlocksCluster(Options options);
@@ -66,18 +67,18 @@
   double now() const { return events_.now(); }
   const std::vector<std::string>& names() const { return names_; }
   void RunFor(double duration_s) { events_.RunFor(duration_s); }
-  // False if the condition is not true within `limit_s` seconds.
+  // Returns false if the condition does not become true within `limit_s` seconds.
   bool RunUntil(const std::function<bool()>& condition, double limit_s);
   void At(double delay_s, std::function<void()> run) { events_.At(delay_s, std::move(run)); }
-  double Uniform(double least, double most) { return random_.Uniform(least, most); }
+  double Uniform(double min, double max) { return random_.Uniform(min, max); }
 
-  // Users.
+  // User requests.
   void Submit(const model::JobSpec& spec);
-  // Confirmed to the user from here on.
+  // Cancels the job. The user has the confirmation when this returns.
   void Cancel(const std::string& job);
   void SetLimit(double limit);
 
-  // Faults.
+  // Fault injection.
   void Freeze(const std::string& name);
   void Resume(const std::string& name);
   void Kill(const std::string& name);
@@ -85,80 +86,83 @@
   void CutFromState(const std::string& name, bool cut) { NodeOf(name).state_cut = cut; }
   void CutFromPeers(const std::string& name, bool cut) { NodeOf(name).peer_cut = cut; }
   void SetOutage(bool outage) { outage_ = outage; }
-  // A machine goes on with its tasks, and nobody hears it.
+  // Partitions a machine from the controllers. Its tasks continue to run.
   void CutMachine(const std::string& machine, bool cut) { workers_.Cut(machine, cut); }
-  // False: whoever takes the lead from now on is of a version that knows no blocks, and places on
-  // all machines.
-  void SetNewLeadersUseBlocks(bool divide) { leaders_divide_ = divide; }
-  // What becomes of a transaction.
+  // If false, every leader elected from now on runs a version without blocks, which places on all
+  // machines.
+  void SetNewLeadersUseBlocks(bool use_blocks) { new_leaders_use_blocks_ = use_blocks; }
+  // Fault in the delivery of a transaction to the state service or of its answer.
   enum class DeliveryFault { kNone, kAnswerLost, kLate, kNotSent };
-  // Applies to a node's next transaction with placements; `on_sent` is called when it is sent.
+  // Injects a fault into the node's next transaction with placements. `on_sent` is called when the
+  // node sends the transaction.
   void SetNextPlacementFault(const std::string& name, DeliveryFault fault,
                              std::function<void()> on_sent = nullptr);
-  // Called after each write of a record of blocks or shares.
+  // Sets a hook that is called after each write of a division or share record.
   void OnBlockRecordWrite(std::function<void(const std::string& key)> hook) {
-    on_record_ = std::move(hook);
+    on_block_record_write_ = std::move(hook);
   }
 
-  // How things are.
+  // State and measurements. Leader() is empty if no leader was elected yet.
   std::string Leader() const { return leader_; }
-  // Empty: there is none.
+  // Returns a block holder other than `name`. Empty if there is none.
   std::string HolderOtherThan(const std::string& name) const;
   blocks::DivisionRecord Division() const;
-  bool Holds(const std::string& name) const;
-  // Processors in a node's share of the limit of "team".
+  bool HoldsBlock(const std::string& name) const;
+  // Returns the processors in the node's share of the limit of "team".
   double ShareCpus(const std::string& name) const;
   double widen_s() const { return WidenS(); }
   const Peak& peak() const { return peak_; }
-  int starts_over_limit() const { return overshoots_; }
+  int starts_over_limit() const { return starts_over_limit_; }
   int duplicate_starts() const { return workers_.duplicate_starts(); }
-  int starts_after_cancel() const { return started_after_cancel_; }
+  int starts_after_cancel() const { return starts_after_cancel_; }
   int starts() const { return starts_; }
   uint64_t writes() const { return store_.writes(); }
   int conflicts() const { return conflicts_; }
-  const std::vector<double>& waits() const { return waits_; }  // submission to start, by task
-  // Longest time in a row, since it was asked last, for which nothing was started although a task
-  // waited for which the limit, less all that is recorded as placed, and a machine had room.
+  // Seconds from submission to the first start, one entry for each task.
+  const std::vector<double>& waits() const { return waits_; }
+  // Returns the longest stall since the last call, in seconds. A stall is a period in which no task
+  // started although one waited that fitted on a machine and within the limit minus all tasks
+  // recorded as placed.
   double TakeLongestStall();
-  // Processor seconds that such a task could have had beside what ran.
+  // Processor seconds left unused while a waiting task would have fitted beside the running tasks.
   double idle_cpu_s() const { return idle_cpu_s_; }
-  // Placements recorded by a node since it was asked last.
+  // Returns the number of placements that the node has recorded since the last call.
   int TakePlacements(const std::string& name) { return std::exchange(NodeOf(name).placements, 0); }
-  double Used() { return workers_.UsedCpus(); }
-  int Unfinished() const;
-  bool AllFinished() const { return Unfinished() == 0; }
-  // Those of its block; all where there are no blocks.
+  double UsedCpus() { return workers_.UsedCpus(); }
+  int UnfinishedJobs() const;
+  bool AllFinished() const { return UnfinishedJobs() == 0; }
+  // Returns the machines of the holder's block, or all machines if there are no blocks.
   std::set<std::string> MachinesOf(const std::string& holder) const;
-  // Called with the machine of each task that starts.
+  // Sets a hook that is called with the machine of each task that starts.
   void OnStart(std::function<void(const std::string& machine)> hook) {
     on_start_ = std::move(hook);
   }
 
  private:
-  // What ends with a node's process, and its links.
+  // State of one process of a node, and the node's connections.
   struct Node {
     std::string name;
     SimulatedProcess* process = nullptr;
     bool state_cut = false;
     bool peer_cut = false;
-    double away_since = 0;
+    double unavailable_since = 0;
     uint64_t session = 0;
-    // The copy of the records.
+    // Copy of the records.
     jobs::JobTable job_table{store::TasksPerTextGroup(8)};
     blocks::BlockRecords records;
-    std::map<std::string, uint64_t> versions;  // of the keys that are there
-    std::map<std::string, uint64_t> seen;      // newest version of each key, drops included
+    std::map<std::string, uint64_t> versions;         // by key; 0 if deleted
+    std::map<std::string, uint64_t> newest_versions;  // by key, deletions included
     uint64_t revision = 0;
-    size_t followed = 0;  // changes of the store
+    size_t applied_changes = 0;  // number of changes of the store applied so far
     // Rounds.
     std::unique_ptr<blocks::MachineMirror> mirror;
     plan::PlanningContext context;
-    bool busy = false;  // a transaction is under way
+    bool busy = false;  // a transaction is in flight
     std::deque<jobs::Transaction> queue;
     std::deque<jobs::Transaction> unanswered;
-    // The lead.
-    bool leads = false;
-    bool divides = false;  // it knows blocks
+    // Leadership.
+    bool is_leader = false;
+    bool uses_blocks = false;  // false for a version without blocks
     model::FencingToken token;
     std::unique_ptr<fleet::WorkerRegistry> registry;
     std::unique_ptr<blocks::Lending> lending;
@@ -169,77 +173,81 @@
   };
 
   Node& NodeOf(const std::string& name) { return *nodes_.at(name); }
-  bool Without(const std::string& precondition) const {
-    return options_.without.contains(precondition);
+  bool IsDisabled(const std::string& check) const {
+    return options_.disabled_checks.contains(check);
   }
   fleet::WorkerRegistry::Options RegistryOptions() const;
   SimulatedWorkers::Options WorkerOptions() const;
   SimulatedWorkers::Hooks WorkerHooks();
   void StartProcess(const std::string& name);
-  bool Reaches(const Node& node) const {
+  bool ReachesState(const Node& node) const {
     return node.process->running() && !outage_ && !node.state_cut;
   }
-  // Runs `run` after the delay, when the given process of the node gets its turn.
-  void InProcessAfter(double delay_s, const std::string& name, uint64_t process,
+  // Runs `run` after the delay in the process of the node with this generation. Deferred while the
+  // process is frozen; dropped if it has ended.
+  void InProcessAfter(double delay_s, const std::string& name, uint64_t generation,
                       std::function<void()> run);
 
-  // The state service, and a node's copy.
+  // State service, and a node's copy of the records.
   std::vector<std::string> Execute(const std::vector<model::Precondition>& preconditions,
                                    const std::vector<model::KeyWrite>& writes);
-  // A node's copy takes in what is newer than what it knows.
-  void Put(Node& node, const std::string& key, const std::string& value, uint64_t version);
-  void Follow(Node& node);
+  // Updates the node's copy if `version` is newer than the version it knows.
+  void ApplyRecord(Node& node, const std::string& key, const std::string& value, uint64_t version);
+  void ApplyChanges(Node& node);
   static uint64_t VersionIn(const Node& node, const std::string& key);
   blocks::CopyState Copy(const Node& node) const;
 
-  // A node's rounds.
-  void Tick(const std::string& name, uint64_t process);
-  // The lead goes to whoever reaches the state service once the leader has not for a while.
+  // Rounds of a node.
+  void Tick(const std::string& name, uint64_t generation);
+  // Makes `node` the leader if it reaches the state service and has applied all changes, and if
+  // there is no leader or the leader has not reached the state service for kLeaderTtlS.
   void ElectIfNeeded(Node& node);
   void BeginTerm(Node& node);
-  // Membership: who is away for longer than a verdict takes is not alive, and joins anew after.
+  // Membership: a node that is unavailable for longer than a verdict takes counts as failed and
+  // rejoins with a new session.
   void ReportMember(Node& leader, const std::string& name);
   void Rejoin(Node& node);
   double WidenS() const { return operators_.blocks.widen_ratio * settings_.heartbeat_interval_s; }
   void Round(Node& node);
   void HolderRound(Node& node);
   void LeaderRound(Node& node);
-  // The leader's own placements where it knows blocks, and the preconditions of its transaction.
+  // Placements that a leader with blocks makes itself, and the preconditions of its transaction.
   struct OwnPlacements {
     std::vector<jobs::TaskTransition> places;
     std::vector<model::Precondition> preconditions;
   };
   OwnPlacements PlanOwnPlacements(Node& node, bool divided);
-  // True if a write on records of blocks is under way.
+  // Returns true if a transaction on division or share records is in flight.
   bool ReviewBlocks(Node& node, const plan::RoundResult& plan,
                     const std::optional<plan::PlacementScope>& scope);
   void SendViews(Node& leader);
-  void TakeView(const std::string& holder, const wire::BlockView& view,
-                const std::string& leader_name, uint64_t leading, double asked);
+  void ApplyView(const std::string& holder, const wire::BlockView& view,
+                 const std::string& leader_name, uint64_t leader_generation, double sent);
 
-  // A node's transactions, one after the other.
+  // Transactions of a node, sent one at a time.
   void Send(Node& node, const std::vector<jobs::TaskTransition>& transitions,
             std::vector<model::Precondition> preconditions, bool placements_only);
-  // Without those that the options leave out.
-  std::vector<model::Precondition> Kept(
+  // Returns the preconditions without those that Options::disabled_checks omits.
+  std::vector<model::Precondition> EnabledPreconditions(
       const std::vector<model::Precondition>& preconditions) const;
   void SendNext(Node& node);
-  DeliveryFault FaultOf(Node& node, bool places);
-  void NoAnswer(const std::string& name, const jobs::Transaction& transaction);
-  void Answered(const std::string& name, const jobs::Transaction& transaction, uint64_t revision,
-                const std::vector<std::string>& failed);
+  DeliveryFault ChooseFault(Node& node, bool places);
+  void OnTransactionTimeout(const std::string& name, const jobs::Transaction& transaction);
+  void OnTransactionAnswer(const std::string& name, const jobs::Transaction& transaction,
+                           uint64_t revision, const std::vector<std::string>& failed);
 
-  // Heartbeats, on the leader.
+  // Heartbeats, on the leader's side.
   void RequestHeartbeat(Node& leader, const std::string& machine);
   void DeliverHeartbeat(const model::Heartbeat& heartbeat);
   void AnswerHeartbeat(const std::string& name, const model::Heartbeat& heartbeat, double sent);
 
-  // Observation.
+  // Measurements.
   double CpusOf(const model::TaskId& task) const;
-  void NoteStart(const std::string& machine, const model::WorkerCommand& command);
-  // Processors that the largest waiting task could have now; `used`: of the team's limit.
+  void RecordStart(const std::string& machine, const model::WorkerCommand& command);
+  // Returns the processors of the largest waiting task that fits now, if `used` processors of the
+  // team's limit are used. 0 if none fits.
   double IdleCpus(double used);
-  void WatchIdle();
+  void SampleIdleCpus();
 
   const Options options_;
   config::Settings settings_;
@@ -250,24 +258,24 @@
   std::map<std::string, SimulatedProcess> processes_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
   bool outage_ = false;
-  bool leaders_divide_ = true;
+  bool new_leaders_use_blocks_ = true;
   VersionedStore store_;
   std::string leader_;
   double leader_seen_ = 0;
-  std::set<std::pair<std::string, uint64_t>> judged_;  // node and session
+  std::set<std::pair<std::string, uint64_t>> failed_sessions_;  // node and session
   SimulatedWorkers workers_;
   std::set<std::string> submitted_;
   std::set<std::string> cancelled_;
-  std::function<void(const std::string& key)> on_record_;
+  std::function<void(const std::string& key)> on_block_record_write_;
   std::function<void(const std::string& machine)> on_start_;
   double limit_changed_at_ = -100;
   Peak peak_;
-  int overshoots_ = 0;
-  int started_after_cancel_ = 0;
+  int starts_over_limit_ = 0;
+  int starts_after_cancel_ = 0;
   int starts_ = 0;
   int conflicts_ = 0;
   std::vector<double> waits_;
-  int starts_seen_ = 0;
+  int starts_at_last_sample_ = 0;
   double stalled_since_ = 0;
   double longest_stall_ = 0;
   double idle_cpu_s_ = 0;
--- a/tests/simulation/blocks_cluster_constants.h
+++ b/tests/simulation/blocks_cluster_constants.h
@@ -1,11 +1,11 @@
-// What the parts of BlocksCluster share.
+// Constants shared by the source files of BlocksCluster.
 #pragma once
 
 namespace hallpier::testing_support {
 
-// Processors of a machine.
+// Processors per machine.
 inline constexpr double kMachineCpus = 4;
-// Seconds between two looks of a node at what there is to do.
-inline constexpr double kTickS = 0.2;
+// Interval at which a node applies changes and runs its round.
+inline constexpr double kTickIntervalS = 0.2;
 
 }  // namespace hallpier::testing_support
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -1,4 +1,4 @@
-// What a node of BlocksCluster does in its rounds, as leader, as holder of a block, or as neither.
+// Rounds of a node of BlocksCluster: as the leader, as a block holder, or as neither.
 #include <algorithm>
 
 #include "blocks/view_sender.h"
@@ -11,35 +11,35 @@
 namespace hallpier::testing_support {
 namespace {
 
-// A node that is away for longer is judged as failed.
-constexpr double kVerdictS = 2;
+// A node that is unavailable for longer counts as failed.
+constexpr double kVerdictDelayS = 2;
 constexpr double kLeaderTtlS = 1;
-// An answer to a heartbeat that is older is given up.
+// The leader does not answer a heartbeat older than this.
 constexpr double kHeartbeatTimeoutS = 1;
 constexpr blocks::WriteLimits kWriteLimits = {8, 8192};
 
 }  // namespace
 
-void BlocksCluster::Tick(const std::string& name, uint64_t process) {
+void BlocksCluster::Tick(const std::string& name, uint64_t generation) {
   SimulatedProcess& self = processes_.at(name);
-  self.InTurn(process, [this, name] {
+  self.RunOrDefer(generation, [this, name] {
     Node& node = NodeOf(name);
-    Follow(node);
+    ApplyChanges(node);
     ElectIfNeeded(node);
     if (!node.busy) Round(node);
   });
-  if (self.number() != process) return;
-  At(kTickS, [this, name, process] {
-    if (processes_.at(name).number() == process) Tick(name, process);
+  if (self.generation() != generation) return;
+  At(kTickIntervalS, [this, name, generation] {
+    if (processes_.at(name).generation() == generation) Tick(name, generation);
   });
 }
 
 void BlocksCluster::ElectIfNeeded(Node& node) {
-  if (!Reaches(node) || node.followed < store_.changes().size()) return;
+  if (!ReachesState(node) || node.applied_changes < store_.changes().size()) return;
   if (!leader_.empty()) {
     const Node& leader = NodeOf(leader_);
-    const bool turns = leader.process->running() && !leader.process->frozen();
-    if (turns && !leader.state_cut && leader.leads) {
+    const bool responsive = leader.process->running() && !leader.process->frozen();
+    if (responsive && !leader.state_cut && leader.is_leader) {
       leader_seen_ = now();
       return;
     }
@@ -53,11 +53,11 @@
   leader_seen_ = now();
   const std::string record = store::WriteFencingTokenRecord(node.name);
   Execute({}, {{store::FencingTokenKey(), record, 0}});
-  node.leads = true;
-  node.divides = options_.max_holders >= 2 && leaders_divide_;
+  node.is_leader = true;
+  node.uses_blocks = options_.max_holders >= 2 && new_leaders_use_blocks_;
   node.token = model::FencingToken(store_.revision());
   node.unanswered.clear();
-  Put(node, store::FencingTokenKey(), record, store_.revision());
+  ApplyRecord(node, store::FencingTokenKey(), record, store_.revision());
   node.registry = std::make_unique<fleet::WorkerRegistry>(RegistryOptions());
   node.registry->BeginTerm(node.token, now(), now() + settings_.lease_s / 2);
   node.lending = std::make_unique<blocks::Lending>(settings_, operators_.blocks);
@@ -68,21 +68,22 @@
 
 void BlocksCluster::ReportMember(Node& leader, const std::string& name) {
   const Node& node = NodeOf(name);
-  const bool turns = node.process->running() && !node.process->frozen();
-  if (!turns && now() - node.away_since > kVerdictS) judged_.insert({name, node.session});
-  const bool judged = judged_.contains({name, node.session});
-  leader.lending->holders().OnMember(name, judged ? std::nullopt : std::optional(node.session));
+  const bool responsive = node.process->running() && !node.process->frozen();
+  if (!responsive && now() - node.unavailable_since > kVerdictDelayS)
+    failed_sessions_.insert({name, node.session});
+  const bool failed = failed_sessions_.contains({name, node.session});
+  leader.lending->holders().OnMember(name, failed ? std::nullopt : std::optional(node.session));
 }
 
 void BlocksCluster::Rejoin(Node& node) {
-  if (judged_.contains({node.name, node.session})) ++node.session;
+  if (failed_sessions_.contains({node.name, node.session})) ++node.session;
 }
 
 void BlocksCluster::Round(Node& node) {
   if (!node.unanswered.empty()) {
     node.queue = std::exchange(node.unanswered, {});
     SendNext(node);
-  } else if (node.leads) {
+  } else if (node.is_leader) {
     LeaderRound(node);
   } else {
     HolderRound(node);
@@ -90,8 +91,9 @@
 }
 
 void BlocksCluster::HolderRound(Node& node) {
-  if (Reaches(node)) Rejoin(node);
-  // Whoever was frozen or cut off plans by what it knows: the preconditions must hold.
+  if (ReachesState(node)) Rejoin(node);
+  // A node that was frozen or partitioned plans with an outdated copy of the records. The
+  // preconditions of its transaction must prevent wrong placements.
   const auto holder = node.records.Holding(node.name, node.session, Copy(node));
   if (!holder) return;
   const plan::PlacementScope scope =
@@ -102,10 +104,10 @@
 }
 
 void BlocksCluster::LeaderRound(Node& node) {
-  const bool behind = node.followed < store_.changes().size();
+  const bool behind = node.applied_changes < store_.changes().size();
   if (node.revision < node.token.value() && behind) return;
   std::optional<plan::PlacementScope> scope;
-  if (node.divides && node.records.division().divided()) {
+  if (node.uses_blocks && node.records.division().divided()) {
     scope = node.records.WholeScope(WidenS(), now());
   }
   node.registry->UpdateObservations(node.job_table);
@@ -117,7 +119,7 @@
     node.registry->stop_requests().Add(preemption.task, preemption.attempt, preemption.grace_s);
   }
   OwnPlacements own{.places = {}, .preconditions = {store::FencingTokenPrecondition(node.token)}};
-  if (node.divides) {
+  if (node.uses_blocks) {
     if (ReviewBlocks(node, plan, scope)) return;
     SendViews(node);
     own = PlanOwnPlacements(node, scope.has_value());
@@ -172,27 +174,29 @@
     const auto holder = leader.records.division().IndexOf(other);
     for (const auto& view : leader.senders[other].Next(leader.token, leader.records.division(),
                                                        holder, machines, {})) {
-      InProcessAfter(
-          options_.delay_s, other, node.process->number(),
-          [this, other, view, leader_name = leader.name, leading = leader.process->number(),
-           asked = now()] { TakeView(other, view, leader_name, leading, asked); });
+      InProcessAfter(options_.delay_s, other, node.process->generation(),
+                     [this, other, view, leader_name = leader.name,
+                      leader_generation = leader.process->generation(), sent = now()] {
+                       ApplyView(other, view, leader_name, leader_generation, sent);
+                     });
     }
   }
 }
 
-void BlocksCluster::TakeView(const std::string& holder, const wire::BlockView& view,
-                             const std::string& leader_name, uint64_t leading, double asked) {
+void BlocksCluster::ApplyView(const std::string& holder, const wire::BlockView& view,
+                              const std::string& leader_name, uint64_t leader_generation,
+                              double sent) {
   const Node& node = NodeOf(holder);
   const auto sequence = node.mirror->Take(view, now());
   if (!sequence) return;
-  InProcessAfter(options_.delay_s, leader_name, leading,
-                 [this, holder, leader_name, asked, sequence = *sequence, session = node.session,
-                  able = Reaches(node)] {
+  InProcessAfter(options_.delay_s, leader_name, leader_generation,
+                 [this, holder, leader_name, sent, sequence = *sequence, session = node.session,
+                  reaches_state = ReachesState(node)] {
                    Node& leader = NodeOf(leader_name);
-                   if (!leader.leads) return;
+                   if (!leader.is_leader) return;
                    leader.senders[holder].OnAcknowledged(sequence);
                    if (sequence > 0)
-                     leader.lending->holders().OnAcknowledged(holder, session, able, asked);
+                     leader.lending->holders().OnAcknowledged(holder, session, reaches_state, sent);
                  });
 }
 
@@ -207,16 +211,16 @@
 void BlocksCluster::DeliverHeartbeat(const model::Heartbeat& heartbeat) {
   const std::string to = leader_;
   const Node& node = NodeOf(to);
-  if (!node.process->running() || node.process->frozen() || !node.leads) return;
-  InProcessAfter(options_.delay_s, to, node.process->number(),
+  if (!node.process->running() || node.process->frozen() || !node.is_leader) return;
+  InProcessAfter(options_.delay_s, to, node.process->generation(),
                  [this, to, heartbeat, sent = now()] { AnswerHeartbeat(to, heartbeat, sent); });
 }
 
 void BlocksCluster::AnswerHeartbeat(const std::string& name, const model::Heartbeat& heartbeat,
                                     double sent) {
   Node& leader = NodeOf(name);
-  // As LeaderElection::MayAct has it: one that may have been followed answers nobody.
-  if (!leader.leads || name != leader_ || now() - sent > kHeartbeatTimeoutS) return;
+  // As in LeaderElection::MayAct: a leader that may have a successor answers no heartbeats.
+  if (!leader.is_leader || name != leader_ || now() - sent > kHeartbeatTimeoutS) return;
   leader.registry->OnHeartbeat(heartbeat, now(), false);
   fleet::Machine* machine = leader.registry->Find(heartbeat.machine);
   std::vector<model::WorkerCommand> commands;
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -1,4 +1,4 @@
-// A node's copy of the records in BlocksCluster, and its transactions with their faults.
+// A node's copy of the records in BlocksCluster, and its transactions with injected faults.
 #include <memory>
 
 #include "simulation/blocks_cluster.h"
@@ -6,8 +6,8 @@
 namespace hallpier::testing_support {
 namespace {
 
-// A transaction without an answer is given up after this time.
-constexpr double kTimeoutS = 1;
+// A node gives up on a transaction without an answer after this time.
+constexpr double kTransactionTimeoutS = 1;
 constexpr int kWritesPerTransaction = 8;
 constexpr size_t kValueBytes = 8192;
 
@@ -17,19 +17,19 @@
     const std::vector<model::Precondition>& preconditions,
     const std::vector<model::KeyWrite>& writes) {
   std::vector<std::string> failed = store_.Execute(now(), preconditions, writes);
-  if (!failed.empty() || !on_record_) return failed;
+  if (!failed.empty() || !on_block_record_write_) return failed;
   for (const model::KeyWrite& write : writes) {
-    const bool record = store::IsKeyOfKind<store::DivisionKeyName>(write.key) ||
-                        store::IsKeyOfKind<store::ShareKeyName>(write.key);
-    if (record) At(0, [this, key = write.key] { on_record_(key); });
+    const bool is_block_record = store::IsKeyOfKind<store::DivisionKeyName>(write.key) ||
+                                 store::IsKeyOfKind<store::ShareKeyName>(write.key);
+    if (is_block_record) At(0, [this, key = write.key] { on_block_record_write_(key); });
   }
   return failed;
 }
 
-void BlocksCluster::Put(Node& node, const std::string& key, const std::string& value,
-                        uint64_t version) {
-  if (!key.starts_with(store::kActivePrefix) || version <= node.seen[key]) return;
-  node.seen[key] = version;
+void BlocksCluster::ApplyRecord(Node& node, const std::string& key, const std::string& value,
+                                uint64_t version) {
+  if (!key.starts_with(store::kActivePrefix) || version <= node.newest_versions[key]) return;
+  node.newest_versions[key] = version;
   node.versions[key] = value.empty() ? 0 : version;
   const store::ParsedKey parsed = store::ParseKey(key);
   if (std::holds_alternative<store::JobKeyName>(parsed) ||
@@ -43,16 +43,16 @@
     node.records.PutShare(share->node, value, version);
   }
   const bool superseded = key == store::FencingTokenKey() && version != node.token.value();
-  if (node.leads && superseded) node.leads = false;
+  if (node.is_leader && superseded) node.is_leader = false;
 }
 
-void BlocksCluster::Follow(Node& node) {
-  if (!Reaches(node)) return;
+void BlocksCluster::ApplyChanges(Node& node) {
+  if (!ReachesState(node)) return;
   const std::vector<VersionedStore::Change>& changes = store_.changes();
   const double until = now() - options_.watch_lag_s;
-  while (node.followed < changes.size() && changes[node.followed].at <= until) {
-    const VersionedStore::Change& change = changes[node.followed++];
-    Put(node, change.key, change.value, change.revision);
+  while (node.applied_changes < changes.size() && changes[node.applied_changes].at <= until) {
+    const VersionedStore::Change& change = changes[node.applied_changes++];
+    ApplyRecord(node, change.key, change.value, change.revision);
     node.revision = change.revision;
   }
 }
@@ -63,9 +63,9 @@
 }
 
 blocks::CopyState BlocksCluster::Copy(const Node& node) const {
-  const uint64_t revision = Without("copy") ? UINT64_MAX : node.revision;
+  const uint64_t revision = IsDisabled("copy") ? UINT64_MAX : node.revision;
   const model::FencingToken known(VersionIn(node, store::FencingTokenKey()));
-  return {revision, node.leads ? node.token : known};
+  return {revision, node.is_leader ? node.token : known};
 }
 
 void BlocksCluster::Send(Node& node, const std::vector<jobs::TaskTransition>& transitions,
@@ -86,21 +86,22 @@
   SendNext(node);
 }
 
-std::vector<model::Precondition> BlocksCluster::Kept(
+std::vector<model::Precondition> BlocksCluster::EnabledPreconditions(
     const std::vector<model::Precondition>& preconditions) const {
-  std::vector<model::Precondition> kept;
+  std::vector<model::Precondition> enabled;
   for (const model::Precondition& precondition : preconditions) {
     const std::string& key = precondition.key;
-    const bool out = (store::IsKeyOfKind<store::FencingTokenKeyName>(key) && Without("token")) ||
-                     (store::IsKeyOfKind<store::DivisionKeyName>(key) && Without("division")) ||
-                     (store::IsKeyOfKind<store::ShareKeyName>(key) && Without("share")) ||
-                     (store::IsKeyOfKind<store::JobKeyName>(key) && Without("job"));
-    if (!out) kept.push_back(precondition);
+    const bool disabled =
+        (store::IsKeyOfKind<store::FencingTokenKeyName>(key) && IsDisabled("token")) ||
+        (store::IsKeyOfKind<store::DivisionKeyName>(key) && IsDisabled("division")) ||
+        (store::IsKeyOfKind<store::ShareKeyName>(key) && IsDisabled("share")) ||
+        (store::IsKeyOfKind<store::JobKeyName>(key) && IsDisabled("job"));
+    if (!disabled) enabled.push_back(precondition);
   }
-  return kept;
+  return enabled;
 }
 
-BlocksCluster::DeliveryFault BlocksCluster::FaultOf(Node& node, bool places) {
+BlocksCluster::DeliveryFault BlocksCluster::ChooseFault(Node& node, bool places) {
   DeliveryFault fault = DeliveryFault::kNone;
   if (places) fault = std::exchange(node.next_fault, DeliveryFault::kNone);
   if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.lost_answer_rate) {
@@ -108,7 +109,7 @@
   }
   if (fault == DeliveryFault::kNone && Uniform(0, 1) < options_.late_rate)
     fault = DeliveryFault::kLate;
-  return Reaches(node) ? fault : DeliveryFault::kNotSent;
+  return ReachesState(node) ? fault : DeliveryFault::kNotSent;
 }
 
 void BlocksCluster::SendNext(Node& node) {
@@ -117,13 +118,13 @@
   const jobs::Transaction transaction = std::move(node.queue.front());
   node.queue.pop_front();
   const bool places = !transaction.machines.empty();
-  const DeliveryFault fault = FaultOf(node, places);
+  const DeliveryFault fault = ChooseFault(node, places);
   if (places && node.on_sent) std::exchange(node.on_sent, nullptr)();
   const std::string name = node.name;
-  const uint64_t process = node.process->number();
+  const uint64_t generation = node.process->generation();
   auto failed = std::make_shared<std::vector<std::string>>();
   auto execute = [this, transaction, failed, name] {
-    *failed = Execute(Kept(transaction.preconditions), transaction.writes);
+    *failed = Execute(EnabledPreconditions(transaction.preconditions), transaction.writes);
     if (failed->empty()) {
       NodeOf(name).placements += static_cast<int>(transaction.machines.size());
     } else {
@@ -131,41 +132,44 @@
     }
     return store_.revision();
   };
-  const double there_s = options_.delay_s * Uniform(1, 2);
-  const double back_s = options_.delay_s * Uniform(1, 2);
-  auto give_up = [this, name, transaction] { NoAnswer(name, transaction); };
+  const double request_delay_s = options_.delay_s * Uniform(1, 2);
+  const double answer_delay_s = options_.delay_s * Uniform(1, 2);
+  auto give_up = [this, name, transaction] { OnTransactionTimeout(name, transaction); };
   if (fault == DeliveryFault::kNotSent || fault == DeliveryFault::kLate) {
     if (fault == DeliveryFault::kLate) {
       At(Uniform(options_.min_late_s, options_.max_late_s), execute);
     }
-    InProcessAfter(kTimeoutS, name, process, give_up);
+    InProcessAfter(kTransactionTimeoutS, name, generation, give_up);
     return;
   }
-  At(there_s, [this, fault, name, process, transaction, failed, execute, give_up, back_s] {
+  At(request_delay_s, [this, fault, name, generation, transaction, failed, execute, give_up,
+                       answer_delay_s] {
     const uint64_t revision = execute();
     if (fault == DeliveryFault::kAnswerLost) {
-      InProcessAfter(kTimeoutS, name, process, give_up);
+      InProcessAfter(kTransactionTimeoutS, name, generation, give_up);
       return;
     }
-    InProcessAfter(back_s, name, process, [this, name, transaction, revision, failed] {
-      Answered(name, transaction, revision, *failed);
+    InProcessAfter(answer_delay_s, name, generation, [this, name, transaction, revision, failed] {
+      OnTransactionAnswer(name, transaction, revision, *failed);
     });
   });
 }
 
-void BlocksCluster::NoAnswer(const std::string& name, const jobs::Transaction& transaction) {
+void BlocksCluster::OnTransactionTimeout(const std::string& name,
+                                         const jobs::Transaction& transaction) {
   Node& node = NodeOf(name);
   if (!transaction.machines.empty()) node.unanswered.push_back(transaction);
   node.queue.clear();
   node.busy = false;
 }
 
-void BlocksCluster::Answered(const std::string& name, const jobs::Transaction& transaction,
-                             uint64_t revision, const std::vector<std::string>& failed) {
+void BlocksCluster::OnTransactionAnswer(const std::string& name,
+                                        const jobs::Transaction& transaction, uint64_t revision,
+                                        const std::vector<std::string>& failed) {
   Node& node = NodeOf(name);
   if (failed.empty()) {
     for (const model::KeyWrite& write : transaction.writes) {
-      if (revision > node.revision) Put(node, write.key, write.value, revision);
+      if (revision > node.revision) ApplyRecord(node, write.key, write.value, revision);
     }
     SendNext(node);
     return;
@@ -174,9 +178,9 @@
     if (key == store::FencingTokenKey()) continue;
     const uint64_t known = VersionIn(node, key);
     if (store_.Contains(key)) {
-      Put(node, key, store_.Value(key), store_.Version(key));
+      ApplyRecord(node, key, store_.Value(key), store_.Version(key));
     } else if (known != 0) {
-      Put(node, key, "", known + 1);
+      ApplyRecord(node, key, "", known + 1);
     }
   }
   node.queue.clear();
--- a/tests/simulation/event_queue.h
+++ b/tests/simulation/event_queue.h
@@ -1,7 +1,8 @@
-// Fake time for simulations: events run one after the other in the order of their times, and in the
-// order in which they were asked for at equal times. A run is therefore the same for the same seed.
+// Fake time for simulations. Events run one at a time in the order of their times; events with
+// equal times run in the order in which they were scheduled. A run is therefore reproducible from
+// its seed.
 //
-// Owned by a simulated cluster; everything runs within RunFor() and RunUntil().
+// Owned by a simulated cluster. Events run only within RunFor() and RunUntil().
 #pragma once
 
 #include <cstdint>
@@ -12,14 +13,14 @@
 
 class EventQueue {
  public:
-  // Seconds since the queue was made.
+  // Fake time in seconds since the queue was created.
   double now() const { return now_; }
-  // Runs `run` after `delay_s` seconds of fake time.
+  // Schedules `run` after `delay_s` seconds of fake time.
   void At(double delay_s, std::function<void()> run);
-  // Runs all that falls due within the next `duration_s` seconds, and ends at their end.
+  // Runs all events due within the next `duration_s` seconds and advances the time by as much.
   void RunFor(double duration_s);
-  // Runs in steps of `step_s` seconds until `condition` is true; false if it is not within
-  // `limit_s` seconds.
+  // Runs in steps of `step_s` seconds until `condition` is true. Returns false if it does not
+  // become true within `limit_s` seconds.
   bool RunUntil(const std::function<bool()>& condition, double limit_s, double step_s);
 
  private:
@@ -27,7 +28,7 @@
     double at;
     uint64_t sequence;
     std::function<void()> run;
-    // The queue's top is the largest: the earliest event.
+    // std::priority_queue puts the largest element on top, so an earlier event compares as larger.
     bool operator<(const Event& other) const {
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -9,21 +9,21 @@
 namespace hallpier::testing_support {
 namespace {
 
-// A tick after a refused proposal, the watch and a transaction fit in.
+// Long enough for a tick after a refused proposal, the watch event and a transaction.
 constexpr double kTimeToRefuteS = 1;
-// A leader renews its lease so often within its length, as election/leader_election.cc does.
-constexpr double kRenewals = 3;
+// Renewals of the leader's lease within its duration, as in election/leader_election.cc.
+constexpr double kRenewalsPerLease = 3;
 constexpr double kStepS = 0.01;
-constexpr double kMostClockOffsetS = 1000;
-// A transaction without an answer is given up after this time.
-constexpr double kTimeoutS = 1;
+constexpr double kMaxClockOffsetS = 1000;
+// A node gives up on a transaction without an answer after this time.
+constexpr double kTransactionTimeoutS = 1;
 
 }  // namespace
 
 MembershipCluster::MembershipCluster(Options options) : options_(options), random_(options.seed) {
   for (int i = 0; i < options_.nodes; ++i) names_.push_back("node-" + std::to_string(i));
   for (const std::string& name : names_) {
-    nodes_[name].offset = random_.Uniform(0, kMostClockOffsetS);
+    nodes_[name].clock_offset = random_.Uniform(0, kMaxClockOffsetS);
     StartProcess(name);
   }
 }
@@ -35,7 +35,7 @@
 void MembershipCluster::Resume(const std::string& name) {
   Node& node = nodes_.at(name);
   if (!node.process.frozen()) return;
-  node.well_since = now();
+  node.healthy_since = now();
   node.process.Resume();
 }
 
@@ -60,17 +60,17 @@
 void MembershipCluster::CutFromState(const std::string& name, bool cut) {
   nodes_.at(name).state_cut = cut;
   if (cut) return;
-  nodes_.at(name).well_since = now();
+  nodes_.at(name).healthy_since = now();
   Resync(name);
 }
 
 void MembershipCluster::SetStateOutage(bool outage) {
   outage_ = outage;
   if (outage) return;
-  // Every lease has its full time again.
+  // After an outage every lease has its full duration again.
   leader_until_ = now() + options_.leader_ttl_s;
   for (const std::string& name : names_) {
-    nodes_.at(name).well_since = now();
+    nodes_.at(name).healthy_since = now();
     Resync(name);
   }
 }
@@ -79,22 +79,23 @@
   delays_[{a, b}] = delays_[{b, a}] = delay_s;
 }
 
-void MembershipCluster::SetClockRate(const std::string& name, double rate) {
+void MembershipCluster::SetClockRate(const std::string& name, double clock_rate) {
   Node& node = nodes_.at(name);
-  node.offset = LocalNow(name) - rate * now();
-  node.rate = rate;
+  node.clock_offset = LocalNow(name) - clock_rate * now();
+  node.clock_rate = clock_rate;
 }
 
 void MembershipCluster::DelayAnswer(const std::string& from, const std::string& to,
                                     double delay_s) {
   const wire::MemberStatus status = Table(from).Status(LocalNow(from));
-  const double asked = LocalNow(to);
-  At(delay_s, [this, status, to, asked] { Table(to).OnAnswer(status, asked, LocalNow(to)); });
+  const double sent = LocalNow(to);
+  At(delay_s, [this, status, to, sent] { Table(to).OnAnswer(status, sent, LocalNow(to)); });
 }
 
 size_t MembershipCluster::FalseVerdicts() const {
-  return static_cast<size_t>(std::count_if(
-      verdicts_.begin(), verdicts_.end(), [](const Verdict& verdict) { return verdict.was_well; }));
+  return static_cast<size_t>(
+      std::count_if(verdicts_.begin(), verdicts_.end(),
+                    [](const Verdict& verdict) { return verdict.was_healthy; }));
 }
 
 std::optional<membership::MemberRecord> MembershipCluster::Record(const std::string& name) const {
@@ -102,7 +103,7 @@
   return it == records_.end() ? std::nullopt : std::optional(it->second.record);
 }
 
-bool MembershipCluster::Settled() {
+bool MembershipCluster::Converged() {
   for (const auto& [name, node] : nodes_) {
     if (!node.process.running() || node.process.frozen()) continue;
     if (!node.table->IsActiveMember()) return false;
@@ -114,26 +115,28 @@
   }
   if (Leader().empty()) return false;
   const Node& leader = nodes_.at(leader_);
-  return leader.process.running() && leader.leads && leader.process.number() == leader_process_;
+  return leader.process.running() && leader.is_leader &&
+         leader.process.generation() == leader_generation_;
 }
 
-model::MemberState MembershipCluster::Seen(const std::string& by, const std::string& of) {
-  for (const wire::MemberRow& row : Table(by).Rows(LocalNow(by))) {
-    if (row.node == of) return row.state;
+model::MemberState MembershipCluster::ObservedState(const std::string& observer,
+                                                    const std::string& subject) {
+  for (const wire::MemberRow& row : Table(observer).Rows(LocalNow(observer))) {
+    if (row.node == subject) return row.state;
   }
   return model::MemberState::kAlive;
 }
 
 double MembershipCluster::LocalNow(const std::string& name) const {
   const Node& node = nodes_.at(name);
-  return node.offset + node.rate * now();
+  return node.clock_offset + node.clock_rate * now();
 }
 
 void MembershipCluster::StartProcess(const std::string& name) {
   Node& node = nodes_.at(name);
   node.process.Start();
-  node.leads = false;
-  node.well_since = now();
+  node.is_leader = false;
+  node.healthy_since = now();
   membership::MemberTable::Options options;
   options.node = name;
   options.others = names_;
@@ -150,8 +153,8 @@
 void MembershipCluster::InProcessAfter(double delay_s, const std::string& name,
                                        std::function<void()> run) {
   Node& node = nodes_.at(name);
-  At(delay_s, [&node, number = node.process.number(), run = std::move(run)] {
-    node.process.InTurn(number, run);
+  At(delay_s, [&node, generation = node.process.generation(), run = std::move(run)] {
+    node.process.RunOrDefer(generation, run);
   });
 }
 
@@ -159,7 +162,7 @@
   InProcessAfter(delay_s, name, [this, name] { Tick(name); });
 }
 
-bool MembershipCluster::Well(const Node& node) const {
+bool MembershipCluster::Healthy(const Node& node) const {
   return node.process.running() && !node.process.frozen() && StateReachable(node);
 }
 
@@ -170,70 +173,72 @@
          node.table->Tick(LocalNow(name), StateReachable(node))) {
       Submit(name, proposal);
     }
-    EndJudgedLeader(name);
+    ExpireFailedLeader(name);
     for (const std::string& other : names_) {
       if (other != name) Probe(name, other);
     }
   }
-  ScheduleTick(name, options_.probe_s / node.rate);
-  Stall(name);
+  ScheduleTick(name, options_.probe_s / node.clock_rate);
+  PauseIfBusy(name);
 }
 
-void MembershipCluster::Stall(const std::string& name) {
-  if (options_.busy <= 0 || random_.Uniform(0, 1) >= options_.busy) return;
-  const uint64_t process = nodes_.at(name).process.number();
+void MembershipCluster::PauseIfBusy(const std::string& name) {
+  if (options_.pause_probability <= 0 || random_.Uniform(0, 1) >= options_.pause_probability)
+    return;
+  const uint64_t generation = nodes_.at(name).process.generation();
   Freeze(name);
-  At(random_.Uniform(0, 1) * options_.busy_s, [this, name, process] {
-    if (nodes_.at(name).process.number() == process) Resume(name);
+  At(random_.Uniform(0, 1) * options_.max_pause_s, [this, name, generation] {
+    if (nodes_.at(name).process.generation() == generation) Resume(name);
   });
 }
 
-std::optional<double> MembershipCluster::Travel(const std::string& from, const std::string& to) {
+std::optional<double> MembershipCluster::DrawDelay(const std::string& from, const std::string& to) {
   if (cuts_.contains({from, to})) return std::nullopt;
-  auto slow = delays_.find({from, to});
-  const double least = slow == delays_.end() ? options_.delay_s : slow->second;
-  double delay_s = least * (1 + random_.Uniform(0, 1));
+  auto override_delay = delays_.find({from, to});
+  const double min = override_delay == delays_.end() ? options_.delay_s : override_delay->second;
+  double delay_s = min * (1 + random_.Uniform(0, 1));
   while (random_.Uniform(0, 1) < options_.loss) delay_s += options_.retransmit_s;
   return delay_s;
 }
 
 void MembershipCluster::Deliver(const std::string& from, const std::string& to,
                                 std::function<void()> receive) {
-  const std::optional<double> delay_s = Travel(from, to);
+  const std::optional<double> delay_s = DrawDelay(from, to);
   if (!delay_s || !nodes_.at(to).process.running()) return;
   InProcessAfter(*delay_s, to, std::move(receive));
 }
 
 void MembershipCluster::Probe(const std::string& from, const std::string& to) {
-  const double asked = LocalNow(from);
-  const uint64_t prober = nodes_.at(from).process.number();
-  const wire::MemberStatus status = Table(from).Status(asked);
-  Deliver(from, to, [this, from, to, asked, status, prober] {
+  const double sent = LocalNow(from);
+  const uint64_t prober = nodes_.at(from).process.generation();
+  const wire::MemberStatus status = Table(from).Status(sent);
+  Deliver(from, to, [this, from, to, sent, status, prober] {
     Table(to).OnProbe(status);
     const wire::MemberStatus answer = Table(to).Status(LocalNow(to));
-    Deliver(to, from, [this, from, asked, answer, prober] {
-      if (nodes_.at(from).process.number() != prober) return;
-      Table(from).OnAnswer(answer, asked, LocalNow(from));
+    Deliver(to, from, [this, from, sent, answer, prober] {
+      if (nodes_.at(from).process.generation() != prober) return;
+      Table(from).OnAnswer(answer, sent, LocalNow(from));
     });
   });
 }
 
 void MembershipCluster::Submit(const std::string& name, const membership::Proposal& proposal) {
-  const uint64_t process = nodes_.at(name).process.number();
+  const uint64_t generation = nodes_.at(name).process.generation();
   const bool verdict = proposal.kind == membership::Proposal::Kind::kDeclareFailed;
   if (verdict && on_verdict_sent_) {
     auto hook = std::exchange(on_verdict_sent_, nullptr);
     hook(name);
   }
-  At(options_.state_delay_s, [this, name, process, proposal, verdict] {
-    const bool carried = StateReachable(nodes_.at(name)) && Commit(name, proposal);
-    const bool lost = carried && verdict && lose_verdict_answers_ > 0;
-    if (lost) --lose_verdict_answers_;
-    At(lost ? kTimeoutS : options_.state_delay_s, [this, name, process, proposal] {
-      nodes_.at(name).process.InTurn(process, [this, name, proposal] {
-        Table(name).OnProposalDone(proposal.node, LocalNow(name));
-      });
-    });
+  At(options_.state_delay_s, [this, name, generation, proposal, verdict] {
+    const bool committed = StateReachable(nodes_.at(name)) && Commit(name, proposal);
+    const bool answer_lost = committed && verdict && lose_verdict_answers_ > 0;
+    if (answer_lost) --lose_verdict_answers_;
+    At(answer_lost ? kTransactionTimeoutS : options_.state_delay_s,
+       [this, name, generation, proposal] {
+         nodes_.at(name).process.RunOrDefer(generation, [this, name, proposal] {
+           Table(name).OnProposalDone(proposal.node, LocalNow(name));
+         });
+       });
   });
 }
 
@@ -249,29 +254,29 @@
     if (VersionOf(precondition.key) != precondition.version) return false;
   }
   if (proposal.kind == membership::Proposal::Kind::kSuspect) ++suspicions_;
-  if (proposal.kind == membership::Proposal::Kind::kDeclareFailed) NoteVerdict(by, proposal);
+  if (proposal.kind == membership::Proposal::Kind::kDeclareFailed) RecordVerdict(by, proposal);
   records_[proposal.node] = {proposal.record, ++revision_};
   for (const std::string& name : names_) NotifyWatch(name, proposal.node);
   return true;
 }
 
-void MembershipCluster::NoteVerdict(const std::string& by, const membership::Proposal& proposal) {
-  const Node& judged = nodes_.at(proposal.node);
-  const bool was_well = Well(judged) && now() - judged.well_since > kTimeToRefuteS;
+void MembershipCluster::RecordVerdict(const std::string& by, const membership::Proposal& proposal) {
+  const Node& failed = nodes_.at(proposal.node);
+  const bool was_healthy = Healthy(failed) && now() - failed.healthy_since > kTimeToRefuteS;
   verdicts_.push_back({.at = now(),
                        .node = proposal.node,
                        .by = by,
                        .session = proposal.record.incarnation.session,
-                       .was_well = was_well});
+                       .was_healthy = was_healthy});
 }
 
 void MembershipCluster::NotifyWatch(const std::string& name, const std::string& subject) {
   InProcessAfter(options_.state_delay_s, name, [this, name, subject] {
-    if (StateReachable(nodes_.at(name))) TakeRecord(name, subject);
+    if (StateReachable(nodes_.at(name))) ApplyRecord(name, subject);
   });
 }
 
-void MembershipCluster::TakeRecord(const std::string& name, const std::string& subject) {
+void MembershipCluster::ApplyRecord(const std::string& name, const std::string& subject) {
   auto it = records_.find(subject);
   if (it == records_.end()) return;
   Table(name).OnRecord(subject, it->second.record, it->second.version, LocalNow(name));
@@ -288,26 +293,27 @@
 void MembershipCluster::ReviewLease(const std::string& name) {
   Node& node = nodes_.at(name);
   if (StateReachable(node)) {
-    const bool own = leader_ == name && node.process.number() == leader_process_;
-    if (node.leads && (!LeaseStands() || !own)) node.leads = false;
+    const bool same_process = leader_ == name && node.process.generation() == leader_generation_;
+    if (node.is_leader && (!LeaseIsValid() || !same_process)) node.is_leader = false;
     const bool allowed = !options_.membership || node.table->IsActiveMember();
-    const bool due = now() - node.renewed_at >= options_.leader_ttl_s / kRenewals;
-    if (node.leads && due) {
+    const bool due = now() - node.renewed_at >= options_.leader_ttl_s / kRenewalsPerLease;
+    if (node.is_leader && due) {
       node.renewed_at = now();
       leader_until_ = now() + options_.leader_ttl_s;
-    } else if (!node.leads && !LeaseStands() && allowed) {
+    } else if (!node.is_leader && !LeaseIsValid() && allowed) {
       leader_ = name;
-      leader_process_ = node.process.number();
+      leader_generation_ = node.process.generation();
       leader_until_ = now() + options_.leader_ttl_s;
-      node.leads = true;
+      node.is_leader = true;
       node.renewed_at = now();
       handovers_.push_back({.at = now(), .to = name, .token = ++token_});
     }
   }
-  ScheduleLease(name, std::min(options_.leader_ttl_s / kRenewals, options_.probe_s) / node.rate);
+  ScheduleLease(name, std::min(options_.leader_ttl_s / kRenewalsPerLease, options_.probe_s) /
+                          node.clock_rate);
 }
 
-void MembershipCluster::EndJudgedLeader(const std::string& by) {
+void MembershipCluster::ExpireFailedLeader(const std::string& by) {
   if (leader_.empty() || leader_ == by || !StateReachable(nodes_.at(by))) return;
   if (!Table(by).Failed(leader_)) return;
   leader_until_ = std::min(leader_until_, now());
--- a/tests/simulation/random.h
+++ b/tests/simulation/random.h
@@ -1,4 +1,4 @@
-// The random numbers of a simulation, all from one seed.
+// Random numbers of a simulation, all from one seed.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
 
-  // At least `least`, less than `most`.
-  double Uniform(double least, double most) {
-    return std::uniform_real_distribution<double>(least, most)(engine_);
+  // Returns a number of at least `min` and less than `max`.
+  double Uniform(double min, double max) {
+    return std::uniform_real_distribution<double>(min, max)(engine_);
   }
-  // Any number but 0.
+  // Returns a random number other than 0.
   uint64_t Identifier() { return std::uniform_int_distribution<uint64_t>(1)(engine_); }
 
  private:
--- a/tests/simulation/simulated_process.cc
+++ b/tests/simulation/simulated_process.cc
@@ -7,14 +7,14 @@
 void SimulatedProcess::Start() {
   running_ = true;
   frozen_ = false;
-  ++number_;
+  ++generation_;
 }
 
 void SimulatedProcess::End() {
   running_ = false;
   frozen_ = false;
   backlog_.clear();
-  ++number_;
+  ++generation_;
 }
 
 void SimulatedProcess::Resume() {
@@ -23,10 +23,10 @@
   for (const auto& run : backlog) run();
 }
 
-void SimulatedProcess::InTurn(uint64_t number, const std::function<void()>& run) {
-  if (number_ != number) return;
+void SimulatedProcess::RunOrDefer(uint64_t generation, const std::function<void()>& run) {
+  if (generation_ != generation) return;
   if (frozen_) {
-    backlog_.emplace_back([this, number, run] { InTurn(number, run); });
+    backlog_.emplace_back([this, generation, run] { RunOrDefer(generation, run); });
   } else {
     run();
   }
--- a/tests/simulation/simulated_process.h
+++ b/tests/simulation/simulated_process.h
@@ -1,6 +1,6 @@
-// The life of a node's process in a simulation: it runs, stands still and goes on, ends and is
-// started anew. What comes while it stands still is in its buffers when it goes on; what was meant
-// for an earlier process of the same node is dropped.
+// The process of a simulated node: it can be frozen, resumed, terminated and restarted. Events that
+// arrive while the process is frozen are buffered until it resumes. Events for an earlier process
+// of the same node are dropped.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 class SimulatedProcess {
  public:
-  // Tells this process of the node from earlier and later ones.
-  uint64_t number() const { return number_; }
+  // Distinguishes this process of the node from earlier and later ones.
+  uint64_t generation() const { return generation_; }
   bool running() const { return running_; }
   bool frozen() const { return frozen_; }
 
-  // Begins a new process. One that still runs is left behind: it gets no more turns.
+  // Starts a new process. A previous process that still runs receives no more events.
   void Start();
   void End();
   void Freeze() { frozen_ = true; }
-  // Goes on, with all that came meanwhile.
+  // Resumes the process and runs the buffered events.
   void Resume();
-  // Runs `run` when the process of that number gets its turn: at once, when it goes on, or never if
-  // it has ended.
-  void InTurn(uint64_t number, const std::function<void()>& run);
+  // Runs `run` in the process with this generation: immediately, or on Resume() if the process is
+  // frozen. Drops `run` if that process has ended.
+  void RunOrDefer(uint64_t generation, const std::function<void()>& run);
 
  private:
-  uint64_t number_ = 0;
+  uint64_t generation_ = 0;
   bool running_ = false;
   bool frozen_ = false;
   std::vector<std::function<void()>> backlog_;
--- a/tests/simulation/simulated_workers.cc
+++ b/tests/simulation/simulated_workers.cc
@@ -90,9 +90,9 @@
 void SimulatedWorkers::StartTask(const std::string& machine, const model::WorkerCommand& command) {
   for (const auto& [name, other] : workers_) {
     auto it = other.tasks.find(command.task);
-    if (it != other.tasks.end() && !it->second.ended) ++started_twice_;
+    if (it != other.tasks.end() && !it->second.ended) ++duplicate_starts_;
   }
-  Run run;
+  TaskRun run;
   run.attempt = command.attempt;
   run.cpus = hooks_.cpus_of(command.task);
   workers_.at(machine).tasks[command.task] = run;
@@ -125,7 +125,7 @@
   return used;
 }
 
-double SimulatedWorkers::MostFreeCpus(double machine_cpus) const {
+double SimulatedWorkers::MaxFreeCpus(double machine_cpus) const {
   double free = 0;
   for (const auto& [name, worker] : workers_) {
     double taken = 0;
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -1,8 +1,8 @@
-// The machines of a simulation: each sends heartbeats to the leader, does what it is told, runs
-// tasks for a while and loses them when its lease ends. What runs here is the truth that the
-// records are compared with.
+// Machines of a simulation. Each sends heartbeats to the leader, executes commands, runs tasks for
+// a random duration and loses them when its lease expires. The tasks that run here are the ground
+// truth against which the controllers' records are checked.
 //
-// Owned by a cluster, which delivers heartbeats and answers.
+// Owned by a simulated cluster, which delivers the heartbeats and their answers.
 #pragma once
 
 #include <cstdint>
@@ -22,43 +22,44 @@
 class SimulatedWorkers {
  public:
   struct Options {
-    double run_s = 4;        // of a task, on average
-    double delay_s = 0.005;  // between a change on a machine and its heartbeat
+    double run_s = 4;        // average duration of a task
+    double delay_s = 0.005;  // from a change on a machine to its heartbeat
     double heartbeat_interval_s = 2;
     double lease_s = 12;
   };
   struct Hooks {
-    // Whether there is a leader that heartbeats could go to.
+    // Returns true if there is a leader to receive heartbeats.
     std::function<bool()> has_leader;
-    // A heartbeat goes out now.
+    // Sends a heartbeat to the leader.
     std::function<void(const model::Heartbeat& heartbeat)> send;
-    // Processors of a task that count as used; others are none.
+    // Returns the processors of a task that count as used; 0 for a task that is not counted.
     std::function<double(const model::TaskId& task)> cpus_of;
-    // A task has started. It runs already.
+    // Called after a task has started.
     std::function<void(const std::string& machine, const model::WorkerCommand& command)> on_start;
   };
   SimulatedWorkers(EventQueue& events, Random& random, Options options, Hooks hooks);
 
-  // Adds a machine, whose first heartbeat comes within a heartbeat interval.
+  // Adds a machine. It sends its first heartbeat within one heartbeat interval.
   void Add(const std::string& machine);
   std::vector<std::string> Names() const;
-  // A machine that is cut off goes on with its tasks, and nobody hears it.
+  // Partitions a machine from the controllers. Its tasks continue to run.
   void Cut(const std::string& machine, bool cut) { workers_.at(machine).cut = cut; }
-  // The leader has something to tell a machine: its next heartbeat comes at once.
+  // Makes a machine send its next heartbeat after `delay_s`, because the leader has commands for
+  // it.
   void RequestHeartbeat(const std::string& machine);
-  // The answer to a heartbeat that was sent at `sent` arrives.
+  // Handles the answer to a heartbeat that was sent at `sent`.
   void OnAnswer(const model::Heartbeat& heartbeat, model::FencingToken token,
                 const std::vector<model::WorkerCommand>& commands, double sent);
 
-  // Processors that count as used by running tasks.
+  // Returns the processors used by running tasks, as counted by Hooks::cpus_of.
   double UsedCpus();
-  // The most processors that are free on one machine of `machine_cpus`.
-  double MostFreeCpus(double machine_cpus) const;
-  // Starts of a task that ran somewhere at the time.
-  int duplicate_starts() const { return started_twice_; }
+  // Returns the largest number of free processors on one machine, if each has `machine_cpus`.
+  double MaxFreeCpus(double machine_cpus) const;
+  // Starts of a task that was already running on a machine.
+  int duplicate_starts() const { return duplicate_starts_; }
 
  private:
-  struct Run {
+  struct TaskRun {
     uint64_t attempt = 0;
     double cpus = 0;
     bool ended = false;
@@ -68,8 +69,8 @@
     uint64_t agent_epoch = 1;
     uint64_t sequence = 0;
     model::FencingToken token;
-    double answered_at = 0;  // when the heartbeat was sent whose answer came last
-    std::map<model::TaskId, Run> tasks;
+    double answered_at = 0;  // send time of the latest answered heartbeat
+    std::map<model::TaskId, TaskRun> tasks;
     bool heartbeat_requested = false;
     bool cut = false;
   };
@@ -87,7 +88,7 @@
   const Options options_;
   const Hooks hooks_;
   std::map<std::string, Worker> workers_;
-  int started_twice_ = 0;
+  int duplicate_starts_ = 0;
 };
 
 }  // namespace hallpier::testing_support
--- a/tests/simulation/versioned_store.h
+++ b/tests/simulation/versioned_store.h
@@ -1,6 +1,6 @@
-// The state service of a simulation: keys with versions, transactions with preconditions, and the
-// changes in their order, from which copies follow. It answers at once; delays and faults are the
-// cluster's.
+// State service of a simulation: keys with versions, transactions with preconditions, and an
+// ordered log of changes from which nodes update their copies. It answers immediately; the
+// simulated cluster adds delays and faults.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +17,23 @@
   struct Change {
     double at;  // fake time, in seconds
     std::string key;
-    std::string value;  // empty: dropped
+    std::string value;  // empty if the key was dropped
     uint64_t revision;
   };
 
-  // Carries out the writes if all preconditions hold. Else nothing is written, and the keys whose
-  // preconditions did not hold are returned.
+  // Executes the writes if all preconditions hold. Otherwise writes nothing and returns the keys
+  // whose preconditions failed.
   std::vector<std::string> Execute(double now,
                                    const std::vector<model::Precondition>& preconditions,
                                    const std::vector<model::KeyWrite>& writes);
   bool Contains(const std::string& key) const { return entries_.contains(key); }
-  // Empty: there is no such key.
+  // Empty if the key does not exist.
   std::string Value(const std::string& key) const;
-  // 0: there is no such key.
+  // 0 if the key does not exist.
   uint64_t Version(const std::string& key) const;
-  // Of the last change.
+  // Revision of the last change.
   uint64_t revision() const { return revision_; }
-  // Keys written or dropped so far.
+  // Number of keys written or dropped so far.
   uint64_t writes() const { return writes_; }
   const std::vector<Change>& changes() const { return changes_; }
 
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -11,50 +11,53 @@
 using testing_support::BlocksCluster;
 using testing_support::Spec;
 
-constexpr int kMostBlocks = 3;
+constexpr int kMaxBlocks = 3;
 constexpr double kSettleS = 30;
 constexpr double kMeasuredS = 60;
 constexpr uint32_t kTasks = 4;
-constexpr Scale kTimes{120, 12000};  // 10 ms
-constexpr Scale kParts{2, 2000};
-constexpr Scale kCounts{20, 2000};
-// Seconds between two submissions of four tasks: a limit of twelve is used by half, and beyond it.
-constexpr double kLightS = 2.7;
-constexpr double kHeavyS = 1.2;
-const std::vector<std::string> kLoads = {"light load", "full load"};
+constexpr HistogramRange kTimeRange{120, 12000};  // 10 ms
+constexpr HistogramRange kFractionRange{2, 2000};
+constexpr HistogramRange kCountRange{20, 2000};
+// Seconds between submissions of kTasks tasks. The light load uses half of the limit of twelve
+// processors; the full load exceeds it.
+constexpr double kLightLoadIntervalS = 2.7;
+constexpr double kFullLoadIntervalS = 1.2;
+const std::vector<std::string> kLoadLabels = {"light load", "full load"};
 
 BlocksCluster::Options WithBlocks(int blocks, uint64_t seed) {
   BlocksCluster::Options options;
   options.seed = seed;
-  // One block is none: the leader places alone.
+  // With one block, blocks are disabled and only the leader places.
   options.max_holders = blocks > 1 ? blocks : 0;
   return options;
 }
 
-// Submits at a pace for a while, to a cluster that has settled.
-void Load(BlocksCluster& cluster, double pace_s, double duration_s) {
+// Submits jobs at the given average interval for `duration_s` seconds, to a cluster that has
+// settled.
+void SubmitLoad(BlocksCluster& cluster, double interval_s, double duration_s) {
   const double end = cluster.now() + duration_s;
   for (int i = 0; cluster.now() < end; ++i) {
     cluster.Submit(Spec("run-" + std::to_string(i), kTasks));
-    cluster.RunFor(pace_s * cluster.Uniform(0.5, 1.5));
+    cluster.RunFor(interval_s * cluster.Uniform(0.5, 1.5));
   }
 }
 
-using Take = std::function<void(BlocksCluster& cluster, double duration_s, Samples& samples)>;
+using Collect = std::function<void(BlocksCluster& cluster, double duration_s, Samples& samples)>;
 
-// Adds what `take` reads off each run, under a light and a full load.
-Experiment UnderLoad(Experiment experiment, Scale scale, const Effort& effort, const Take& take) {
+// Measures each number of blocks under light and full load. `collect` adds the samples of a run.
+Experiment MeasureUnderLoad(Experiment experiment, HistogramRange range,
+                            const RunOptions& run_options, const Collect& collect) {
   experiment.x_label = "blocks";
-  experiment.series = kLoads;
-  for (int blocks = 1; blocks <= kMostBlocks; ++blocks) {
+  experiment.series = kLoadLabels;
+  for (int blocks = 1; blocks <= kMaxBlocks; ++blocks) {
     Point point{.x = static_cast<double>(blocks), .values = {}};
-    for (const double pace_s : {kLightS, kHeavyS}) {
-      Samples samples(scale);
-      for (int run = 0; run < effort.runs; ++run) {
-        BlocksCluster cluster(WithBlocks(blocks, effort.seed + static_cast<uint64_t>(run)));
+    for (const double interval_s : {kLightLoadIntervalS, kFullLoadIntervalS}) {
+      Samples samples(range);
+      for (int run = 0; run < run_options.runs; ++run) {
+        BlocksCluster cluster(WithBlocks(blocks, run_options.seed + static_cast<uint64_t>(run)));
         cluster.RunFor(kSettleS);
-        Load(cluster, pace_s, kMeasuredS);
-        take(cluster, kMeasuredS, samples);
+        SubmitLoad(cluster, interval_s, kMeasuredS);
+        collect(cluster, kMeasuredS, samples);
       }
       point.values.push_back(samples.Summarize());
     }
@@ -63,8 +66,8 @@
   return experiment;
 }
 
-Experiment Described(const std::string& name, const std::string& title, const std::string& y_label,
-                     const std::string& explanation) {
+Experiment MakeExperiment(const std::string& name, const std::string& title,
+                          const std::string& y_label, const std::string& explanation) {
   Experiment experiment;
   experiment.name = name;
   experiment.title = title;
@@ -73,18 +76,18 @@
   return experiment;
 }
 
-// A holder that does not lead ends, or with one block the leader.
-Experiment AfterDeath(const Effort& effort) {
-  Experiment experiment = Described(
-      "after_death", "Time from a holder's end to the next start on its machines", "s",
-      "With one block the holder is the leader. The best that could be had is the time in "
-      "which a verdict is reached, 2 s here, and two writes.");
+// Kills a holder that is not the leader or, with one block, the leader.
+Experiment MeasureHolderFailure(const RunOptions& run_options) {
+  Experiment experiment = MakeExperiment(
+      "after_death", "Time from a holder's failure to the next start on its machines", "s",
+      "With one block the holder is the leader. The lower bound is the time to a verdict, 2 s "
+      "here, plus two writes.");
   experiment.x_label = "blocks";
   experiment.series = {"full load"};
-  for (int blocks = 1; blocks <= kMostBlocks; ++blocks) {
-    Samples samples(kTimes);
-    for (int run = 0; run < effort.runs; ++run) {
-      BlocksCluster cluster(WithBlocks(blocks, effort.seed + static_cast<uint64_t>(run)));
+  for (int blocks = 1; blocks <= kMaxBlocks; ++blocks) {
+    Samples samples(kTimeRange);
+    for (int run = 0; run < run_options.runs; ++run) {
+      BlocksCluster cluster(WithBlocks(blocks, run_options.seed + static_cast<uint64_t>(run)));
       cluster.RunFor(kSettleS);
       const std::string other = cluster.HolderOtherThan(cluster.Leader());
       const std::string holder = blocks > 1 ? other : cluster.Leader();
@@ -98,8 +101,8 @@
         began = cluster.now();
         cluster.Kill(holder);
       });
-      Load(cluster, kHeavyS, kMeasuredS);
-      samples.Add(next ? *next - began : kTimes.most);
+      SubmitLoad(cluster, kFullLoadIntervalS, kMeasuredS);
+      samples.Add(next ? *next - began : kTimeRange.max);
     }
     experiment.points.push_back({static_cast<double>(blocks), {samples.Summarize()}});
   }
@@ -108,42 +111,47 @@
 
 }  // namespace
 
-std::vector<Experiment> MeasureBlocks(const Effort& effort) {
+std::vector<Experiment> MeasureBlocks(const RunOptions& run_options) {
   return {
-      UnderLoad(
-          Described("wait", "Time from submission to start, by task", "s",
-                    "Under the full load a task waits for its team's limit above all. The best "
-                    "is one block's: it needs no lending."),
-          kTimes, effort,
+      MeasureUnderLoad(
+          MakeExperiment(
+              "wait", "Time from submission to start, by task", "s",
+              "Under full load a task mainly waits for its team's limit. One block is the "
+              "optimum, because it needs no lending."),
+          kTimeRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             for (const double wait : cluster.waits()) samples.Add(wait);
           }),
-      UnderLoad(Described("idle", "Part of the limit that lay idle while a task waited for it",
-                          "part of the limit", "The best is none."),
-                kParts, effort,
-                [](BlocksCluster& cluster, double duration_s, Samples& samples) {
-                  samples.Add(cluster.idle_cpu_s() / duration_s / BlocksCluster::Options().limit);
-                }),
-      UnderLoad(
-          Described("writes", "Keys written for each task", "keys",
-                    "Submissions, placements, ends, and with more than one block what is lent."),
-          kCounts, effort,
+      MeasureUnderLoad(
+          MakeExperiment("idle", "Fraction of the limit left unused while a task waited for it",
+                         "fraction of the limit", "The optimum is 0."),
+          kFractionRange, run_options,
+          [](BlocksCluster& cluster, double duration_s, Samples& samples) {
+            samples.Add(cluster.idle_cpu_s() / duration_s / BlocksCluster::Options().limit);
+          }),
+      MeasureUnderLoad(
+          MakeExperiment(
+              "writes", "Keys written for each task", "keys",
+              "Submissions, placements, task ends and, with more than one block, lent shares."),
+          kCountRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             samples.Add(static_cast<double>(cluster.writes()) / cluster.starts());
           }),
-      UnderLoad(
-          Described("conflicts", "Transactions that lost, for each task", "transactions",
-                    "Two that write the same group of tasks, or one whose share has changed."),
-          kCounts, effort,
+      MeasureUnderLoad(
+          MakeExperiment(
+              "conflicts", "Failed transactions for each task", "transactions",
+              "Two transactions wrote the same task group, or the sender's share has changed."),
+          kCountRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             samples.Add(static_cast<double>(cluster.conflicts()) / cluster.starts());
           }),
-      UnderLoad(Described("overshoot", "Starts beyond the limit", "starts", "The best is none."),
-                kCounts, effort,
-                [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
-                  samples.Add(cluster.starts_over_limit());
-                }),
-      AfterDeath(effort),
+      MeasureUnderLoad(
+          MakeExperiment("overshoot", "Starts beyond the limit", "starts", "The optimum is 0."),
+          kCountRange, run_options,
+          [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
+            samples.Add(cluster.starts_over_limit());
+          }),
+      MeasureHolderFailure(run_options),
   };
 }
 
--- a/tools/blocks_report/experiments.h
+++ b/tools/blocks_report/experiments.h
@@ -1,5 +1,6 @@
-// What the blocks report measures, in fake time on simulated nodes, against the number of blocks:
-// how long tasks wait, what lies idle, what is written, and how long a lost block stands still.
+// Experiments of the blocks report, in fake time on simulated nodes, over the number of blocks: the
+// waiting time of tasks, unused limit, writes, conflicts, starts over the limit, and the time until
+// the machines of a failed holder are used again.
 #pragma once
 
 #include <vector>
@@ -8,6 +9,6 @@
 
 namespace hallpier::report {
 
-std::vector<Experiment> MeasureBlocks(const Effort& effort);
+std::vector<Experiment> MeasureBlocks(const RunOptions& run_options);
 
 }  // namespace hallpier::report
--- a/tools/blocks_report/main.cc
+++ b/tools/blocks_report/main.cc
@@ -1,9 +1,9 @@
-// Measures what it costs to divide machines and limits among controllers, in fake time, and writes
-// an HTML report with plots.
+// Measures the cost of dividing machines and team limits among controllers, in fake time, and
+// writes an HTML report with plots.
 #include "experiments.h"
 #include "page.h"
 
-// An exception that reaches main ends the process, as it should.
+// An exception that reaches main terminates the process, which is intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   using namespace hallpier::report;
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -11,12 +11,12 @@
 using testing_support::MembershipCluster;
 
 constexpr double kSettleS = 30;
-// A leader's lease and the time between two probes, in report periods (config/settings.h).
+// The leader's lease and the probe interval, in report periods (config/settings.h).
 constexpr double kLeaseRatio = 0.5;
 constexpr double kProbeRatio = 1.0 / 16;
 
-constexpr Scale kTimes{60, 12000};  // 5 ms
-constexpr Scale kCounts{2000, 2000};
+constexpr HistogramRange kTimeRange{60, 12000};  // 5 ms
+constexpr HistogramRange kCountRange{2000, 2000};
 const std::vector<std::string> kOffAndOn = {"off", "on"};
 
 MembershipCluster::Options ForReportPeriod(double heartbeat_interval_s) {
@@ -26,18 +26,19 @@
   return options;
 }
 
-// Runs `measure` for each seed on a cluster that has settled, off and on.
-Point MeasurePoint(double x, MembershipCluster::Options options, const Effort& effort, Scale scale,
+// Runs `measure` for each seed on a cluster that has a leader, with membership off and on.
+Point MeasurePoint(double x, MembershipCluster::Options options, const RunOptions& run_options,
+                   HistogramRange range,
                    const std::function<void(MembershipCluster&, Samples&)>& measure) {
   Point point{.x = x, .values = {}};
   for (const bool on : {false, true}) {
-    Samples samples(scale);
+    Samples samples(range);
     options.membership = on;
-    for (int run = 0; run < effort.runs; ++run) {
-      options.seed = effort.seed + static_cast<uint64_t>(run);
+    for (int run = 0; run < run_options.runs; ++run) {
+      options.seed = run_options.seed + static_cast<uint64_t>(run);
       MembershipCluster cluster(options);
       cluster.RunUntil([&] { return !cluster.Leader().empty(); }, kSettleS);
-      // Not always at the same moment of the lease.
+      // Varies the phase of the lease at which the measurement begins.
       cluster.RunFor(10 + 0.037 * run);
       measure(cluster, samples);
     }
@@ -54,57 +55,59 @@
   samples.Add(cluster.now() - began);
 }
 
-Experiment Handover(const Effort& effort) {
+Experiment MeasureHandover(const RunOptions& run_options) {
   Experiment e{
       .name = "handover",
-      .title = "Time from the freeze of a leader to its successor",
+      .title = "Time from the freeze of a leader to the election of its successor",
       .x_label = "report period (s)",
       .y_label = "s",
       .explanation =
-          "The leader's lease of half a report period runs out between two thirds of its "
-          "length and all of it after the freeze, and comes first here. A verdict takes "
-          "three missed probes, the agreement of the other observer, and three intervals in "
-          "which the suspicion stands recorded. The best that could be had is the time of "
-          "the first missed probe; what prevents it is that one missed probe says nothing "
-          "of a small core that is late with its turns.",
+          "The leader's lease lasts half a report period. It expires between two thirds of its "
+          "duration and all of it after the freeze, which is before the verdict here. A verdict "
+          "takes three missed probes, the agreement of the other observer, and three intervals "
+          "in which the suspicion is recorded. The lower bound is the time of the first missed "
+          "probe. It is not reached because one missed probe does not prove that a node has "
+          "failed: on a small core its process may merely be scheduled late.",
       .series = kOffAndOn,
       .points = {}};
   for (const double heartbeat_interval_s : {3.0, 4.0, 10.0}) {
     e.points.push_back(MeasurePoint(heartbeat_interval_s, ForReportPeriod(heartbeat_interval_s),
-                                    effort, kTimes, TimeToHandover));
+                                    run_options, kTimeRange, TimeToHandover));
   }
   return e;
 }
 
-Experiment LongLease(const Effort& effort) {
+Experiment MeasureLongLease(const RunOptions& run_options) {
   Experiment e{.name = "long_lease",
-               .title = "The same with longer leases of the leader, report period 4 s",
+               .title = "Time to a successor with longer leader leases, report period 4 s",
                .x_label = "leader's lease (s)",
                .y_label = "s",
                .explanation =
-                   "A longer lease spares a slow leader; without membership it is paid for with "
-                   "every leader that ends. With it the time hardly depends on the lease.",
+                   "A longer lease tolerates a slow leader. Without membership it delays the "
+                   "handover after every failure of a leader. With membership the time hardly "
+                   "depends on the lease.",
                .series = kOffAndOn,
                .points = {}};
   for (const double lease_s : {2.0, 4.0, 8.0, 16.0}) {
     MembershipCluster::Options options = ForReportPeriod(4);
     options.leader_ttl_s = lease_s;
-    e.points.push_back(MeasurePoint(lease_s, options, effort, kTimes, TimeToHandover));
+    e.points.push_back(MeasurePoint(lease_s, options, run_options, kTimeRange, TimeToHandover));
   }
   return e;
 }
 
-Experiment Notice(const Effort& effort) {
-  Experiment e{.name = "notice",
-               .title = "Time until another node suspects a frozen node that does not lead",
-               .x_label = "report period (s)",
-               .y_label = "s",
-               .explanation = "Without membership nothing notices it; 30 s is the end of the run.",
-               .series = kOffAndOn,
-               .points = {}};
+Experiment MeasureDetection(const RunOptions& run_options) {
+  Experiment e{
+      .name = "notice",
+      .title = "Time until the leader suspects a frozen follower",
+      .x_label = "report period (s)",
+      .y_label = "s",
+      .explanation = "Without membership the failure is not detected; 30 s is the end of the run.",
+      .series = kOffAndOn,
+      .points = {}};
   for (const double heartbeat_interval_s : {3.0, 4.0, 10.0}) {
     e.points.push_back(MeasurePoint(
-        heartbeat_interval_s, ForReportPeriod(heartbeat_interval_s), effort, kTimes,
+        heartbeat_interval_s, ForReportPeriod(heartbeat_interval_s), run_options, kTimeRange,
         [](MembershipCluster& c, Samples& samples) {
           const std::string leader = c.Leader();
           const std::string subject = c.Name(leader == c.Name(0) ? 1 : 0);
@@ -119,18 +122,18 @@
   return e;
 }
 
-Experiment PauseLength(const Effort& effort) {
+Experiment MeasurePauseLength(const RunOptions& run_options) {
   Experiment e{.name = "pause_length",
-               .title = "Changes of the leader for one pause of it, report period 4 s",
+               .title = "Leader changes caused by one pause of the leader, report period 4 s",
                .x_label = "length of the pause (s)",
-               .y_label = "changes of the leader",
+               .y_label = "leader changes",
                .explanation =
-                   "A pause shorter than the lease should cost nothing, a longer one one change. "
-                   "Nobody can tell the two apart before the pause is over.",
+                   "A pause shorter than the lease should cause no change, a longer one should "
+                   "cause one. The two cannot be distinguished before the pause ends.",
                .series = kOffAndOn,
                .points = {}};
   for (const double pause_s : {0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0}) {
-    e.points.push_back(MeasurePoint(pause_s, ForReportPeriod(4), effort, kCounts,
+    e.points.push_back(MeasurePoint(pause_s, ForReportPeriod(4), run_options, kCountRange,
                                     [pause_s](MembershipCluster& c, Samples& samples) {
                                       const size_t before = c.handovers().size();
                                       const std::string leader = c.Leader();
@@ -145,26 +148,28 @@
   return e;
 }
 
-// Nothing fails; what is done wrongly in an hour, of the kind that `count` reads off.
-Experiment Wrongs(const std::string& name, const std::string& title, const std::string& x_label,
-                  const std::vector<double>& xs,
-                  const std::function<void(double, MembershipCluster::Options&)>& set,
-                  const std::function<double(const MembershipCluster&)>& count,
-                  const std::string& explanation, const Effort& effort) {
+// No node fails. Measures the events that `count` returns for one hour: false suspicions or
+// verdicts.
+Experiment MeasureFalsePositives(
+    const std::string& name, const std::string& title, const std::string& x_label,
+    const std::vector<double>& xs,
+    const std::function<void(double, MembershipCluster::Options&)>& set,
+    const std::function<double(const MembershipCluster&)>& count, const std::string& explanation,
+    const RunOptions& run_options) {
   Experiment e{.name = name,
                .title = title,
                .x_label = x_label,
-               .y_label = "in an hour",
+               .y_label = "per hour",
                .explanation = explanation,
                .series = kOffAndOn,
                .points = {}};
-  // An hour of simulated time each: fewer of them, and no whole one for a single run.
-  const double observed_s = effort.runs > 1 ? 3600 : 60;
-  const Effort less{.runs = std::max(1, effort.runs / 10), .seed = effort.seed};
+  // Each run simulates an hour, so a tenth of the runs is used. A single run is shortened to 60 s.
+  const double observed_s = run_options.runs > 1 ? 3600 : 60;
+  const RunOptions fewer_runs{.runs = std::max(1, run_options.runs / 10), .seed = run_options.seed};
   for (const double x : xs) {
     MembershipCluster::Options options = ForReportPeriod(4);
     set(x, options);
-    e.points.push_back(MeasurePoint(x, options, less, kCounts,
+    e.points.push_back(MeasurePoint(x, options, fewer_runs, kCountRange,
                                     [&count, observed_s](MembershipCluster& c, Samples& samples) {
                                       const double before = count(c);
                                       c.RunFor(observed_s);
@@ -174,12 +179,14 @@
   return e;
 }
 
-double Suspicions(const MembershipCluster& c) { return static_cast<double>(c.suspicions()); }
-double Verdicts(const MembershipCluster& c) { return static_cast<double>(c.verdicts().size()); }
+double CountSuspicions(const MembershipCluster& c) { return static_cast<double>(c.suspicions()); }
+double CountVerdicts(const MembershipCluster& c) {
+  return static_cast<double>(c.verdicts().size());
+}
 
 }  // namespace
 
-std::vector<Experiment> MeasureMembership(const Effort& effort) {
+std::vector<Experiment> MeasureMembership(const RunOptions& run_options) {
   const std::vector<double> losses = {0, 0.01, 0.05, 0.1, 0.2};
   auto lossy = [](double x, MembershipCluster::Options& o) {
     o.loss = x;
@@ -187,29 +194,33 @@
   };
   const std::vector<double> loads = {0, 0.05, 0.1, 0.2, 0.4};
   auto busy = [](double x, MembershipCluster::Options& o) {
-    o.busy = x;
-    o.busy_s = 5;
+    o.pause_probability = x;
+    o.max_pause_s = 5;
   };
   return {
-      Notice(effort),
-      Handover(effort),
-      LongLease(effort),
-      PauseLength(effort),
-      Wrongs("loss_suspicions", "Recorded suspicions of nodes that are well, against loss",
-             "part of packets sent again", losses, lossy, Suspicions,
-             "Each packet that is lost comes 1 s later, or more if it is lost again.", effort),
-      Wrongs("loss_verdicts", "Verdicts on nodes that are well, against loss",
-             "part of packets sent again", losses, lossy, Verdicts, "The best is none.", effort),
-      Wrongs("load_suspicions", "Recorded suspicions of nodes that are well, against load",
-             "part of ticks followed by up to 5 s without a turn", loads, busy, Suspicions,
-             "Probes and answers are late as their sender is; who is late itself waits longer "
-             "before it suspects others.",
-             effort),
-      Wrongs("load_verdicts", "Verdicts on nodes that are well, against load",
-             "part of ticks followed by up to 5 s without a turn", loads, busy, Verdicts,
-             "The best is none. A node that is late in refuting as well may be judged; it joins "
-             "again at once.",
-             effort),
+      MeasureDetection(run_options),
+      MeasureHandover(run_options),
+      MeasureLongLease(run_options),
+      MeasurePauseLength(run_options),
+      MeasureFalsePositives(
+          "loss_suspicions", "Recorded suspicions of healthy nodes, by packet loss",
+          "fraction of packets retransmitted", losses, lossy, CountSuspicions,
+          "Each lost packet arrives 1 s later, or later still if it is lost again.", run_options),
+      MeasureFalsePositives("loss_verdicts", "Verdicts on healthy nodes, by packet loss",
+                            "fraction of packets retransmitted", losses, lossy, CountVerdicts,
+                            "The optimum is 0.", run_options),
+      MeasureFalsePositives(
+          "load_suspicions", "Recorded suspicions of healthy nodes, by load",
+          "fraction of ticks followed by a pause of up to 5 s", loads, busy, CountSuspicions,
+          "Probes and answers are as late as their sender. A node that is late itself waits longer "
+          "before it suspects others.",
+          run_options),
+      MeasureFalsePositives(
+          "load_verdicts", "Verdicts on healthy nodes, by load",
+          "fraction of ticks followed by a pause of up to 5 s", loads, busy, CountVerdicts,
+          "The optimum is 0. A node that is also late in refuting a suspicion may receive a "
+          "verdict; it rejoins immediately.",
+          run_options),
   };
 }
 
--- a/tools/membership_report/experiments.h
+++ b/tools/membership_report/experiments.h
@@ -1,5 +1,6 @@
-// What the membership report measures, in fake time on simulated nodes: how soon a dead leader is
-// noticed and followed, and how often a living one is wronged, with membership off and on.
+// Experiments of the membership report, in fake time on simulated nodes, with membership off and
+// on: the time to detect and to replace a failed leader, and the rate of false suspicions and
+// verdicts.
 #pragma once
 
 #include <vector>
@@ -8,6 +9,6 @@
 
 namespace hallpier::report {
 
-std::vector<Experiment> MeasureMembership(const Effort& effort);
+std::vector<Experiment> MeasureMembership(const RunOptions& run_options);
 
 }  // namespace hallpier::report
--- a/tools/report/experiment.h
+++ b/tools/report/experiment.h
@@ -1,4 +1,5 @@
-// What a report holds: for each experiment, a quantity in several series over what is varied.
+// Contents of a report. Each experiment has one or more series of a quantity measured over a varied
+// parameter.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -8,7 +9,7 @@
 
 namespace hallpier::report {
 
-// Quantiles of one measured quantity.
+// Quantiles of a measured quantity.
 struct Summary {
   double median = 0;
   double p90 = 0;
@@ -16,14 +17,14 @@
   size_t samples = 0;
 };
 
-// One setting of what is varied, with a summary for each series of its experiment.
+// One value of the varied parameter, with a summary for each series of the experiment.
 struct Point {
   double x = 0;
   std::vector<Summary> values;
 };
 
 struct Experiment {
-  std::string name;  // file name of its plot
+  std::string name;  // file name of the plot, without extension
   std::string title;
   std::string x_label, y_label;
   std::string explanation;
@@ -31,20 +32,20 @@
   std::vector<Point> points;
 };
 
-struct Effort {
-  int runs = 100;     // for each point
-  uint64_t seed = 1;  // of the first run
+struct RunOptions {
+  int runs = 100;     // number of runs for each point
+  uint64_t seed = 1;  // seed of the first run; later runs count up
 };
 
-// Bins of a quantity; what lies beyond counts as the most.
-struct Scale {
-  double most;
+// Range and number of bins of a histogram. A quantile beyond the range is reported as `max`.
+struct HistogramRange {
+  double max;
   unsigned bins;
 };
 
 class Samples {
  public:
-  explicit Samples(Scale scale);
+  explicit Samples(HistogramRange range);
   void Add(double value);
   Summary Summarize() const;
 
@@ -52,10 +53,10 @@
   using Axis = boost::histogram::axis::regular<>;
   using Histogram = decltype(boost::histogram::make_histogram(Axis()));
 
-  // The lower edge of the bin in which the quantile lies.
+  // Returns the lower edge of the bin that contains the quantile.
   double Quantile(double q) const;
 
-  const double most_;
+  const double max_;
   Histogram histogram_;
   size_t count_ = 0;
 };
--- a/tools/report/page.cc
+++ b/tools/report/page.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr PLINT kBlack = 15;
-// Of the series, in their order: red, blue, green.
+// Colors of the series, in order: red, blue, green.
 constexpr PLINT kColors[] = {1, 9, 3};
 
 struct Curve {
--- a/tools/report/page.h
+++ b/tools/report/page.h
@@ -1,4 +1,4 @@
-// The HTML report: a plot (PLplot) and a table for each experiment, put together from a template
+// Writes the HTML report: a plot (PLplot) and a table for each experiment, laid out by a template
 // (ctemplate).
 #pragma once
 
@@ -16,16 +16,17 @@
   std::string template_file;
 };
 
-// One line for each point, on the console.
+// Prints one line for each point to standard output.
 void Print(const Experiment& experiment);
-// Writes DIR/NAME.svg. An experiment has three series at the most.
+// Writes `folder`/NAME.svg, where NAME is the name of the experiment. Supports up to three series.
 void DrawPlot(const Experiment& experiment, const std::string& folder);
-// Writes DIR/index.html from the template; false if that can't be read.
+// Writes `folder`/index.html from the template. Returns false if the template cannot be read or the
+// file cannot be written.
 bool WritePage(const Page& contents, const std::string& folder);
 
-// The command line of a tool that writes a report: its exit status. `measure` gets the effort asked
-// for.
-using Measure = std::vector<Experiment> (*)(const Effort& effort);
+// Runs a report tool: parses its command line, calls `measure` with the requested runs and seed,
+// and writes the report. Returns the exit status.
+using Measure = std::vector<Experiment> (*)(const RunOptions& run_options);
 int RunReport(int argc, char** argv, const std::string& title, const std::string& introduction,
               Measure measure);
 
--- a/tools/report/samples.cc
+++ b/tools/report/samples.cc
@@ -4,9 +4,9 @@
 
 namespace hallpier::report {
 
-Samples::Samples(Scale scale)
-    : most_(scale.most),
-      histogram_(boost::histogram::make_histogram(Axis(scale.bins, 0.0, scale.most))) {}
+Samples::Samples(HistogramRange range)
+    : max_(range.max),
+      histogram_(boost::histogram::make_histogram(Axis(range.bins, 0.0, range.max))) {}
 
 void Samples::Add(double value) {
   histogram_(value);
@@ -18,11 +18,11 @@
 }
 
 double Samples::Quantile(double q) const {
-  const double wanted = q * static_cast<double>(count_);
-  double seen = 0;
+  const double target = q * static_cast<double>(count_);
+  double cumulative = 0;
   for (auto&& bin : boost::histogram::indexed(histogram_, boost::histogram::coverage::all)) {
-    seen += static_cast<double>(*bin);
-    if (seen >= wanted && seen > 0) return std::clamp(bin.bin().lower(), 0.0, most_);
+    cumulative += static_cast<double>(*bin);
+    if (cumulative >= target && cumulative > 0) return std::clamp(bin.bin().lower(), 0.0, max_);
   }
   return 0;
 }
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -1,5 +1,5 @@
-// How long a takeover and a round take at several sizes of the fleet, on this machine's processor
-// and without any I/O. Prints one line for each size.
+// Measures the duration of a leader takeover and of a scheduling round for several fleet sizes, on
+// the processor of the machine it runs on and without any I/O. Prints one line for each size.
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -15,7 +15,7 @@
 
 using hallpier::testing_support::LargeFleet;
 
-double Milliseconds(const std::function<void()>& f) {
+double ElapsedMs(const std::function<void()>& f) {
   const auto began = std::chrono::steady_clock::now();
   f();
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began)
@@ -33,14 +33,14 @@
   for (int run = 0; run < runs; ++run) {
     LargeFleet fleet(machines);
     const double now = LargeFleet::kStart;
-    load.push_back(Milliseconds([&] { fleet.PutRecords(); }));
-    takeover.push_back(Milliseconds([&] { fleet.TakeOver(now); }));
+    load.push_back(ElapsedMs([&] { fleet.PutRecords(); }));
+    takeover.push_back(ElapsedMs([&] { fleet.TakeOver(now); }));
     const auto listing = fleet.Listing();
-    list.push_back(Milliseconds([&] { fleet.registry().OnCloudList(listing, now, now + 1); }));
-    collect.push_back(Milliseconds([&] {
+    list.push_back(ElapsedMs([&] { fleet.registry().OnCloudList(listing, now, now + 1); }));
+    collect.push_back(ElapsedMs([&] {
       hallpier::fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), now + 1);
     }));
-    round.push_back(Milliseconds([&] { placed = fleet.Plan(now + 1).placements.size(); }));
+    round.push_back(ElapsedMs([&] { placed = fleet.Plan(now + 1).placements.size(); }));
   }
   std::printf(
       "%6zu machines: load %.1f ms, takeover %.1f ms, list %.1f ms, collect %.1f ms, "
@@ -51,14 +51,14 @@
 
 }  // namespace
 
-// An exception that reaches main ends the process, as it should.
+// An exception that reaches main terminates the process, which is intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-  CLI::App cli("scale: cost of a takeover and of a round by the size of the fleet");
+  CLI::App cli("scale: duration of a leader takeover and of a round by fleet size");
   std::vector<size_t> sizes = {1000, 2000, 4000};
   int runs = 9;
-  cli.add_option("--machines", sizes, "sizes of the fleet");
-  cli.add_option("--runs", runs, "for each size")->check(CLI::Range(1, 1000));
+  cli.add_option("--machines", sizes, "fleet sizes, in machines");
+  cli.add_option("--runs", runs, "runs for each size")->check(CLI::Range(1, 1000));
   CLI11_PARSE(cli, argc, argv);
   spdlog::set_level(spdlog::level::off);
   for (const size_t machines : sizes) Measure(machines, runs);
