--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -109,20 +109,20 @@
       // No node may have told a cancellation that this one does not know of. What has been released
       // can't be cancelled by way of others any more.
       const jobs::Job* job = deps_.job_table->Find(id);
-      if (found.job.spec.awaits.empty() || (job != nullptr && !job->blocked)) co_return found;
-      const Fate fate = co_await FateOf(found.job.spec.awaits);
+      if (found.job.spec.dependencies.empty() || (job != nullptr && !job->blocked)) co_return found;
+      const Fate fate = co_await FateOf(found.job.spec.dependencies);
       if (fate == Fate::kUnknown) co_return Found();
       found.job.cancelled = fate == Fate::kCancelled;
       co_return found;
     }
     if (deps_.job_table->dependency_graph().UpstreamResolved(id)) co_return found;
-    const bool settled = co_await deps_.settled(id, deps_.client->timeout_s());
+    const bool settled = co_await deps_.wait_for_dependencies(id, deps_.client->timeout_s());
     if (!settled) co_return Found();
   }
 }
 
-async::Task<UserApi::Fate> UserApi::FateOf(std::vector<std::string> awaits) {
-  std::vector<std::string> next = std::move(awaits);
+async::Task<UserApi::Fate> UserApi::FateOf(std::vector<std::string> dependencies) {
+  std::vector<std::string> next = std::move(dependencies);
   std::unordered_set<std::string> seen;
   int reads = 0;
   while (!next.empty()) {
@@ -142,7 +142,7 @@
       if (found.final_record.phase == model::JobPhase::kCancelled) co_return Fate::kCancelled;
     } else if (found.kind == Found::Kind::kActive) {
       if (found.job.cancelled) co_return Fate::kCancelled;
-      const auto& more = found.job.spec.awaits;
+      const auto& more = found.job.spec.dependencies;
       next.insert(next.end(), more.begin(), more.end());
     } else {
       co_return Fate::kUnknown;
@@ -151,12 +151,12 @@
   co_return Fate::kGoesOn;
 }
 
-async::Task<std::optional<wire::HttpResponse>> UserApi::CheckAwaits(std::vector<std::string> awaits,
-                                                                    bool* cancelled) {
+async::Task<std::optional<wire::HttpResponse>> UserApi::CheckAwaits(
+    std::vector<std::string> dependencies, bool* cancelled) {
   // Sorted out here as far as is known; what is not, every node finds out for itself later on.
   *cancelled = false;
   const bool warm = co_await deps_.linearizable_read->CatchUp();
-  for (const std::string& id : awaits) {
+  for (const std::string& id : dependencies) {
     bool service = false;
     if (const jobs::Job* job = deps_.job_table->Find(id)) {
       service = job->spec.kind == model::JobKind::kService;
@@ -262,13 +262,13 @@
   const double most = deps_.settings->SmallestStateLimits().value_kb * 1024;
   record.tasks_per_group = deps_.formats->new_job_group_size();
   if (static_cast<double>(store::WriteJob(record).size()) > most) {
-    const bool many = record.spec.awaits.size() > record.spec.machine_types.size();
+    const bool many = record.spec.dependencies.size() > record.spec.machine_types.size();
     refused = Answer(400, wire::WriteError(many ? "names more jobs than fit"
                                                 : "lists more machine types than fit",
                                            many ? "awaits" : "flavors"));
   }
-  if (!record.spec.awaits.empty()) {
-    if (!refused) refused = co_await CheckAwaits(record.spec.awaits, &record.cancelled);
+  if (!record.spec.dependencies.empty()) {
+    if (!refused) refused = co_await CheckAwaits(record.spec.dependencies, &record.cancelled);
     // Users name others only once every node can read it.
     if (!refused) deps_.formats->MarkAllNodesUpgraded("a submission awaits others");
   }
@@ -288,12 +288,12 @@
   if (r.ok()) {
     deps_.cache->ApplyAheadOfWatch(store::JobKey(id), value, r.value.revision);
     // What was read for it just now need not be read again.
-    for (const std::string& a : record.spec.awaits) {
+    for (const std::string& a : record.spec.dependencies) {
       if (auto it = final_records_.find(a); it != final_records_.end())
         deps_.job_table->SetFinalRecord(a, it->second);
     }
     spdlog::info("job {} accepted: {} x {} cpus, team {}, awaits {}{}", id, record.spec.tasks,
-                 record.spec.cpus, record.spec.team, record.spec.awaits.size(),
+                 record.spec.cpus, record.spec.team, record.spec.dependencies.size(),
                  record.cancelled ? ", cancelled with what it needs" : "");
     co_return Answer(201, wire::WriteJobPhase(id, model::JobPhase::kPending));
   }
@@ -332,7 +332,7 @@
     --cancelling_;
     if (r.ok()) {
       deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
-      deps_.announce(id, r.value.revision);
+      deps_.broadcast_cancellation(id, r.value.revision);
       spdlog::info("job {} cancelled", id);
       co_return Answer(200, wire::WriteJobPhase(id, model::JobPhase::kCancelled));
     }
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -34,9 +34,9 @@
     const std::vector<model::MachineType>* machine_types;  // empty: not known yet
     std::function<double()> time_of_day;
     // True once the warm copy knows how all ended that a job needs; false if that takes too long.
-    std::function<async::Task<bool>(std::string id, double limit_s)> settled;
+    std::function<async::Task<bool>(std::string id, double limit_s)> wait_for_dependencies;
     // Tells the other nodes of a cancellation that was just recorded under this version.
-    std::function<void(const std::string& id, uint64_t version)> announce;
+    std::function<void(const std::string& id, uint64_t version)> broadcast_cancellation;
   };
   explicit UserApi(Deps deps) : deps_(std::move(deps)) {}
 
@@ -44,7 +44,7 @@
   async::Task<wire::HttpResponse> Poll(std::string id);
   async::Task<wire::HttpResponse> Cancel(std::string id);
   // Cancellations that are being recorded just now.
-  int cancelling() const { return cancelling_; }
+  int pending_cancellations() const { return cancelling_; }
 
  private:
   struct Found {
@@ -65,10 +65,10 @@
   // Whether a job that is not cancelled itself is cancelled by way of those it needs, from reads of
   // their records: for when the warm copy can't be made fresh.
   enum class Fate { kGoesOn, kCancelled, kUnknown };
-  async::Task<Fate> FateOf(std::vector<std::string> awaits);
+  async::Task<Fate> FateOf(std::vector<std::string> dependencies);
   // What a submission that awaits others is to be told at once; nothing if all of them were
   // accepted. `cancelled`: one of them is cancelled already.
-  async::Task<std::optional<wire::HttpResponse>> CheckAwaits(std::vector<std::string> awaits,
+  async::Task<std::optional<wire::HttpResponse>> CheckAwaits(std::vector<std::string> dependencies,
                                                              bool* cancelled);
   async::Task<std::optional<wire::HttpResponse>> Accept(model::JobSpec spec);
   wire::HttpResponse Status(const std::string& id, const Found& found) const;
--- a/src/async/event_loop.cc
+++ b/src/async/event_loop.cc
@@ -26,7 +26,7 @@
          static_cast<double>(time.tv_nsec) * kSecondsPerNanosecond;
 }
 
-void EventLoop::WatchPauses(double bound_s) {
+void EventLoop::DetectPauses(double bound_s) {
   pause_bound_s_ = bound_s;
   last_turn_ = Now();
   ev_timer_stop(loop_, &tick_);
--- a/src/async/event_loop.h
+++ b/src/async/event_loop.h
@@ -25,7 +25,7 @@
   double Now() const;
   // Takes a gap of more than `bound_s` between two turns for a pause of the whole process: it was
   // not scheduled while its clocks went on, so that all it knew may be out of date.
-  void WatchPauses(double bound_s);
+  void DetectPauses(double bound_s);
   // Steady time in seconds at which the process went on after its last such pause; minus infinity
   // if there was none. A pause counts from the moment it is over, even before the loop has had a
   // turn.
--- a/src/async/scope.h
+++ b/src/async/scope.h
@@ -28,7 +28,7 @@
   void Cancel();
   bool cancelled() const { return cancelled_; }
   // Coroutines that have not ended yet.
-  int live() const { return live_; }
+  int active_coroutines() const { return live_; }
   // Waits, even if this scope is cancelled, until every coroutine of it has ended.
   Task<> Join();
   EventLoop& loop() { return loop_; }
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/view_sender.cc
@@ -31,7 +31,7 @@
 
 // How long a task has been in its phase changes all the time; the node counts on by itself.
 std::string EncodedWithoutTimes(model::MachineView view) {
-  for (model::TaskView& task : view.tasks) task.for_ms = 0;
+  for (model::TaskView& task : view.tasks) task.phase_age_ms = 0;
   std::string out;
   wire::PutMachineView(out, view);
   return out;
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cli/members_command.h"
-#include "config/contradictions.h"
+#include "config/consistency_check.h"
 #include "config/operator_options.h"
 #include "config/settings_parser.h"
 #include "controller/controller.h"
@@ -44,7 +44,8 @@
 }
 
 // False, after a line for each, if there are any.
-bool CheckFaults(const std::string& file, const std::vector<hallpier::config::Fault>& faults) {
+bool CheckFaults(const std::string& file,
+                 const std::vector<hallpier::config::ConfigError>& faults) {
   for (const auto& fault : faults) {
     std::fprintf(stderr, "%s: %s\n", file.c_str(), fault.Text().c_str());
   }
@@ -115,14 +116,14 @@
   if (const int* status = std::get_if<int>(&parsed)) return *status;
   const auto& arguments = std::get<Arguments>(parsed);
   auto settings = config::LoadSettings(arguments.config_file);
-  if (!CheckFaults(arguments.config_file, settings.faults)) return kBadSettings;
+  if (!CheckFaults(arguments.config_file, settings.errors)) return kBadSettings;
   if (arguments.members) return cli::RunMembersCommand(settings.value, arguments.json);
-  config::Parsed<config::OperatorOptions> options;
+  config::ParseResult<config::OperatorOptions> options;
   if (!arguments.operator_file.empty()) {
     options = config::LoadOperatorOptions(arguments.operator_file);
   }
-  if (!CheckFaults(arguments.operator_file, options.faults)) return kBadSettings;
-  const auto contradictions = config::FindContradictions(settings.value, options.value);
+  if (!CheckFaults(arguments.operator_file, options.errors)) return kBadSettings;
+  const auto contradictions = config::CheckConsistency(settings.value, options.value);
   if (!CheckFaults(arguments.config_file, contradictions)) return kBadSettings;
   if (arguments.check) {
     std::printf("settings are good\n");
--- a/src/config/fault.h
+++ b/src/config/config_error.h
@@ -6,21 +6,21 @@
 
 namespace hallpier::config {
 
-struct Fault {
+struct ConfigError {
   std::string field;  // its path in the file, or the line where the file can't be parsed
   std::string reason;
 
   // One line for a person.
   std::string Text() const { return field + ": " + reason; }
-  bool operator==(const Fault&) const = default;
+  bool operator==(const ConfigError&) const = default;
 };
 
 template <class T>
-struct Parsed {
-  T value;                    // defaults stand where a field is at fault
-  std::vector<Fault> faults;  // none: the value is good
+struct ParseResult {
+  T value;                          // defaults stand where a field is at fault
+  std::vector<ConfigError> errors;  // none: the value is good
 
-  bool ok() const { return faults.empty(); }
+  bool ok() const { return errors.empty(); }
 };
 
 }  // namespace hallpier::config
--- a/src/config/contradictions.cc
+++ b/src/config/consistency_check.cc
@@ -1,4 +1,4 @@
-#include "config/contradictions.h"
+#include "config/consistency_check.h"
 
 #include <sstream>
 #include <string_view>
@@ -13,7 +13,7 @@
   double limit;
 };
 
-void CheckQuota(const Team& team, const Quota& quota, std::vector<Fault>* faults) {
+void CheckQuota(const Team& team, const Quota& quota, std::vector<ConfigError>* faults) {
   if (quota.limit <= 0 || quota.guarantee <= quota.limit) return;
   std::ostringstream reason;
   reason << team.name << " is guaranteed " << quota.guarantee << " " << quota.resource
@@ -23,8 +23,9 @@
 
 }  // namespace
 
-std::vector<Fault> FindContradictions(const Settings& settings, const OperatorOptions& options) {
-  std::vector<Fault> faults;
+std::vector<ConfigError> CheckConsistency(const Settings& settings,
+                                          const OperatorOptions& options) {
+  std::vector<ConfigError> faults;
   // Controllers that share a limit lend each other no more than the limit; a guarantee beyond it
   // could never be met.
   if (!options.blocks.enabled) return faults;
--- a/src/config/operator_options.cc
+++ b/src/config/operator_options.cc
@@ -24,7 +24,7 @@
 
 // libconfuse reports faults through a plain function; this is where the current parse wants them.
 // Options are parsed by one thread, at the start of the process.
-std::vector<Fault>* parse_faults = nullptr;
+std::vector<ConfigError>* parse_faults = nullptr;
 
 void OnParseError(cfg_t* file, const char* format, va_list args) {
   constexpr size_t kMaxMessage = 200;
@@ -52,7 +52,7 @@
 
 // `path`: of the section, before the names of its options.
 void ReadNumbers(cfg_t* section, const std::string& path, const std::vector<NumberOption>& numbers,
-                 std::vector<Fault>* faults) {
+                 std::vector<ConfigError>* faults) {
   for (const NumberOption& number : numbers) {
     const double value = cfg_getfloat(section, number.name);
     if (value >= number.least && value <= number.most) {
@@ -97,7 +97,7 @@
   };
 }
 
-void CheckBlocks(const OperatorOptions& options, std::vector<Fault>* faults) {
+void CheckBlocks(const OperatorOptions& options, std::vector<ConfigError>* faults) {
   if (options.blocks.holders != std::floor(options.blocks.holders)) {
     faults->push_back({"blocks.holders", "not a whole number"});
   }
@@ -113,8 +113,8 @@
   return std::min(settings.heartbeat_interval_s, kRounds * options.round_s);
 }
 
-Parsed<OperatorOptions> ParseOperatorOptions(const std::string& text) {
-  Parsed<OperatorOptions> parsed;
+ParseResult<OperatorOptions> ParseOperatorOptions(const std::string& text) {
+  ParseResult<OperatorOptions> parsed;
   OperatorOptions& options = parsed.value;
   const std::vector<NumberOption> numbers = GeneralNumbers(&options);
   const std::vector<NumberOption> membership_numbers = MembershipNumbers(&options.membership);
@@ -128,22 +128,22 @@
   const std::unique_ptr<cfg_t, decltype(&cfg_free)> file(cfg_init(file_options.data(), CFGF_NONE),
                                                          &cfg_free);
   cfg_set_error_function(file.get(), OnParseError);
-  parse_faults = &parsed.faults;
+  parse_faults = &parsed.errors;
   const bool readable = cfg_parse_buf(file.get(), text.c_str()) == CFG_SUCCESS;
   parse_faults = nullptr;
   if (!readable) return parsed;
-  ReadNumbers(file.get(), "", numbers, &parsed.faults);
+  ReadNumbers(file.get(), "", numbers, &parsed.errors);
   cfg_t* membership = cfg_getsec(file.get(), "membership");
-  ReadNumbers(membership, "membership.", membership_numbers, &parsed.faults);
+  ReadNumbers(membership, "membership.", membership_numbers, &parsed.errors);
   options.membership.enabled = cfg_getbool(membership, "enabled") == cfg_true;
   cfg_t* blocks = cfg_getsec(file.get(), "blocks");
-  ReadNumbers(blocks, "blocks.", block_numbers, &parsed.faults);
+  ReadNumbers(blocks, "blocks.", block_numbers, &parsed.errors);
   options.blocks.enabled = cfg_getbool(blocks, "enabled") == cfg_true;
-  CheckBlocks(options, &parsed.faults);
+  CheckBlocks(options, &parsed.errors);
   return parsed;
 }
 
-Parsed<OperatorOptions> LoadOperatorOptions(const std::string& path) {
+ParseResult<OperatorOptions> LoadOperatorOptions(const std::string& path) {
   auto text = ReadTextFile(path);
   if (!text) return {{}, {{path, "can't be read"}}};
   return ParseOperatorOptions(*text);
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "config/fault.h"
+#include "config/config_error.h"
 #include "config/settings.h"
 
 namespace hallpier::config {
@@ -47,7 +47,7 @@
 double ReactionTimeS(const Settings& settings, const OperatorOptions& options);
 
 // Faults name the field and the value.
-Parsed<OperatorOptions> ParseOperatorOptions(const std::string& text);
-Parsed<OperatorOptions> LoadOperatorOptions(const std::string& path);
+ParseResult<OperatorOptions> ParseOperatorOptions(const std::string& text);
+ParseResult<OperatorOptions> LoadOperatorOptions(const std::string& path);
 
 }  // namespace hallpier::config
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -6,11 +6,11 @@
 
 StateLimits Settings::SmallestStateLimits() const {
   StateLimits smallest{state_rps, state_write_rps, value_kb, txn_ops};
-  if (!state_next) return smallest;
-  smallest.rps = std::min(smallest.rps, state_next->rps);
-  smallest.write_rps = std::min(smallest.write_rps, state_next->write_rps);
-  smallest.value_kb = std::min(smallest.value_kb, state_next->value_kb);
-  smallest.txn_ops = std::min(smallest.txn_ops, state_next->txn_ops);
+  if (!next_state_limits) return smallest;
+  smallest.rps = std::min(smallest.rps, next_state_limits->rps);
+  smallest.write_rps = std::min(smallest.write_rps, next_state_limits->write_rps);
+  smallest.value_kb = std::min(smallest.value_kb, next_state_limits->value_kb);
+  smallest.txn_ops = std::min(smallest.txn_ops, next_state_limits->txn_ops);
   return smallest;
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -51,7 +51,7 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  int size = 1;                     // controllers
+  int cluster_size = 1;             // controllers
   double skew_ms = 0;               // of wall clocks
   double heartbeat_interval_s = 0;  // of workers
   double lease_s = 0;               // of workers
@@ -61,7 +61,7 @@
   double value_kb = 0;
   int txn_ops = 0;
   // Limits that the state service may change to at any moment, without notice.
-  std::optional<StateLimits> state_next;
+  std::optional<StateLimits> next_state_limits;
   double cloud_rps = 0;
   double list_lag_s = 0;
   double core_share = 1;
--- a/src/config/settings_parser.cc
+++ b/src/config/settings_parser.cc
@@ -27,7 +27,7 @@
 // Reads fields one by one and collects the faults.
 class FieldReader {
  public:
-  FieldReader(const toml::table& root, std::vector<Fault>* faults)
+  FieldReader(const toml::table& root, std::vector<ConfigError>* faults)
       : root_(root), faults_(*faults) {}
 
   void AddFault(std::string field, std::string reason) {
@@ -113,7 +113,7 @@
 
  private:
   const toml::table& root_;
-  std::vector<Fault>& faults_;
+  std::vector<ConfigError>& faults_;
 };
 
 // A node may stand among its own seeds, but no name may stand for two of them.
@@ -147,7 +147,7 @@
 void ReadCluster(FieldReader& reader, Settings* settings) {
   const Section params = reader.RequiredSection("params");
   const double known_nodes = 1.0 + static_cast<double>(settings->seeds.size());
-  settings->size = static_cast<int>(reader.Number(params, "size", 1, known_nodes));
+  settings->cluster_size = static_cast<int>(reader.Number(params, "size", 1, known_nodes));
   settings->skew_ms = reader.Number(params, "skew_ms", 0, 0.0);
   const toml::array* zones = params.table["zones"].as_array();
   if (zones == nullptr) return;
@@ -200,7 +200,7 @@
   settings->txn_ops = limits.txn_ops;
   if (!state.table.contains("next")) return;
   if (const toml::table* next = state.table["next"].as_table()) {
-    settings->state_next = reader.Limits({*next, "params.state.next."}, limits);
+    settings->next_state_limits = reader.Limits({*next, "params.state.next."}, limits);
   } else {
     reader.AddFault("params.state.next", "not a table");
   }
@@ -228,17 +228,17 @@
 
 }  // namespace
 
-Parsed<Settings> ParseSettings(const std::string& text) {
-  Parsed<Settings> parsed;
+ParseResult<Settings> ParseSettings(const std::string& text) {
+  ParseResult<Settings> parsed;
   toml::table root;
   try {
     root = toml::parse(text);
   } catch (const toml::parse_error& error) {
     const std::string line = "line " + std::to_string(error.source().begin.line);
-    parsed.faults.push_back({line, std::string(error.description())});
+    parsed.errors.push_back({line, std::string(error.description())});
     return parsed;
   }
-  FieldReader reader(root, &parsed.faults);
+  FieldReader reader(root, &parsed.errors);
   ReadNode(reader, &parsed.value);
   ReadServices(reader, &parsed.value);
   ReadCluster(reader, &parsed.value);
@@ -251,7 +251,7 @@
   return parsed;
 }
 
-Parsed<Settings> LoadSettings(const std::string& path) {
+ParseResult<Settings> LoadSettings(const std::string& path) {
   auto text = ReadTextFile(path);
   if (!text) return {{}, {{path, "can't be read"}}};
   return ParseSettings(*text);
--- a/src/config/settings_parser.h
+++ b/src/config/settings_parser.h
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "config/fault.h"
+#include "config/config_error.h"
 #include "config/settings.h"
 
 namespace hallpier::config {
 
-Parsed<Settings> ParseSettings(const std::string& text);
-Parsed<Settings> LoadSettings(const std::string& path);
+ParseResult<Settings> ParseSettings(const std::string& text);
+ParseResult<Settings> LoadSettings(const std::string& path);
 
 }  // namespace hallpier::config
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -37,11 +37,11 @@
   options.endpoint = settings.state;
   options.rps = settings.state_rps;
   options.write_rps = settings.state_write_rps;
-  if (settings.state_next) {
+  if (settings.next_state_limits) {
     options.lowered_rps = settings.SmallestStateLimits().rps;
     options.lowered_write_rps = settings.SmallestStateLimits().write_rps;
   }
-  options.node_count = settings.size;
+  options.node_count = settings.cluster_size;
   options.timeout_s = kStateTimeoutS;
   options.max_response_bytes =
       static_cast<size_t>(settings.memory_mb * kResponseMemoryShare * 1024 * 1024);
@@ -102,7 +102,7 @@
       election_(root_scope_, settings_, operator_options_, client_, cache_, election_policy_,
                 [this](async::Scope& term) { leader_.BeginTerm(term); }),
       services_(MakeServices()),
-      cancellations_(services_, [this] { return user_api_.cancelling(); }),
+      cancellations_(services_, [this] { return user_api_.pending_cancellations(); }),
       membership_(operator_options_.membership.enabled ? MakeMembership() : nullptr),
       leader_(services_),
       block_placement_(operator_options_.blocks.enabled
@@ -115,7 +115,7 @@
               [this](wire::HttpRequest request) { return router_.Handle(std::move(request)); }),
       peers_(root_scope_, settings_, PeerHooks()),
       record_dispatcher_(services_, leader_, dependency_outcomes_, membership_, block_placement_) {
-  loop.WatchPauses(election_.MaxRenewalGapS());
+  loop.DetectPauses(election_.MaxRenewalGapS());
   client_.SetRelay([this](wire::HttpRequest request) { return peers_.Relay(std::move(request)); });
 }
 
@@ -164,10 +164,10 @@
   dependencies.job_table = &job_table_;
   dependencies.machine_types = &machine_types_;
   dependencies.time_of_day = TimeOfDay;
-  dependencies.settled = [this](std::string id, double limit_s) {
+  dependencies.wait_for_dependencies = [this](std::string id, double limit_s) {
     return dependency_outcomes_.AwaitResolved(std::move(id), limit_s);
   };
-  dependencies.announce = [this](const std::string& id, uint64_t version) {
+  dependencies.broadcast_cancellation = [this](const std::string& id, uint64_t version) {
     peers_.BroadcastCancellation({{id, version}});
   };
   return dependencies;
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -90,7 +90,7 @@
 }
 
 void TransactionCommitter::OnMalformed(const std::vector<model::KeyWrite>& writes) {
-  if (!services_.formats->packed_groups_enabled() && services_.settings->state_next) {
+  if (!services_.formats->packed_groups_enabled() && services_.settings->next_state_limits) {
     services_.formats->MarkAllNodesUpgraded("the limits are lower");
     return;
   }
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -54,7 +54,7 @@
   void OnNodeFailed(const std::string& node);
 
   // Returns true while this node has a token, whether or not it may still act under it.
-  bool leading() const { return token_.known(); }
+  bool leading() const { return token_.is_set(); }
   // The token of this node; unknown while it is not the leader.
   model::FencingToken token() const { return token_; }
   // Returns the highest token that this node knows, its own or that of another node.
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -111,7 +111,7 @@
     JobHistory& history = jobs_[job.job];
     history.failed_on.insert(job.failed_on.begin(), job.failed_on.end());
     history.suspected = job.suspected;
-    history.earliest_retry = job.retry_due ? now : std::numeric_limits<double>::infinity();
+    history.earliest_retry = job.retry_allowed ? now : std::numeric_limits<double>::infinity();
   }
   // The leader limits the rate of retries: each one that it grants may start immediately.
   next_retry_at_ = now - kRetryBurst / options_.retries_per_s;
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -118,7 +118,7 @@
   std::vector<bool> images;
 
   // False for a machine that is known only from the cloud.
-  bool has_reported() const { return agent.epoch.known(); }
+  bool has_reported() const { return agent.epoch.is_set(); }
   // True if the cloud has announced that it will reclaim the machine.
   bool HasSpotNotice() const { return agent.reclaim_at < std::numeric_limits<double>::infinity(); }
   // True if `report` is the newest known status of the machine.
--- a/src/fleet/machine_views.cc
+++ b/src/fleet/machine_views.cc
@@ -19,8 +19,8 @@
   view.attempt = reported.attempt;
   view.phase = reported.state;
   view.cause = reported.cause;
-  view.seen_start = reported.start_observed;
-  view.for_ms = static_cast<uint64_t>(std::max(0.0, now - reported.since) * kMsPerS);
+  view.start_observed = reported.start_observed;
+  view.phase_age_ms = static_cast<uint64_t>(std::max(0.0, now - reported.since) * kMsPerS);
   return view;
 }
 
@@ -29,8 +29,8 @@
   reported.attempt = view.attempt;
   reported.state = view.phase;
   reported.cause = view.cause;
-  reported.start_observed = view.seen_start;
-  reported.since = now - static_cast<double>(view.for_ms) / kMsPerS;
+  reported.start_observed = view.start_observed;
+  reported.since = now - static_cast<double>(view.phase_age_ms) / kMsPerS;
   return reported;
 }
 
@@ -48,7 +48,7 @@
   view.machine_type = machine.machine_type;
   view.zone = machine.zone;
   view.spot = machine.spot;
-  view.usable = registry.AcceptsTasks(machine, now);
+  view.accepts_tasks = registry.AcceptsTasks(machine, now);
   for (const std::string& image : images) {
     if (HasImage(registry, machine, image)) view.images.push_back(image);
   }
@@ -67,7 +67,7 @@
   machine.agent.last_heartbeat = now;
   machine.agent.last_status = now;
   machine.cloud.booting = false;
-  machine.cloud.terminating = !view.usable;
+  machine.cloud.terminating = !view.accepts_tasks;
   std::fill(machine.images.begin(), machine.images.end(), false);
   for (const std::string& image : view.images) registry.RecordImage(machine, image);
   machine.reported_tasks.clear();
--- a/src/fleet/placement_proof.cc
+++ b/src/fleet/placement_proof.cc
@@ -5,7 +5,7 @@
 bool IsProvenAbsent(const Machine& machine, const model::TaskId& task, model::FencingToken token) {
   if (machine.reported_tasks.contains(task)) return false;
   // Until the worker has seen our token, it may still accept commands of an earlier leader.
-  if (machine.agent.token != token || !token.known()) return false;
+  if (machine.agent.token != token || !token.is_set()) return false;
   auto sent = machine.sent_starts.find(task);
   // The worker now rejects commands of earlier leaders, and we have sent no start command.
   if (sent == machine.sent_starts.end()) return true;
--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -52,7 +52,7 @@
   if (!cancelled && !stop_requests.Contains(task, reported.attempt)) return std::nullopt;
   const double grace_s = cancelled ? 0 : stop_requests.GraceSeconds(task);
   // A task that is already writing its checkpoint needs no second command.
-  if (grace_s > 0 && reported.state == model::TaskPhase::kSaving) return std::nullopt;
+  if (grace_s > 0 && reported.state == model::TaskPhase::kCheckpointing) return std::nullopt;
   return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, grace_s};
 }
 
--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -48,7 +48,7 @@
     if (entry == nodes_.end() || !entry->second.state.blocked) continue;
     if (!visited.insert(current).second) continue;
     const Node& node = entry->second;
-    pending.insert(pending.end(), node.awaits.begin(), node.awaits.end());
+    pending.insert(pending.end(), node.dependencies.begin(), node.dependencies.end());
   }
   return true;
 }
@@ -74,7 +74,7 @@
   Node& node = entry->second;
   if (is_new) {
     InitNode(record, node);
-  } else if (node.awaits.empty() && node.state.runnable_since != record.submitted_at) {
+  } else if (node.dependencies.empty() && node.state.runnable_since != record.submitted_at) {
     node.state.runnable_since = record.submitted_at;
     MarkChanged(id);
   }
@@ -86,11 +86,11 @@
 
 void DependencyGraph::InitNode(const store::JobRecord& record, Node& node) {
   const std::string& id = record.spec.id;
-  node.awaits = record.spec.awaits;
+  node.dependencies = record.spec.dependencies;
   node.own_priority = record.spec.priority;
-  node.own_due = record.spec.due_s > 0 ? record.submitted_at + record.spec.due_s
-                                       : std::numeric_limits<double>::infinity();
-  node.estimate_s = record.spec.estimate_s;
+  node.own_due = record.spec.deadline_s > 0 ? record.submitted_at + record.spec.deadline_s
+                                            : std::numeric_limits<double>::infinity();
+  node.estimated_run_s = record.spec.estimated_run_s;
   node.state.runnable_since = record.submitted_at;
   node.state.priority = node.own_priority;
   node.state.deadline = node.own_due;
@@ -101,7 +101,7 @@
 
 void DependencyGraph::Connect(const std::string& id, Node& node) {
   bool upstream_cancelled = false;
-  for (const std::string& awaited_id : node.awaits) {
+  for (const std::string& awaited_id : node.dependencies) {
     AwaitedJob& awaited = awaited_[awaited_id];
     awaited.dependents.insert(id);
     UpdateUnresolved(awaited_id);
@@ -138,7 +138,7 @@
     Node& node = entry->second;
     node.state.cancelled = true;
     MarkChanged(current);
-    upstream.insert(node.awaits.begin(), node.awaits.end());
+    upstream.insert(node.dependencies.begin(), node.dependencies.end());
     const auto& dependents = Dependents(current);
     pending.insert(pending.end(), dependents.begin(), dependents.end());
   }
@@ -155,7 +155,7 @@
     Node& node = entry->second;
     if (!RecomputeUrgency(current, node)) continue;
     MarkChanged(current);
-    pending.insert(pending.end(), node.awaits.begin(), node.awaits.end());
+    pending.insert(pending.end(), node.dependencies.begin(), node.dependencies.end());
   }
 }
 
@@ -169,7 +169,7 @@
     const Node& dependent = entry->second;
     if (dependent.state.cancelled) continue;  // no longer needs this job
     state.priority = std::min(state.priority, dependent.state.priority);
-    state.deadline = std::min(state.deadline, dependent.state.deadline - dependent.estimate_s);
+    state.deadline = std::min(state.deadline, dependent.state.deadline - dependent.estimated_run_s);
   }
   if (state == node.state) return false;
   node.state = state;
@@ -183,8 +183,8 @@
     auto entry = nodes_.find(current);
     if (entry == nodes_.end() || entry->second.state.cancelled) continue;
     const Node& node = entry->second;
-    const double upstream_deadline = node.state.deadline - node.estimate_s;
-    for (const std::string& awaited : node.awaits) {
+    const double upstream_deadline = node.state.deadline - node.estimated_run_s;
+    for (const std::string& awaited : node.dependencies) {
       auto upstream = nodes_.find(awaited);
       if (upstream == nodes_.end() || upstream->second.state.cancelled) continue;
       EffectiveState& state = upstream->second.state;
@@ -237,7 +237,7 @@
   nodes_.erase(entry);
   changed_.erase(id);
   UpdateUnresolved(id);
-  for (const std::string& awaited_id : node.awaits) {
+  for (const std::string& awaited_id : node.dependencies) {
     auto awaited = awaited_.find(awaited_id);
     if (awaited == awaited_.end()) continue;
     awaited->second.dependents.erase(id);
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -69,13 +69,13 @@
  private:
   // An unfinished job.
   struct Node {
-    std::vector<std::string> awaits;   // no duplicates
-    size_t pending_awaits = 0;         // those not known to be done
-    bool cancelled_by_record = false;  // in its own record
+    std::vector<std::string> dependencies;  // no duplicates
+    size_t pending_awaits = 0;              // those not known to be done
+    bool cancelled_by_record = false;       // in its own record
     // The job's own values, without those of its dependents.
     model::Priority own_priority = model::Priority::kBestEffort;
     double own_due = 0;
-    double estimate_s = 0;
+    double estimated_run_s = 0;
     EffectiveState state;
   };
   // A job, unfinished or final, that unfinished jobs await.
--- a/src/jobs/final_records.cc
+++ b/src/jobs/final_records.cc
@@ -64,7 +64,7 @@
   }
   // `finalizable` grows during the loop: a job that becomes final releases the jobs that it awaits.
   for (size_t i = 0; i < finalizable.size(); ++i) {
-    for (const std::string& awaited : job_table.Find(finalizable[i])->spec.awaits) {
+    for (const std::string& awaited : job_table.Find(finalizable[i])->spec.dependencies) {
       auto entry = dependents_left.find(awaited);
       if (entry != dependents_left.end() && --entry->second == 0) finalizable.push_back(awaited);
     }
--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -71,37 +71,38 @@
 }
 
 std::optional<HandoverPolicy::Candidate> HandoverPolicy::FindCandidate(
-    const model::MemberVitals& own, size_t machines,
-    const std::map<std::string, model::MemberVitals>& others) const {
+    const model::LeadershipFitness& own, size_t machines,
+    const std::map<std::string, model::LeadershipFitness>& others) const {
   const double expected = kReportCountPeriods * static_cast<double>(machines);
-  const auto received = static_cast<double>(own.worker_reports);
+  const auto received = static_cast<double>(own.recent_heartbeats);
   // A worker that can't reach the leader tries the other nodes one after another, so the reports of
   // all of them are counted together.
   double elsewhere = 0;
   for (const auto& [node, vitals] : others) {
-    elsewhere += static_cast<double>(vitals.worker_reports);
+    elsewhere += static_cast<double>(vitals.recent_heartbeats);
   }
   const bool workers_lost = machines >= kMinMachines && received < kMinReportShare * expected &&
                             elsewhere >= kMinElsewhereShare * (expected - received);
-  const bool loop_delayed = static_cast<double>(own.turn_delay_ms) / kMsPerS >
+  const bool loop_delayed = static_cast<double>(own.event_loop_lag_ms) / kMsPerS >
                             kMaxLoopDelayPeriods * options_.heartbeat_interval_s;
   std::optional<Candidate> best;
   uint64_t best_reports = 0;
   for (const auto& [node, vitals] : others) {
-    if (!vitals.state_direct) continue;
-    const bool smaller_delay = static_cast<double>(vitals.turn_delay_ms) * kLoopDelayImprovement <
-                               static_cast<double>(own.turn_delay_ms);
+    if (!vitals.reaches_state_service) continue;
+    const bool smaller_delay =
+        static_cast<double>(vitals.event_loop_lag_ms) * kLoopDelayImprovement <
+        static_cast<double>(own.event_loop_lag_ms);
     std::optional<Reason> reason;
-    if (!own.state_direct) {
+    if (!own.reaches_state_service) {
       reason = Reason::kStateServiceLost;
-    } else if (workers_lost && vitals.worker_reports > 0) {
+    } else if (workers_lost && vitals.recent_heartbeats > 0) {
       reason = Reason::kWorkersLost;
     } else if (loop_delayed && smaller_delay) {
       reason = Reason::kLoopDelay;
     }
-    if (!reason || (best && vitals.worker_reports <= best_reports)) continue;
+    if (!reason || (best && vitals.recent_heartbeats <= best_reports)) continue;
     best = Candidate{*reason, node};
-    best_reports = vitals.worker_reports;
+    best_reports = vitals.recent_heartbeats;
   }
   return best;
 }
@@ -113,8 +114,8 @@
 }
 
 std::optional<HandoverDecision> HandoverPolicy::Decide(
-    const model::MemberVitals& own, size_t machines,
-    const std::map<std::string, model::MemberVitals>& others, double now) {
+    const model::LeadershipFitness& own, size_t machines,
+    const std::map<std::string, model::LeadershipFitness>& others, double now) {
   const std::optional<Candidate> candidate = FindCandidate(own, machines, others);
   if (!candidate) {
     reason_.reset();
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -34,15 +34,16 @@
   void OnLeaderChanged(double now);
   // Called after this process was paused: earlier observations are discarded.
   void OnPause();
-  // Part of a heartbeat period over which nodes count the reports that reach them (MemberVitals).
+  // Part of a heartbeat period over which nodes count the reports that reach them
+  // (LeadershipFitness).
   static constexpr double kReportCountPeriods = 0.5;
 
   // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough.
   // Requires that this node leads. `own` are the vitals of this node, `machines` the number of
   // running machines that should report to it, and `others` the vitals of all nodes that answer.
-  std::optional<HandoverDecision> Decide(const model::MemberVitals& own, size_t machines,
-                                         const std::map<std::string, model::MemberVitals>& others,
-                                         double now);
+  std::optional<HandoverDecision> Decide(
+      const model::LeadershipFitness& own, size_t machines,
+      const std::map<std::string, model::LeadershipFitness>& others, double now);
 
  private:
   enum class Reason { kStateServiceLost, kWorkersLost, kLoopDelay };
@@ -51,8 +52,8 @@
     std::string node;
   };
   std::optional<Candidate> FindCandidate(
-      const model::MemberVitals& own, size_t machines,
-      const std::map<std::string, model::MemberVitals>& others) const;
+      const model::LeadershipFitness& own, size_t machines,
+      const std::map<std::string, model::LeadershipFitness>& others) const;
   // Returns how long the reason must persist before it leads to a handover.
   double SustainS(Reason reason) const;
   // Returns the minimum time since the last change of the leader.
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -155,8 +155,9 @@
     ObserverReport& report = member->reports[status.node];
     report.state = observation.state;
     report.last_alive_at.reset();
-    if (observation.heard_ms_ago) {
-      report.last_alive_at = sent_at - static_cast<double>(*observation.heard_ms_ago) / kMsPerS;
+    if (observation.last_heard_ms_ago) {
+      report.last_alive_at =
+          sent_at - static_cast<double>(*observation.last_heard_ms_ago) / kMsPerS;
     }
   }
 }
@@ -311,7 +312,7 @@
   return proposal;
 }
 
-std::vector<Proposal> MemberTable::Tick(double now, bool state_direct) {
+std::vector<Proposal> MemberTable::Tick(double now, bool reaches_state_service) {
   UpdateLocalHealth(now);
   std::vector<Proposal> out;
   auto propose = [&](std::optional<Proposal> proposal) {
@@ -326,7 +327,7 @@
   propose(ProposeForSelf());
   for (auto& [node, member] : members_) {
     UpdateSuspicion(member, node, now);
-    if (state_direct) propose(ProposeForOther(node, member, now));
+    if (reaches_state_service) propose(ProposeForOther(node, member, now));
   }
   return out;
 }
@@ -365,7 +366,7 @@
     observation.state = ReportedState(member);
     if (const std::optional<double>& last_alive_at = member.liveness.last_alive_at()) {
       const double ago_s = std::max(0.0, now - *last_alive_at);
-      observation.heard_ms_ago = static_cast<uint64_t>(std::llround(ago_s * kMsPerS));
+      observation.last_heard_ms_ago = static_cast<uint64_t>(std::llround(ago_s * kMsPerS));
     }
     status.observations.push_back(std::move(observation));
   }
@@ -389,8 +390,9 @@
          own_record_->incarnation.session == own_incarnation_.session;
 }
 
-std::map<std::string, model::MemberVitals> MemberTable::ResponsiveMemberVitals(double now) const {
-  std::map<std::string, model::MemberVitals> out;
+std::map<std::string, model::LeadershipFitness> MemberTable::ResponsiveMemberVitals(
+    double now) const {
+  std::map<std::string, model::LeadershipFitness> out;
   for (const auto& [node, member] : members_) {
     if (IsResponsive(member, now) && member.record->state == model::MemberState::kAlive) {
       out.emplace(node, member.vitals);
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -70,10 +70,10 @@
   // Records how long the state service took to answer a transaction.
   void OnStateRoundTrip(double took_s) { state_round_trip_.Add(took_s); }
 
-  // Returns the writes that are due. Must be called once per probe interval. `state_direct` is true
-  // if the state service answers this node without a relay; otherwise this node neither records
-  // suspicions nor declares nodes failed.
-  std::vector<Proposal> Tick(double now, bool state_direct);
+  // Returns the writes that are due. Must be called once per probe interval.
+  // `reaches_state_service` is true if the state service answers this node without a relay;
+  // otherwise this node neither records suspicions nor declares nodes failed.
+  std::vector<Proposal> Tick(double now, bool reaches_state_service);
   // Called when the outcome of a proposal is known or the proposal was abandoned.
   void OnProposalDone(const std::string& node, double now);
   // Returns the write that records the orderly shutdown of this node; std::nullopt if this process
@@ -83,7 +83,7 @@
   // Returns the status of this node and its observations of all others, as sent in probes and
   // answers.
   wire::MemberStatus Status(double now) const;
-  void SetVitals(const model::MemberVitals& vitals) { vitals_ = vitals; }
+  void SetVitals(const model::LeadershipFitness& vitals) { vitals_ = vitals; }
   // Names the node that should lead next; empty if there is none.
   void SetSuccessor(const std::string& node) { successor_ = node; }
   void SetLeaving() { leaving_ = true; }
@@ -101,7 +101,7 @@
   const model::Incarnation& incarnation() const { return own_incarnation_; }
 
   // Returns the vitals of all other nodes that are responsive and recorded as alive.
-  std::map<std::string, model::MemberVitals> ResponsiveMemberVitals(double now) const;
+  std::map<std::string, model::LeadershipFitness> ResponsiveMemberVitals(double now) const;
   // Returns the successor that another node, which leads or led until just now, has named; empty if
   // there is none.
   std::string SuccessorNamedByOthers(double now) const;
@@ -129,7 +129,7 @@
     model::MemberState reported_state = model::MemberState::kAlive;
     double reported_state_since;
     std::map<std::string, ObserverReport> reports;  // by observer
-    model::MemberVitals vitals;
+    model::LeadershipFitness vitals;
     std::string successor;  // named by this member
   };
 
@@ -170,7 +170,7 @@
   model::Incarnation own_incarnation_;  // session 0: this process has not joined yet
   bool superseded_ = false;
   bool leaving_ = false;
-  model::MemberVitals vitals_;
+  model::LeadershipFitness vitals_;
   std::string successor_;
   double last_tick_;
   std::set<std::string> pending_proposals_;         // nodes with a proposal in flight
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -115,12 +115,12 @@
   worker_reports_.Reset(now);
 }
 
-model::MemberVitals Service::Vitals(double now) {
-  model::MemberVitals vitals;
+model::LeadershipFitness Service::Vitals(double now) {
+  model::LeadershipFitness vitals;
   vitals.leading = deps_.election->leading();
-  vitals.state_direct = deps_.cache->loaded() && !deps_.client->down();
-  vitals.turn_delay_ms = static_cast<uint64_t>(loop_delay_s_ * kMsPerS);
-  vitals.worker_reports = worker_reports_.Last(now);
+  vitals.reaches_state_service = deps_.cache->loaded() && !deps_.client->down();
+  vitals.event_loop_lag_ms = static_cast<uint64_t>(loop_delay_s_ * kMsPerS);
+  vitals.recent_heartbeats = worker_reports_.Last(now);
   return vitals;
 }
 
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -87,7 +87,7 @@
   bool MayProbe(const std::string& node, const Link& link, double now) const;
   // Revokes the lease of a failed leader, and resigns if this node must or should not lead.
   void ReviewLeadership(double now);
-  model::MemberVitals Vitals(double now);
+  model::LeadershipFitness Vitals(double now);
   // Commits a proposal, logs it and reports the outcome to the member table.
   async::Task<> ExecuteProposal(Proposal proposal);
   // Returns true if the transaction succeeded. After a conflict, refreshes the copies that differ.
--- a/src/model/ids.h
+++ b/src/model/ids.h
@@ -15,7 +15,7 @@
 
   constexpr uint64_t value() const { return value_; }
   // False for the initial value, which stands for none.
-  constexpr bool known() const { return value_ != 0; }
+  constexpr bool is_set() const { return value_ != 0; }
   // clang-tidy takes the defaulted comparison for arithmetic on a literal 0.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   friend constexpr auto operator<=>(const Counter&, const Counter&) = default;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -15,7 +15,7 @@
 enum class JobPhase { kPending, kRunning, kDone, kCancelled };
 
 // Tasks of one job.
-inline constexpr uint32_t kMaxTasks = 100000;
+inline constexpr uint32_t kMaxTasksPerJob = 100000;
 
 struct JobSpec {
   std::string id;
@@ -35,11 +35,11 @@
   bool one_zone = false;                   // all tasks in the same zone
   bool spread = false;                     // tasks evenly over the zones
   bool spot = false;                       // may run on spot machines
-  double estimate_s = 0;                   // run time of a task, by its owner
+  double estimated_run_s = 0;              // run time of a task, by its owner
   double checkpoint_every_s = 0;
-  double checkpoint_s = 0;          // how long a checkpoint takes
-  double due_s = 0;                 // after the submission; 0: no deadline
-  std::vector<std::string> awaits;  // DAG dependencies: done before any task starts
+  double checkpoint_s = 0;                // how long a checkpoint takes
+  double deadline_s = 0;                  // after the submission; 0: no deadline
+  std::vector<std::string> dependencies;  // DAG dependencies: done before any task starts
 
   bool AllowsMachineType(std::string_view machine_type) const;
 };
--- a/src/model/machine_view.h
+++ b/src/model/machine_view.h
@@ -15,8 +15,8 @@
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
-  bool seen_start = false;  // the leader saw it start to run
-  uint64_t for_ms = 0;      // how long it has been in this phase; not kept up to date
+  bool start_observed = false;  // the leader saw it start to run
+  uint64_t phase_age_ms = 0;    // how long it has been in this phase; not kept up to date
   bool operator==(const TaskView&) const = default;
 };
 
@@ -26,7 +26,7 @@
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  bool usable = false;              // it may get new tasks
+  bool accepts_tasks = false;       // it may get new tasks
   std::vector<std::string> images;  // there, of those that unfinished jobs need
   std::vector<TaskView> tasks;
   bool operator==(const MachineView&) const = default;
@@ -35,8 +35,8 @@
 // What the leader knows of the failures of a job's tasks.
 struct JobFailures {
   std::string job;
-  bool suspected = false;  // it fails because of itself
-  bool retry_due = false;  // its holder may start one more task of it
+  bool suspected = false;      // it fails because of itself
+  bool retry_allowed = false;  // its holder may start one more task of it
   std::vector<std::string> failed_on;
   bool operator==(const JobFailures&) const = default;
 };
--- a/src/model/member.h
+++ b/src/model/member.h
@@ -24,17 +24,17 @@
   Incarnation incarnation;
   MemberState state = MemberState::kAlive;
   // How long before it was sent the node was known to be alive; nothing: never.
-  std::optional<uint64_t> heard_ms_ago;
+  std::optional<uint64_t> last_heard_ms_ago;
   bool operator==(const MemberObservation&) const = default;
 };
 
 // How well a node is placed to lead.
-struct MemberVitals {
+struct LeadershipFitness {
   bool leading = false;
-  bool state_direct = false;    // the state service answers it without a relay
-  uint64_t turn_delay_ms = 0;   // how late its event loop gets its turns, lately
-  uint64_t worker_reports = 0;  // that reached it in the last half of a report period
-  bool operator==(const MemberVitals&) const = default;
+  bool reaches_state_service = false;  // the state service answers it without a relay
+  uint64_t event_loop_lag_ms = 0;      // how late its event loop gets its turns, lately
+  uint64_t recent_heartbeats = 0;      // that reached it in the last half of a report period
+  bool operator==(const LeadershipFitness&) const = default;
 };
 
 }  // namespace hallpier::model
--- a/src/model/task.cc
+++ b/src/model/task.cc
@@ -37,7 +37,7 @@
   const char* end = digits.data() + digits.size();
   const auto parsed = std::from_chars(digits.data(), end, task.index);
   if (digits.empty() || parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
-  if (task.index >= kMaxTasks) return std::nullopt;
+  if (task.index >= kMaxTasksPerJob) return std::nullopt;
   return task;
 }
 
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -9,7 +9,7 @@
 
 namespace hallpier::model {
 
-enum class TaskPhase { kFetching, kRunning, kSaving, kExited };
+enum class TaskPhase { kFetching, kRunning, kCheckpointing, kExited };
 // Why a task has exited.
 enum class ExitCause { kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown };
 
@@ -37,7 +37,7 @@
   uint64_t attempt = 0;
   TaskPhase state = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
-  bool saved = false;  // a checkpoint was written before it exited
+  bool checkpoint_saved = false;  // a checkpoint was written before it exited
 };
 
 }  // namespace hallpier::model
--- a/src/plan/capacity_demand.cc
+++ b/src/plan/capacity_demand.cc
@@ -67,7 +67,7 @@
   for (size_t i = first; i < queue.jobs.size(); ++i) {
     const QueuedJob& queued = queue.jobs[i];
     const model::JobSpec& spec = queued.job->spec;
-    const double run_s = queued.job->MeanRunTimeS().value_or(spec.estimate_s);
+    const double run_s = queued.job->MeanRunTimeS().value_or(spec.estimated_run_s);
     work_s += static_cast<double>(queued.tasks) * run_s * spec.cpus;
   }
   std::vector<CapacityDemand> demands;
--- a/src/plan/job_order.cc
+++ b/src/plan/job_order.cc
@@ -39,7 +39,7 @@
 // Jobs with little remaining work come first, since that completes the most jobs in time. Jobs that
 // can no longer meet their objective come after those that can, until they have waited long enough.
 int JobOrder::RemainingWorkBand(const jobs::Job& job) const {
-  const double run_s = job.MeanRunTimeS().value_or(job.spec.estimate_s);
+  const double run_s = job.MeanRunTimeS().value_or(job.spec.estimated_run_s);
   const double work = static_cast<double>(job.spec.tasks - job.done()) * run_s * job.spec.cpus;
   const double unit = kWorkUnitIntervals * context_.settings->heartbeat_interval_s;
   const int work_band = static_cast<int>(std::log2(work / unit + 1) / kLog2WorkPerBand);
--- a/src/plan/run_time.cc
+++ b/src/plan/run_time.cc
@@ -25,7 +25,7 @@
   if (job.spec.kind == model::JobKind::kService) return kServiceRunTimeS;
   if (auto mean = job.MeanRunTimeS(machine_type)) return *mean;
   if (auto mean = job.MeanRunTimeS()) return *mean;
-  return job.spec.estimate_s;
+  return job.spec.estimated_run_s;
 }
 
 double RemainingTime(const RoundInput& input, const jobs::Job& job, const fleet::Machine& machine,
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -43,7 +43,7 @@
 // (quota/share_record.h).
 std::string ShareKey(std::string_view node);
 
-// Parsed keys: one type per kind of key, holding the variable parts of the key.
+// ParseResult keys: one type per kind of key, holding the variable parts of the key.
 struct UnknownKeyName {  // not a key that this version defines
   bool operator==(const UnknownKeyName&) const = default;
 };
--- a/src/store/packed_task_group.cc
+++ b/src/store/packed_task_group.cc
@@ -44,10 +44,10 @@
 DecodeResult<TaskFlags> ReadTaskFlags(const wire::JsonValue& record) {
   const std::optional<uint64_t> first = wire::GetCount(record, "first");
   const std::optional<uint64_t> count = wire::GetCount(record, "of");
-  if (!first || *first > model::kMaxTasks) {
+  if (!first || *first > model::kMaxTasksPerJob) {
     return DecodeError{"first", "missing, or not a task index"};
   }
-  if (!count || *count > model::kMaxTasks || *first + *count > model::kMaxTasks) {
+  if (!count || *count > model::kMaxTasksPerJob || *first + *count > model::kMaxTasksPerJob) {
     return DecodeError{"of",
                        "missing, or the range exceeds the number of tasks that a job may have"};
   }
--- a/src/store/records.cc
+++ b/src/store/records.cc
@@ -37,7 +37,7 @@
   // them. Its team, size and task groups still matter for its tasks that are on machines.
   const std::string placeholder = "-";
   job.spec.machine_types.clear();
-  job.spec.awaits.clear();
+  job.spec.dependencies.clear();
   job.spec.zone.clear();
   job.spec.job_class = placeholder;
   job.spec.image = placeholder;
@@ -56,9 +56,9 @@
   job.submitted_at = wire::GetAmount(*object, "at").value_or(0);
   job.cancelled = wire::GetFlag(*object, "cancelled").value_or(false);
   const uint64_t group = wire::GetCount(*object, "group").value_or(0);
-  if (group > model::kMaxTasks) {
+  if (group > model::kMaxTasksPerJob) {
     return DecodeError{"group", std::to_string(group) + " exceeds the limit of " +
-                                    std::to_string(model::kMaxTasks) + " tasks per job"};
+                                    std::to_string(model::kMaxTasksPerJob) + " tasks per job"};
   }
   job.tasks_per_group = static_cast<uint32_t>(group);
   return job;
@@ -131,9 +131,9 @@
   if (!format) return NotANumber("format");
   if (!group) return NotANumber("group");
   if (!parts) return NotANumber("parts");
-  if (*group < 1 || *group > model::kMaxTasks) {
+  if (*group < 1 || *group > model::kMaxTasksPerJob) {
     return DecodeError{"group", std::to_string(*group) + " is not between 1 and " +
-                                    std::to_string(model::kMaxTasks)};
+                                    std::to_string(model::kMaxTasksPerJob)};
   }
   if (*parts < 1 || *parts > *group) {
     return DecodeError{"parts", std::to_string(*parts) + " is not between 1 and the group size " +
--- a/src/store/task_group.cc
+++ b/src/store/task_group.cc
@@ -25,7 +25,7 @@
   for (rapidjson::SizeType i = 0; i < ranges->Size(); i += 2) {
     const wire::JsonValue& first = (*ranges)[i];
     const wire::JsonValue& last = (*ranges)[i + 1];
-    if (!first.IsUint() || !last.IsUint() || last.GetUint() >= model::kMaxTasks) {
+    if (!first.IsUint() || !last.IsUint() || last.GetUint() >= model::kMaxTasksPerJob) {
       return DecodeError{"done", "not a task index"};
     }
     for (uint32_t index = first.GetUint(); index <= last.GetUint(); ++index) done.Insert(index);
@@ -49,7 +49,7 @@
       if (!is_new) {
         return DecodeError{"on", "task " + std::to_string(number.GetUint()) + " is listed twice"};
       }
-      if (number.GetUint() >= model::kMaxTasks) {
+      if (number.GetUint() >= model::kMaxTasksPerJob) {
         return DecodeError{"on", std::to_string(number.GetUint()) + " is not a task index"};
       }
       task = &entry->second;
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -18,19 +18,19 @@
   PutVarint(out, view.attempt);
   PutEnum(out, view.phase);
   PutEnum(out, view.cause);
-  PutFlag(out, view.seen_start);
-  PutVarint(out, view.for_ms);
+  PutFlag(out, view.start_observed);
+  PutVarint(out, view.phase_age_ms);
 }
 
 model::TaskView ReadTaskView(VarintReader& reader) {
   model::TaskView view;
   view.task.job = reader.Bytes();
-  view.task.index = static_cast<uint32_t>(reader.Count("task index", model::kMaxTasks));
+  view.task.index = static_cast<uint32_t>(reader.Count("task index", model::kMaxTasksPerJob));
   view.attempt = reader.Varint();
   view.phase = reader.Enum("task phase", model::TaskPhase::kExited);
   view.cause = reader.Enum("task exit cause", model::ExitCause::kUnknown);
-  view.seen_start = reader.Flag();
-  view.for_ms = reader.Varint();
+  view.start_observed = reader.Flag();
+  view.phase_age_ms = reader.Varint();
   return view;
 }
 
@@ -40,7 +40,7 @@
   view.machine_type = reader.Bytes();
   view.zone = reader.Bytes();
   view.spot = reader.Flag();
-  view.usable = reader.Flag();
+  view.accepts_tasks = reader.Flag();
   view.images = reader.Strings("image count", kMaxEntries);
   view.tasks = reader.List("task count", kMaxEntries, ReadTaskView);
   return view;
@@ -49,7 +49,7 @@
 void PutJobFailures(std::string& out, const model::JobFailures& failures) {
   PutBytes(out, failures.job);
   PutFlag(out, failures.suspected);
-  PutFlag(out, failures.retry_due);
+  PutFlag(out, failures.retry_allowed);
   PutStrings(out, failures.failed_on);
 }
 
@@ -57,7 +57,7 @@
   model::JobFailures failures;
   failures.job = reader.Bytes();
   failures.suspected = reader.Flag();
-  failures.retry_due = reader.Flag();
+  failures.retry_allowed = reader.Flag();
   failures.failed_on = reader.Strings("failed machine count", kMaxEntries);
   return failures;
 }
@@ -69,7 +69,7 @@
   PutBytes(out, view.machine_type);
   PutBytes(out, view.zone);
   PutFlag(out, view.spot);
-  PutFlag(out, view.usable);
+  PutFlag(out, view.accepts_tasks);
   PutStrings(out, view.images);
   PutVarint(out, view.tasks.size());
   for (const model::TaskView& task : view.tasks) PutTaskView(out, task);
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -31,9 +31,9 @@
 
 // 0 stands for never, so every time is sent plus one. The largest uint64_t has no successor; it is
 // sent as the next smaller time.
-void PutHeardAgo(std::string& out, const std::optional<uint64_t>& heard_ms_ago) {
+void PutHeardAgo(std::string& out, const std::optional<uint64_t>& last_heard_ms_ago) {
   constexpr uint64_t kMaxEncodableMs = std::numeric_limits<uint64_t>::max() - 1;
-  PutVarint(out, heard_ms_ago ? std::min(*heard_ms_ago, kMaxEncodableMs) + 1 : 0);
+  PutVarint(out, last_heard_ms_ago ? std::min(*last_heard_ms_ago, kMaxEncodableMs) + 1 : 0);
 }
 
 std::optional<uint64_t> ReadHeardAgo(VarintReader& reader) {
@@ -46,7 +46,7 @@
   PutBytes(out, observation.node);
   PutIncarnation(out, observation.incarnation);
   PutEnum(out, observation.state);
-  PutHeardAgo(out, observation.heard_ms_ago);
+  PutHeardAgo(out, observation.last_heard_ms_ago);
 }
 
 model::MemberObservation ReadObservation(VarintReader& reader) {
@@ -54,23 +54,23 @@
   observation.node = reader.Bytes();
   observation.incarnation = ReadIncarnation(reader);
   observation.state = ReadMemberState(reader);
-  observation.heard_ms_ago = ReadHeardAgo(reader);
+  observation.last_heard_ms_ago = ReadHeardAgo(reader);
   return observation;
 }
 
-void PutVitals(std::string& out, const model::MemberVitals& vitals) {
+void PutVitals(std::string& out, const model::LeadershipFitness& vitals) {
   PutFlag(out, vitals.leading);
-  PutFlag(out, vitals.state_direct);
-  PutVarint(out, vitals.turn_delay_ms);
-  PutVarint(out, vitals.worker_reports);
+  PutFlag(out, vitals.reaches_state_service);
+  PutVarint(out, vitals.event_loop_lag_ms);
+  PutVarint(out, vitals.recent_heartbeats);
 }
 
-model::MemberVitals ReadVitals(VarintReader& reader) {
-  model::MemberVitals vitals;
+model::LeadershipFitness ReadVitals(VarintReader& reader) {
+  model::LeadershipFitness vitals;
   vitals.leading = reader.Flag();
-  vitals.state_direct = reader.Flag();
-  vitals.turn_delay_ms = reader.Varint();
-  vitals.worker_reports = reader.Varint();
+  vitals.reaches_state_service = reader.Flag();
+  vitals.event_loop_lag_ms = reader.Varint();
+  vitals.recent_heartbeats = reader.Varint();
   return vitals;
 }
 
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -76,7 +76,7 @@
   std::string node;
   model::Incarnation incarnation;
   model::MemberState state = model::MemberState::kAlive;  // kLeft: the node is shutting down
-  model::MemberVitals vitals;
+  model::LeadershipFitness vitals;
   std::string yields_to;  // the successor that a resigning leader names; otherwise empty
   std::vector<model::MemberObservation> observations;
   bool operator==(const MemberStatus&) const = default;
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -69,7 +69,8 @@
   }
   uint32_t TaskCount() {
     auto tasks = GetCount(object_, "pieces");
-    if (tasks && *tasks >= 1 && *tasks <= model::kMaxTasks) return static_cast<uint32_t>(*tasks);
+    if (tasks && *tasks >= 1 && *tasks <= model::kMaxTasksPerJob)
+      return static_cast<uint32_t>(*tasks);
     Fail("pieces", "must be a whole number from 1 to 100000");
     return 1;
   }
@@ -127,11 +128,11 @@
   spec.one_zone = reader.Flag("oneZone");
   spec.spread = reader.Flag("spread");
   spec.spot = reader.Flag("lendable");
-  spec.estimate_s = reader.Amount("expectS");
+  spec.estimated_run_s = reader.Amount("expectS");
   spec.checkpoint_every_s = reader.Amount("snapshotEveryS");
   spec.checkpoint_s = reader.Amount("snapshotS");
-  if (reader.Has("dueS")) spec.due_s = reader.Amount("dueS");
-  spec.awaits = reader.Dependencies();
+  if (reader.Has("dueS")) spec.deadline_s = reader.Amount("dueS");
+  spec.dependencies = reader.Dependencies();
   if (reader.error()) return *reader.error();
   return spec;
 }
@@ -158,13 +159,13 @@
   writer.Field("oneZone").Bool(spec.one_zone);
   writer.Field("spread").Bool(spec.spread);
   writer.Field("lendable").Bool(spec.spot);
-  writer.Field("expectS").Double(spec.estimate_s);
+  writer.Field("expectS").Double(spec.estimated_run_s);
   writer.Field("snapshotEveryS").Double(spec.checkpoint_every_s);
   writer.Field("snapshotS").Double(spec.checkpoint_s);
-  if (spec.due_s > 0) writer.Field("dueS").Double(spec.due_s);
-  if (!spec.awaits.empty()) {
+  if (spec.deadline_s > 0) writer.Field("dueS").Double(spec.deadline_s);
+  if (!spec.dependencies.empty()) {
     writer.Field("awaits").StartArray();
-    for (const auto& id : spec.awaits) writer.Text(id);
+    for (const auto& id : spec.dependencies) writer.Text(id);
     writer.EndArray();
   }
   writer.EndObject();
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -8,10 +8,11 @@
 namespace hallpier::wire {
 namespace {
 
-constexpr EnumNames<model::TaskPhase, 4> kTaskPhases = {{{model::TaskPhase::kFetching, "pulling"},
-                                                         {model::TaskPhase::kRunning, "running"},
-                                                         {model::TaskPhase::kSaving, "flushing"},
-                                                         {model::TaskPhase::kExited, "ended"}}};
+constexpr EnumNames<model::TaskPhase, 4> kTaskPhases = {
+    {{model::TaskPhase::kFetching, "pulling"},
+     {model::TaskPhase::kRunning, "running"},
+     {model::TaskPhase::kCheckpointing, "flushing"},
+     {model::TaskPhase::kExited, "ended"}}};
 constexpr EnumNames<model::ExitCause, 6> kExitCauses = {{{model::ExitCause::kDone, "done"},
                                                          {model::ExitCause::kStopped, "stopped"},
                                                          {model::ExitCause::kError, "error"},
@@ -35,7 +36,7 @@
   status.attempt = *attempt;
   status.state = *state;
   status.cause = GetEnum(kExitCauses, object, "cause").value_or(model::ExitCause::kNone);
-  status.saved = GetFlag(object, "stored").value_or(false);
+  status.checkpoint_saved = GetFlag(object, "stored").value_or(false);
   return status;
 }
 
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -147,7 +147,7 @@
 
 TEST_F(GapDay, ACancelledPipelineStartsNothing) {
   auto spec = Spec("run-3", 1);
-  spec.awaits = {"run-1"};
+  spec.dependencies = {"run-1"};
   PutJob(job_table_, spec);
   Play(20);
   EXPECT_TRUE(job_table_.Find("run-3")->cancelled) << "what awaits it goes with it";
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "config/contradictions.h"
+#include "config/consistency_check.h"
 #include "config/operator_options.h"
 #include "config/settings_parser.h"
 
@@ -41,15 +41,15 @@
 
 // The lines that a person is shown.
 template <class T>
-std::vector<std::string> FaultsOf(const config::Parsed<T>& parsed) {
+std::vector<std::string> FaultsOf(const config::ParseResult<T>& parsed) {
   std::vector<std::string> lines;
-  for (const config::Fault& fault : parsed.faults) lines.push_back(fault.Text());
+  for (const config::ConfigError& fault : parsed.errors) lines.push_back(fault.Text());
   return lines;
 }
 
 TEST(Settings, AreReadAndUnknownFieldsIgnored) {
   const auto parsed = config::ParseSettings(kGoodSettings);
-  EXPECT_TRUE(parsed.ok()) << parsed.faults[0].Text();
+  EXPECT_TRUE(parsed.ok()) << parsed.errors[0].Text();
   const config::Settings& s = parsed.value;
   EXPECT_EQ(s.seeds.at(0).endpoint, "127.0.0.1:3");
   EXPECT_EQ(s.lease_s, 45);
@@ -76,7 +76,7 @@
   const auto faults = FaultsOf(config::ParseOperatorOptions("silent_ratio = 0.1\n"));
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(faults[0], "silent_ratio: 0.1 is not between 2 and 100");
-  EXPECT_EQ(config::ParseOperatorOptions("no_such = 1\n").faults.size(), 1U);
+  EXPECT_EQ(config::ParseOperatorOptions("no_such = 1\n").errors.size(), 1U);
 }
 
 TEST(Operator, MembershipIsOffUnlessSwitchedOnAndItsRangesAreChecked) {
@@ -92,7 +92,7 @@
   ASSERT_EQ(faults.size(), 2U);
   EXPECT_EQ(faults[0], "membership.probe_ratio: 7 is not between 0.01 and 1");
   EXPECT_EQ(faults[1], "membership.confirm_probes: 0 is not between 1 and 100");
-  EXPECT_EQ(config::ParseOperatorOptions("membership {\n enabled = perhaps\n}\n").faults.size(),
+  EXPECT_EQ(config::ParseOperatorOptions("membership {\n enabled = perhaps\n}\n").errors.size(),
             1U);
 }
 
@@ -115,11 +115,11 @@
   config::Settings settings;
   settings.teams = {{"well", 4, 4, 1, 0}, {"beyond", 5, 4, 0, 0}};
   config::OperatorOptions operators;
-  EXPECT_TRUE(config::FindContradictions(settings, operators).empty()) << "off changes nothing";
+  EXPECT_TRUE(config::CheckConsistency(settings, operators).empty()) << "off changes nothing";
   operators.blocks.enabled = true;
-  const auto contradictions = config::FindContradictions(settings, operators);
-  ASSERT_EQ(contradictions.size(), 1U);
-  EXPECT_EQ(contradictions[0].Text(),
+  const auto inconsistencies = config::CheckConsistency(settings, operators);
+  ASSERT_EQ(inconsistencies.size(), 1U);
+  EXPECT_EQ(inconsistencies[0].Text(),
             "params.teams: beyond is guaranteed 5 cpus, more than its limit of 4");
 }
 
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -19,13 +19,13 @@
  protected:
   DependencyGraphTest() : job_table_(64) {}
 
-  static model::JobSpec Awaiting(const std::string& id, std::vector<std::string> awaits) {
+  static model::JobSpec Awaiting(const std::string& id, std::vector<std::string> dependencies) {
     model::JobSpec s = Spec(id, 2);
-    s.awaits = std::move(awaits);
+    s.dependencies = std::move(dependencies);
     return s;
   }
-  void Put(const std::string& id, std::vector<std::string> awaits, double at = 1) {
-    PutJob(job_table_, Awaiting(id, std::move(awaits)), at);
+  void Put(const std::string& id, std::vector<std::string> dependencies, double at = 1) {
+    PutJob(job_table_, Awaiting(id, std::move(dependencies)), at);
   }
   void Cancel(const std::string& id) {
     PutJob(job_table_, job_table_.Find(id)->spec, job_table_.Find(id)->submitted, true);
@@ -162,9 +162,9 @@
 TEST_F(DependencyGraphTest, AJobIsAsUrgentAsWhatNeedsIt) {
   model::JobSpec last = Awaiting("run-4", {"run-2", "run-3"});
   last.priority = model::Priority::kUrgent;
-  last.due_s = 200;
+  last.deadline_s = 200;
   model::JobSpec three = Awaiting("run-3", {"run-1"});
-  three.estimate_s = 40;
+  three.estimated_run_s = 40;
   Put("run-1", {});
   Put("run-2", {"run-1"});
   PutJob(job_table_, three);
@@ -188,7 +188,7 @@
   Put("run-1", {});
   for (int i = 2; i < 6; ++i) {
     model::JobSpec s = Awaiting("run-" + std::to_string(i), {"run-1"});
-    s.due_s = 100.0 * i;
+    s.deadline_s = 100.0 * i;
     PutJob(job_table_, s, 0);
   }
   EXPECT_EQ(Get("run-1").deadline, 190);
@@ -208,7 +208,7 @@
   }
   model::JobSpec urgent = Awaiting("run-99999", {name(kJobs / 2)});
   urgent.priority = model::Priority::kProd;
-  urgent.due_s = 1e6;
+  urgent.deadline_s = 1e6;
   PutJob(job_table_, urgent);
   EXPECT_EQ(Get(name(0)).priority, model::Priority::kProd);
   const int jobs_between = kJobs / 2 + 1;
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -44,7 +44,7 @@
   }
 
   async::Task<> StopWhenAlone() {
-    while (scope_.live() > 1) {
+    while (scope_.active_coroutines() > 1) {
       async::Sleep turn(idle_, 0);
       co_await turn;
     }
@@ -68,7 +68,7 @@
     for (int j = 0; j < count; ++j) {
       if (j != i) s.seeds.push_back({"node-" + std::to_string(j), "a", At(2 * j + 1)});
     }
-    s.size = count;
+    s.cluster_size = count;
     s.state = i == apart_ || i == refused_ ? At(22) : At(20);
     // The node that stands apart has no links to the others, nor they to it.
     if (i == apart_) {
@@ -86,7 +86,7 @@
     s.cloud_rps = 50;
     s.state_rps = state_rps_;
     s.state_write_rps = 500;
-    s.state_next = state_next_;
+    s.next_state_limits = state_next_;
     s.teams.push_back({"other", 0, 0, 0, 0});
     if (cpus_max_ > 0) s.teams[0].cpus_max = cpus_max_;
     if (state_write_rps_ > 0) s.state_write_rps = state_write_rps_;
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -30,7 +30,7 @@
   s.memory_gb = 1;
   s.image = "img";
   s.spot = true;
-  s.estimate_s = 10;
+  s.estimated_run_s = 10;
   return s;
 }
 
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -313,9 +313,9 @@
   EXPECT_EQ(std::tie(s.cpus, s.gpus, s.memory_gb, s.image, s.image_gb),
             std::tuple(8.0, 1.0, 64.0, "img-07", 6.2));
   EXPECT_EQ(std::tie(s.zone, s.one_zone, s.spread, s.spot), std::tuple("", true, false, true));
-  EXPECT_EQ(std::tie(s.estimate_s, s.checkpoint_every_s, s.checkpoint_s, s.due_s),
+  EXPECT_EQ(std::tie(s.estimated_run_s, s.checkpoint_every_s, s.checkpoint_s, s.deadline_s),
             std::tuple(240.0, 30.0, 4.0, 900.0));
-  EXPECT_EQ(s.machine_types.at(0) + s.awaits.at(0), "g8run-1");
+  EXPECT_EQ(s.machine_types.at(0) + s.dependencies.at(0), "g8run-1");
 }
 
 TEST(GoldenMessage, Status) {
@@ -345,8 +345,8 @@
             std::tuple(model::AgentEpoch(1), 88U, model::FencingToken(41), 60.5));
   EXPECT_EQ(model::TaskName(r.tasks.at(0).task), "run-000412/3");
   EXPECT_EQ(r.tasks[0].attempt, 2U);
-  EXPECT_FALSE(r.tasks[0].saved);
-  EXPECT_TRUE(r.tasks.at(1).saved);
+  EXPECT_FALSE(r.tasks[0].checkpoint_saved);
+  EXPECT_TRUE(r.tasks.at(1).checkpoint_saved);
 }
 
 TEST(GoldenMessage, WordsOfAHeartbeat) {
@@ -360,7 +360,7 @@
   using enum model::TaskPhase;
   for (const auto& [word, phase] : {std::pair{"pulling", kFetching},
                                     {"running", kRunning},
-                                    {"flushing", kSaving},
+                                    {"flushing", kCheckpointing},
                                     {"ended", kExited}}) {
     EXPECT_EQ(task(R"("phase":")" + std::string(word) + '"').state, phase) << word;
   }
@@ -512,7 +512,7 @@
 
 TEST(GoldenPeerFrame, NumbersOfTaskPhases) {
   using enum model::TaskPhase;
-  EXPECT_EQ(Numbers(kFetching, kRunning, kSaving, kExited), "0 1 2 3 ");
+  EXPECT_EQ(Numbers(kFetching, kRunning, kCheckpointing, kExited), "0 1 2 3 ");
 }
 
 TEST(GoldenPeerFrame, NumbersOfCauses) {
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -94,7 +94,7 @@
     FakeStateService state(scope_);
     RequireStarted(state.Listen(At(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
-    loop_.WatchPauses(node.lead.MaxRenewalGapS());
+    loop_.DetectPauses(node.lead.MaxRenewalGapS());
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
     state.SetOutage(true);
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -21,8 +21,8 @@
 using membership::LivenessTracker;
 using membership::MemberRecord;
 using membership::MemberTable;
+using model::LeadershipFitness;
 using model::MemberState;
-using model::MemberVitals;
 
 constexpr membership::ProbeOptions kSilence{.probe_s = 0.25, .missed_probes = 3};
 
@@ -85,12 +85,15 @@
  protected:
   static constexpr size_t kMachines = 100;
   YieldTest() { policy_.OnLeaderChanged(0); }
-  static MemberVitals Well(uint64_t reports) {
-    return {.leading = false, .state_direct = true, .turn_delay_ms = 0, .worker_reports = reports};
+  static LeadershipFitness Well(uint64_t reports) {
+    return {.leading = false,
+            .reaches_state_service = true,
+            .event_loop_lag_ms = 0,
+            .recent_heartbeats = reports};
   }
   // Asks again and again, from a time on which the hold is over; when it yields, and to whom.
-  std::optional<std::string> Within(double s, const MemberVitals& own,
-                                    const std::map<std::string, MemberVitals>& others) {
+  std::optional<std::string> Within(double s, const LeadershipFitness& own,
+                                    const std::map<std::string, LeadershipFitness>& others) {
     for (double end = now_ + s; now_ < end; now_ += 0.5) {
       if (auto yield = policy_.Decide(own, kMachines, others, now_)) return yield->to;
     }
@@ -119,24 +122,24 @@
 }
 
 TEST_F(YieldTest, AStarvedLeaderYieldsToOneThatGetsItsTurns) {
-  MemberVitals starved = Well(100);
-  starved.turn_delay_ms = 2000;
-  MemberVitals as_late = Well(0);
-  as_late.turn_delay_ms = 1500;
+  LeadershipFitness starved = Well(100);
+  starved.event_loop_lag_ms = 2000;
+  LeadershipFitness as_late = Well(0);
+  as_late.event_loop_lag_ms = 1500;
   EXPECT_EQ(Within(60, starved, {{"b", as_late}}), std::nullopt) << "nothing would be gained";
   EXPECT_EQ(Within(60, starved, {{"b", Well(0)}}), "b");
 }
 
 TEST_F(YieldTest, WithoutTheStateServiceOnlyANodeThatHasItTakesOver) {
-  MemberVitals refused = Well(100);
-  refused.state_direct = false;
+  LeadershipFitness refused = Well(100);
+  refused.reaches_state_service = false;
   EXPECT_EQ(Within(60, refused, {{"b", refused}}), std::nullopt) << "an outage for all";
   EXPECT_EQ(Within(4, refused, {{"b", Well(0)}}), std::nullopt);
   EXPECT_EQ(Within(4, refused, {{"b", Well(0)}}), "b");
 }
 
 TEST_F(YieldTest, EachRecentChangeDoublesTheTimeToTheNext) {
-  const std::map<std::string, MemberVitals> others = {{"b", Well(90)}};
+  const std::map<std::string, LeadershipFitness> others = {{"b", Well(90)}};
   for (double at : {100.0, 101.0, 102.0}) policy_.OnLeaderChanged(at);
   now_ = 102;
   EXPECT_EQ(Within(79, Well(5), others), std::nullopt) << "two doublings of 20 s";
--- a/tests/message_codec_test.cc
+++ b/tests/message_codec_test.cc
@@ -23,7 +23,7 @@
   ASSERT_TRUE(again) << again.error().field;
   EXPECT_EQ(again->priority, model::Priority::kUrgent);
   EXPECT_EQ(again->machine_types, spec->machine_types);
-  EXPECT_EQ(again->due_s, 900);
+  EXPECT_EQ(again->deadline_s, 900);
   EXPECT_TRUE(again->one_zone);
 }
 
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -402,7 +402,7 @@
 class PauseTest : public NetTest {
  public:
   async::Task<> Script() {
-    loop_.WatchPauses(0.4);
+    loop_.DetectPauses(0.4);
     co_await Pause(0.1);
     EXPECT_LT(loop_.resumed_at(), 0);
     StandStill(0.2);
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -148,7 +148,7 @@
   }
   BlockView View() {
     auto task = [this] {
-      model::TaskId id{Text(), static_cast<uint32_t>(Below(model::kMaxTasks + 1))};
+      model::TaskId id{Text(), static_cast<uint32_t>(Below(model::kMaxTasksPerJob + 1))};
       return model::TaskView{id,
                              Number(),
                              static_cast<model::TaskPhase>(Below(4)),
@@ -229,7 +229,7 @@
       {"node-1", {}, model::MemberState::kAlive, std::numeric_limits<uint64_t>::max()}};
   const auto back = ReadPeerMessage(WritePeerMessage(probe));
   ASSERT_TRUE(back);
-  EXPECT_TRUE(std::get<MemberProbe>(*back).status.observations.at(0).heard_ms_ago);
+  EXPECT_TRUE(std::get<MemberProbe>(*back).status.observations.at(0).last_heard_ms_ago);
 }
 
 std::string FaultOf(const std::string& payload) {
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -13,9 +13,9 @@
 class PipelineTest : public EndToEnd {
  public:
   template <class... Ids>
-  static model::JobSpec After(const std::string& id, uint32_t tasks, Ids... awaits) {
+  static model::JobSpec After(const std::string& id, uint32_t tasks, Ids... dependencies) {
     model::JobSpec s = Spec(id, tasks);
-    s.awaits = {awaits...};
+    s.dependencies = {dependencies...};
     return s;
   }
   async::Task<> Accepted(int node, model::JobSpec spec) {
@@ -37,7 +37,7 @@
       }
     });
   }
-  void Note(const model::JobSpec& spec) { awaits_[spec.id] = spec.awaits; }
+  void Note(const model::JobSpec& spec) { awaits_[spec.id] = spec.dependencies; }
 
   // A diamond with a tail, through every node, while nodes are restarted.
   async::Task<> Chain() {
@@ -140,7 +140,7 @@
     many.reserve(2000);
     for (int i = 0; i < 2000; ++i) many.push_back("run-" + std::to_string(10000 + i));
     model::JobSpec crowd = Spec("run-9", 1);
-    crowd.awaits = many;
+    crowd.dependencies = many;
     r = co_await Ask(0, "POST", "/submissions", Body(crowd));
     EXPECT_EQ(r.status, 400) << "more than a record holds";
     // What can't be known now is no verdict.
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -19,7 +19,7 @@
 TEST_F(PreemptionTest, UrgentWorkStopsWhatLosesLeast) {
   auto low = Spec("run-1", 4);
   low.priority = model::Priority::kBestEffort;
-  low.estimate_s = 500;
+  low.estimated_run_s = 500;
   PutJob(job_table_, low);
   model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
   for (uint32_t i = 0; i < 4; ++i) {
@@ -45,8 +45,8 @@
 TEST_F(PreemptionTest, AfterATakeoverWhatMayHaveRunLongIsNotStoppedFirst) {
   auto longer = Spec("run-1", 2, 2), shorter = Spec("run-3", 2, 2);
   longer.priority = shorter.priority = model::Priority::kBestEffort;
-  longer.estimate_s = 500;
-  shorter.estimate_s = 100;
+  longer.estimated_run_s = 500;
+  shorter.estimated_run_s = 100;
   PutJob(job_table_, longer);
   PutJob(job_table_, shorter);
   Place(job_table_, "run-1", 0, 1, "vm-1");
@@ -72,7 +72,7 @@
   auto borrowed = Spec("run-1", 4);
   borrowed.team = "other";
   borrowed.priority = model::Priority::kUrgent;
-  borrowed.estimate_s = 500;
+  borrowed.estimated_run_s = 500;
   PutJob(job_table_, borrowed, 1);
   RunOnVm1(4);
   auto owed = Spec("run-2", 1);
@@ -90,14 +90,14 @@
 TEST_F(PreemptionTest, NothingIsStoppedWhereTheTaskWouldEndLaterEvenSo) {
   auto low = Spec("run-1", 4);
   low.priority = model::Priority::kBestEffort;
-  low.estimate_s = 20;
+  low.estimated_run_s = 20;
   PutJob(job_table_, low);
   RunOnVm1(4);
   auto high = Spec("run-2", 1);
   high.priority = model::Priority::kUrgent;
   PutJob(job_table_, high, 2);
   EXPECT_EQ(Plan().preemptions.size(), 1U);
-  low.estimate_s = 8;  // the slot comes soon by itself
+  low.estimated_run_s = 8;  // the slot comes soon by itself
   PutJob(job_table_, low);
   EXPECT_TRUE(PlanRound(context_, job_table_, registry_, 104, 104).preemptions.empty());
 }
@@ -105,7 +105,7 @@
 TEST_F(PreemptionTest, SameRankIsNeverStopped) {
   auto spec = Spec("run-1", 4);
   spec.priority = model::Priority::kUrgent;
-  spec.estimate_s = 500;
+  spec.estimated_run_s = 500;
   PutJob(job_table_, spec);
   RunOnVm1(4);
   auto other = Spec("run-2", 1);
@@ -119,7 +119,7 @@
 TEST_F(PreemptionTest, NobodyIsStoppedForWorkThatComesLater) {
   auto first = Spec("run-1", 4);
   first.priority = model::Priority::kBestEffort;
-  first.estimate_s = 500;
+  first.estimated_run_s = 500;
   PutJob(job_table_, first, 1);
   RunOnVm1(4);
   auto urgent = Spec("run-2", 1);
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -192,7 +192,7 @@
           << seed.endpoint << "\"\n";
     }
     out << "[services]\ncloud = \"" << s.cloud << "\"\nstate = \"" << s.state << "\"\n"
-        << "[params]\nsize = " << s.size << "\nzones = [\"a\", \"b\"]\nskew_ms = 5.0\n";
+        << "[params]\nsize = " << s.cluster_size << "\nzones = [\"a\", \"b\"]\nskew_ms = 5.0\n";
     for (const config::Team& team : s.teams) {
       out << "[[params.teams]]\nname = \"" << team.name
           << "\"\ncpus = 0.0\ncpus_max = " << team.cpus_max << ".0\n";
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -163,11 +163,11 @@
 TEST(Records, AwaitedJobsAndTheLayoutAreKept) {
   JobRecord job;
   job.spec = Spec("run-3", 4);
-  job.spec.awaits = {"run-1", "run-2"};
+  job.spec.dependencies = {"run-1", "run-2"};
   job.tasks_per_group = 388;
   auto back = ReadJob(WriteJob(job));
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->spec.awaits, job.spec.awaits);
+  EXPECT_EQ(back->spec.dependencies, job.spec.dependencies);
   EXPECT_EQ(back->tasks_per_group, 388U);
   EXPECT_EQ(ReadFinal(R"({"phase":"done","done":3})")->recorded_at, 0);
   EXPECT_EQ(ReadFinal(WriteFinal({model::JobPhase::kDone, 3, 99.5}))->recorded_at, 99.5);
--- a/tests/round_test.cc
+++ b/tests/round_test.cc
@@ -30,7 +30,7 @@
 TEST_F(RoundTest, JobsWithLittleLeftGoFirstAndHopelessOnesLast) {
   settings_.objectives = {{"finished", "lane", 50, 0.9}};
   auto big = Spec("run-1", 200), small = Spec("run-2", 2), late = Spec("run-3", 1);
-  late.estimate_s = 60;
+  late.estimated_run_s = 60;
   PutJob(job_table_, late, 97);
   PutJob(job_table_, big, 98);
   PutJob(job_table_, small, 99);
@@ -60,7 +60,7 @@
   first.priority = model::Priority::kBestEffort;
   model::JobSpec last = Spec("run-2", 1);
   last.priority = model::Priority::kUrgent;
-  last.awaits = {"run-1"};
+  last.dependencies = {"run-1"};
   PutJob(job_table_, first, 5);
   PutJob(job_table_, Spec("run-3", 4), 1);
   AddMachine("vm-1");
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -78,7 +78,7 @@
   void Cancel(const std::string& job);
   void SetLimit(double limit);
 
-  // Fault injection.
+  // ConfigError injection.
   void Freeze(const std::string& name);
   void Resume(const std::string& name);
   void Kill(const std::string& name);
@@ -91,7 +91,7 @@
   // If false, every leader elected from now on runs a version without blocks, which places on all
   // machines.
   void SetNewLeadersUseBlocks(bool use_blocks) { new_leaders_use_blocks_ = use_blocks; }
-  // Fault in the delivery of a transaction to the state service or of its answer.
+  // ConfigError in the delivery of a transaction to the state service or of its answer.
   enum class DeliveryFault { kNone, kAnswerLost, kLate, kNotSent };
   // Injects a fault into the node's next transaction with placements. `on_sent` is called when the
   // node sends the transaction.
--- a/tests/simulation/membership_cluster.h
+++ b/tests/simulation/membership_cluster.h
@@ -70,7 +70,7 @@
   bool RunUntil(const std::function<bool()>& condition, double limit_s);
   void At(double delay_s, std::function<void()> run) { events_.At(delay_s, std::move(run)); }
 
-  // Fault injection.
+  // ConfigError injection.
   void Freeze(const std::string& name) { nodes_.at(name).process.Freeze(); }
   void Resume(const std::string& name);
   void Kill(const std::string& name) { nodes_.at(name).process.End(); }
--- a/tests/spot_eviction_test.cc
+++ b/tests/spot_eviction_test.cc
@@ -22,8 +22,8 @@
   auto saves = Spec("run-1", 1), lasts = Spec("run-2", 1), ends = Spec("run-3", 1);
   saves.checkpoint_every_s = 20;
   saves.checkpoint_s = 4;
-  saves.estimate_s = lasts.estimate_s = 100;
-  ends.estimate_s = 3;
+  saves.estimated_run_s = lasts.estimated_run_s = 100;
+  ends.estimated_run_s = 3;
   model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
   report.spot_notice_s = 8;
   for (const auto& spec : {saves, lasts, ends}) {
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -63,7 +63,7 @@
   settings_.teams = {{"swarm", 0, 0, 0, 0}, {"team", 2, 0, 0, 0}};
   auto swarm = Spec("run-1", 100);
   swarm.team = "swarm";
-  swarm.estimate_s = 1;
+  swarm.estimated_run_s = 1;
   PutJob(job_table_, swarm, 1);
   PutJob(job_table_, Spec("run-2", 2), 2);
   AddMachine("vm-1");
@@ -77,7 +77,7 @@
 TEST_F(TeamQuotaTest, ABlockedJobTakesNoPartOfQuotaOrGuarantee) {
   settings_.teams = {{"team", 4, 0, 0, 0}};
   model::JobSpec waits = Spec("run-1", 100);
-  waits.awaits = {"run-9"};
+  waits.dependencies = {"run-9"};
   PutJob(job_table_, waits);
   PutJob(job_table_, Spec("run-9", 1));
   PutJob(job_table_, Spec("run-2", 3), 2);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -49,7 +49,7 @@
   record.tasks_per_group = 9;
   EXPECT_FALSE(OldVersionKeeps(job, store::WriteJob(record)));
   record.tasks_per_group = 0;
-  record.spec.awaits = {"run-2"};
+  record.spec.dependencies = {"run-2"};
   EXPECT_FALSE(OldVersionKeeps(job, store::WriteJob(record)));
   EXPECT_TRUE(OldVersionKeeps(group, store::WriteTaskGroup({})));
   EXPECT_FALSE(OldVersionKeeps(group, store::WritePackedTaskGroup({}, 0, 4)));
