--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,7 +1,8 @@
-// What users ask: submissions, polls, withdrawals. Every node answers, from the state service.
+// Handles user requests: submissions, status polls and cancellations. Every node answers them, from
+// the state service.
 //
-// Nothing that a node has told may be taken back by another: accepted, done and cancelled are told
-// only after they are recorded, and only a final state is ever answered from memory.
+// No node may contradict an earlier answer of any node: accepted, done and cancelled are answered
+// only after they have been recorded, and only final states are answered from memory.
 #pragma once
 
 #include <deque>
@@ -31,11 +32,12 @@
     store::LinearizableRead* linearizable_read;
     store::RecordFormats* formats;
     jobs::JobTable* job_table;
-    const std::vector<model::MachineType>* machine_types;  // empty: not known yet
+    const std::vector<model::MachineType>* machine_types;  // empty until they are known
     std::function<double()> time_of_day;
-    // True once the warm copy knows how all ended that a job needs; false if that takes too long.
+    // Waits until the local copy of the state contains the outcomes of all jobs that a job depends
+    // on. Returns false if that takes longer than `limit_s` seconds.
     std::function<async::Task<bool>(std::string id, double limit_s)> wait_for_dependencies;
-    // Tells the other nodes of a cancellation that was just recorded under this version.
+    // Notifies the other nodes of a cancellation that was just recorded with this version.
     std::function<void(const std::string& id, uint64_t version)> broadcast_cancellation;
   };
   explicit UserApi(Deps deps) : deps_(std::move(deps)) {}
@@ -43,45 +45,49 @@
   async::Task<wire::HttpResponse> Submit(std::string body);
   async::Task<wire::HttpResponse> Poll(std::string id);
   async::Task<wire::HttpResponse> Cancel(std::string id);
-  // Cancellations that are being recorded just now.
-  int pending_cancellations() const { return cancelling_; }
+  // Number of cancellations that are being recorded.
+  int pending_cancellations() const { return pending_cancellations_; }
 
  private:
-  struct Found {
-    enum class Kind { kActive, kFinal, kNever, kUnknown } kind = Kind::kUnknown;
+  struct JobLookup {
+    enum class Kind { kActive, kFinal, kNotFound, kUnknown } kind = Kind::kUnknown;
     store::JobRecord job;
-    uint64_t version = 0;
-    bool warm = false;  // from the warm copy, which was fresh when it was asked for
+    uint64_t version = 0;          // of the active job's record
+    bool from_local_copy = false;  // read from the local copy, after it had caught up
     store::FinalRecord final_record;
   };
-  // Reads the job's state afresh.
-  async::Task<Found> Lookup(std::string id);
-  // The same by way of the warm copy, which one read makes fresh for all who ask at a time; by a
-  // read of its own where that fails.
-  async::Task<Found> LookupShared(std::string id);
-  async::Task<Found> LookupFinal(std::string id);
-  // The same for what the user is told: cancelled as well if a job that it needs is.
-  async::Task<Found> LookupWhole(std::string id);
-  // Whether a job that is not cancelled itself is cancelled by way of those it needs, from reads of
-  // their records: for when the warm copy can't be made fresh.
-  enum class Fate { kGoesOn, kCancelled, kUnknown };
-  async::Task<Fate> FateOf(std::vector<std::string> dependencies);
-  // What a submission that awaits others is to be told at once; nothing if all of them were
-  // accepted. `cancelled`: one of them is cancelled already.
-  async::Task<std::optional<wire::HttpResponse>> CheckAwaits(std::vector<std::string> dependencies,
-                                                             bool* cancelled);
+  // Reads the job's records from the state service.
+  async::Task<JobLookup> Lookup(std::string id);
+  // Same result, but reads active jobs from the local copy after a linearizable read that
+  // concurrent lookups share. Falls back to Lookup() if the local copy can't catch up.
+  async::Task<JobLookup> LookupLinearizable(std::string id);
+  async::Task<JobLookup> LookupFinal(std::string id);
+  // The lookup for answers to users: also reports the job as cancelled if a job that it depends on
+  // is cancelled.
+  async::Task<JobLookup> LookupWithDependencies(std::string id);
+  // Finds out whether a job that is not cancelled itself is cancelled through its dependencies.
+  // Reads their records from the state service; used when the local copy can't catch up.
+  enum class DependencyState { kNotCancelled, kCancelled, kUnknown };
+  async::Task<DependencyState> LookupDependencyState(std::vector<std::string> dependencies);
+  // Checks the dependencies of a submission. Returns the error response if one of them is invalid
+  // or can't be read, std::nullopt if all of them were accepted. Sets `cancelled` if one of them is
+  // already cancelled.
+  async::Task<std::optional<wire::HttpResponse>> CheckDependencies(
+      std::vector<std::string> dependencies, bool* cancelled);
+  // Records the job. Returns std::nullopt if the job exists already.
   async::Task<std::optional<wire::HttpResponse>> Accept(model::JobSpec spec);
-  wire::HttpResponse Status(const std::string& id, const Found& found) const;
-  // A final state that is known here; of kind kUnknown if there is none.
-  Found FromMemory(const std::string& id) const;
-  void Remember(const std::string& id, const store::FinalRecord& r);
-  // Why the job can never run; nothing if it can.
-  std::optional<wire::FieldError> NeverRuns(const model::JobSpec& spec) const;
+  wire::HttpResponse StatusResponse(const std::string& id, const JobLookup& found) const;
+  // Returns the job's final state if it is cached; otherwise kind is kUnknown.
+  JobLookup FindCachedFinal(const std::string& id) const;
+  // Caches a final record; evicts the oldest one if the cache is full.
+  void CacheFinal(const std::string& id, const store::FinalRecord& record);
+  // Returns why the job can never run; std::nullopt if it can.
+  std::optional<wire::FieldError> FindInfeasibility(const model::JobSpec& spec) const;
 
   Deps deps_;
-  int cancelling_ = 0;
+  int pending_cancellations_ = 0;
   std::unordered_map<std::string, store::FinalRecord> final_records_;
-  std::deque<std::string> finals_order_;
+  std::deque<std::string> final_record_order_;  // oldest first
 };
 
 }  // namespace hallpier::api
--- a/src/async/event_loop.cc
+++ b/src/async/event_loop.cc
@@ -6,14 +6,14 @@
 namespace hallpier::async {
 namespace {
 
-// Turns within the shortest gap that counts as a pause.
-constexpr double kTurnsPerBound = 4;
+// The loop turns at least this often within the shortest gap that counts as a pause.
+constexpr double kTurnsPerPauseThreshold = 4;
 
 }  // namespace
 
 EventLoop::EventLoop() : loop_(ev_loop_new(EVFLAG_NOINOTIFY | EVFLAG_NOSIGMASK)) {
   if (loop_ == nullptr) throw std::bad_alloc();
-  ev_timer_init(&tick_, OnTick, 0, 0);
+  ev_timer_init(&turn_timer_, OnTurnTimer, 0, 0);
 }
 
 EventLoop::~EventLoop() { ev_loop_destroy(loop_); }
@@ -26,20 +26,21 @@
          static_cast<double>(time.tv_nsec) * kSecondsPerNanosecond;
 }
 
-void EventLoop::DetectPauses(double bound_s) {
-  pause_bound_s_ = bound_s;
+void EventLoop::DetectPauses(double threshold_s) {
+  pause_threshold_s_ = threshold_s;
   last_turn_ = Now();
-  ev_timer_stop(loop_, &tick_);
-  ev_timer_set(&tick_, bound_s / kTurnsPerBound, bound_s / kTurnsPerBound);
-  ev_timer_start(loop_, &tick_);
+  ev_timer_stop(loop_, &turn_timer_);
+  ev_timer_set(&turn_timer_, threshold_s / kTurnsPerPauseThreshold,
+               threshold_s / kTurnsPerPauseThreshold);
+  ev_timer_start(loop_, &turn_timer_);
 }
 
 double EventLoop::resumed_at() const {
   const double now = Now();
-  return now - last_turn_ > pause_bound_s_ ? now : resumed_at_;
+  return now - last_turn_ > pause_threshold_s_ ? now : resumed_at_;
 }
 
-void EventLoop::NoteTurn() {
+void EventLoop::RecordTurn() {
   resumed_at_ = resumed_at();
   last_turn_ = Now();
 }
@@ -48,16 +49,18 @@
   stopped_ = false;
   last_turn_ = Now();
   while (!stopped_) {
-    // Only what was ready at the start of the turn, so that file descriptors are not starved.
-    for (size_t left = ready_.size(); left > 0 && !stopped_; --left) {
+    // Resumes only coroutines that were ready at the start of the turn, so that file descriptors
+    // are not starved.
+    for (size_t remaining = ready_.size(); remaining > 0 && !stopped_; --remaining) {
       auto suspended = ready_.front();
       ready_.pop_front();
       suspended.resume();
     }
     if (stopped_) break;
     ev_run(loop_, ready_.empty() ? EVRUN_ONCE : EVRUN_NOWAIT);
-    // Before any coroutine is resumed: it must not act on what it knew before a pause.
-    if (pause_bound_s_ < std::numeric_limits<double>::infinity()) NoteTurn();
+    // Done before any coroutine is resumed: a coroutine must not act on state from before a pause
+    // without seeing that the pause happened.
+    if (pause_threshold_s_ < std::numeric_limits<double>::infinity()) RecordTurn();
   }
 }
 
--- a/src/async/scope.cc
+++ b/src/async/scope.cc
@@ -35,16 +35,16 @@
     Task<> owned = std::move(task);
     co_await owned;
   }
-  scope->CoroutineEnded();
+  scope->OnCoroutineEnded();
 }
 
 void Scope::Spawn(Task<> task) {
-  ++live_;
+  ++active_coroutines_;
   loop_.Post(RunDetached(this, std::move(task)).handle);
 }
 
-void Scope::CoroutineEnded() {
-  if (--live_ == 0 && joiner_) loop_.Post(std::exchange(joiner_, {}));
+void Scope::OnCoroutineEnded() {
+  if (--active_coroutines_ == 0 && joiner_) loop_.Post(std::exchange(joiner_, {}));
 }
 
 void Scope::Cancel() {
@@ -57,7 +57,7 @@
 Task<> Scope::Join() {
   struct Awaiter {
     Scope& scope;
-    bool await_ready() const { return scope.live_ == 0; }
+    bool await_ready() const { return scope.active_coroutines_ == 0; }
     void await_suspend(std::coroutine_handle<> suspended) { scope.joiner_ = suspended; }
     void await_resume() const {}
   };
--- a/src/async/scope.h
+++ b/src/async/scope.h
@@ -1,4 +1,4 @@
-// Structured concurrency: a scope owns the coroutines spawned in it, and cancels them as a whole.
+// Structured concurrency: a scope owns the coroutines spawned in it and cancels them together.
 #pragma once
 
 #include <coroutine>
@@ -11,9 +11,9 @@
 
 class Wait;
 
-// Every wait names its scope. Cancelling the scope wakes all of its waits, so that its coroutines
-// unwind in order; Join() returns once the last has ended. A child scope is cancelled with its
-// parent.
+// Every wait belongs to a scope. Cancelling the scope wakes all of its waits, so that its
+// coroutines can unwind; Join() returns once the last coroutine has ended. Cancelling a scope also
+// cancels its child scopes.
 class Scope {
  public:
   explicit Scope(EventLoop& loop, Scope* parent = nullptr);
@@ -21,15 +21,15 @@
   Scope(const Scope&) = delete;
   Scope& operator=(const Scope&) = delete;
 
-  // Starts a coroutine of this scope at the loop's next turn.
+  // Starts a coroutine in this scope at the loop's next turn.
   void Spawn(Task<> task);
-  // Wakes every wait of this scope and of its children with WaitResult::kCancelled; later waits end
-  // at once. There is no way back.
+  // Wakes every wait of this scope and its children with WaitResult::kCancelled; later waits end
+  // immediately. Irreversible.
   void Cancel();
   bool cancelled() const { return cancelled_; }
-  // Coroutines that have not ended yet.
-  int active_coroutines() const { return live_; }
-  // Waits, even if this scope is cancelled, until every coroutine of it has ended.
+  // Number of coroutines that have not ended.
+  int active_coroutines() const { return active_coroutines_; }
+  // Waits until every coroutine of this scope has ended, even if the scope is cancelled.
   Task<> Join();
   EventLoop& loop() { return loop_; }
 
@@ -38,12 +38,12 @@
   EventLoop& loop_;
   Scope* parent_;
   bool cancelled_ = false;
-  int live_ = 0;
+  int active_coroutines_ = 0;
   std::coroutine_handle<> joiner_;
   std::list<Wait*> waits_;
   std::list<Scope*> children_;
 
-  void CoroutineEnded();
+  void OnCoroutineEnded();
   struct Detached;
   static Detached RunDetached(Scope* scope, Task<> task);
 };
--- a/src/async/task.h
+++ b/src/async/task.h
@@ -1,5 +1,5 @@
-// A lazily started coroutine. Awaiting it runs it to its end and yields its value; destroying it
-// before that destroys its frame.
+// A lazily started coroutine. Awaiting a task runs it to completion and returns its value;
+// destroying the task destroys the coroutine's frame, even if it has not completed.
 #pragma once
 
 #include <coroutine>
@@ -28,7 +28,7 @@
   std::coroutine_handle<> continuation;
   std::suspend_always initial_suspend() const noexcept { return {}; }
   FinalAwaiter final_suspend() const noexcept { return {}; }
-  // Errors travel as values here; an exception that gets this far is a bug.
+  // Errors are returned as values, so an exception that reaches this point is a bug.
   void unhandled_exception() const noexcept { std::terminate(); }
 };
 
--- a/src/async/wait.cc
+++ b/src/async/wait.cc
@@ -8,7 +8,8 @@
 }
 
 Wait::~Wait() {
-  // A coroutine that is destroyed while it waits (at exit) must leave nothing behind in the loop.
+  // A coroutine may be destroyed while it waits (at exit); it must not stay registered with the
+  // loop.
   if (pending_) {
     scope_.waits_.erase(link_);
     ev_timer_stop(scope_.loop_.raw(), &timer_);
@@ -27,7 +28,7 @@
   link_ = scope_.waits_.insert(scope_.waits_.end(), this);
   if (limit_s_ >= 0) {
     struct ev_loop* raw = scope_.loop_.raw();
-    // libev counts timers from the start of its turn, which may be long ago.
+    // libev measures timers from the start of the current turn, which may be long ago.
     ev_now_update(raw);
     ev_timer_set(&timer_, limit_s_, 0);
     ev_timer_start(raw, &timer_);
@@ -76,9 +77,9 @@
 }
 
 void Event::Notify() {
-  // A copy, since each one that is finished removes itself.
-  const std::list<Waiter*> woken = waiters_;
-  for (Waiter* waiter : woken) waiter->Finish(WaitResult::kReady);
+  // Iterates over a copy, since each finished waiter removes itself from the list.
+  const std::list<Waiter*> waiters = waiters_;
+  for (Waiter* waiter : waiters) waiter->Finish(WaitResult::kReady);
 }
 
 }  // namespace hallpier::async
--- a/src/async/wait.h
+++ b/src/async/wait.h
@@ -1,5 +1,5 @@
-// What a coroutine can wait for: a time, a file descriptor, an event. The awaitables live in the
-// coroutine's frame and must not outlive their scope.
+// Awaitables for coroutines: a delay, a file descriptor or an event. They live in the coroutine's
+// frame and must not outlive their scope.
 #pragma once
 
 #include <ev.h>
@@ -14,10 +14,10 @@
 // How a wait ended.
 enum class WaitResult { kReady, kTimeout, kCancelled };
 
-// Base of all awaitables: one suspended coroutine with an optional time limit.
+// Base class of the awaitables: one suspended coroutine with an optional time limit.
 class Wait {
  public:
-  // `limit_s`: seconds until kTimeout; negative: no limit.
+  // `limit_s`: seconds until the wait ends with kTimeout; negative: no limit.
   Wait(Scope& scope, double limit_s);
   virtual ~Wait();
   Wait(const Wait&) = delete;
@@ -26,11 +26,12 @@
   bool await_ready();
   void await_suspend(std::coroutine_handle<> suspended);
   WaitResult await_resume() const { return result_; }
-  // Ends the wait; the coroutine goes on at the loop's next turn. Without effect after the first.
+  // Ends the wait; the coroutine is resumed at the loop's next turn. Only the first call has an
+  // effect.
   void Finish(WaitResult result);
 
  protected:
-  // Starts and stops watching for what is waited for.
+  // Start and stop watching for the awaited condition.
   virtual void Arm() {}
   virtual void Disarm() {}
   Scope& scope_;
@@ -45,13 +46,13 @@
   ev_timer timer_;
 };
 
-// Ends with kTimeout after a time.
+// Ends with kTimeout after `duration_s` seconds.
 class Sleep : public Wait {
  public:
   Sleep(Scope& scope, double duration_s) : Wait(scope, duration_s < 0 ? 0 : duration_s) {}
 };
 
-// Waits until a file descriptor can be read (EV_READ) or written (EV_WRITE).
+// Waits until a file descriptor is readable (EV_READ) or writable (EV_WRITE).
 class FdWait : public Wait {
  public:
   FdWait(Scope& scope, int fd, int events, double limit_s);
@@ -66,7 +67,7 @@
   ev_io io_;
 };
 
-// A condition without a state: Notify() wakes everybody who waits at that moment.
+// A stateless condition: Notify() wakes all current waiters and has no effect on later ones.
 class Event {
  public:
   class Waiter : public Wait {
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,5 +1,5 @@
-// A value, or the error that stood in its way. The interface is the part of C++23's std::expected
-// that is needed here, which the linter's standard library does not have yet.
+// A value or an error. Provides the part of C++23's std::expected that this project needs;
+// std::expected itself is missing from the standard library that the linter uses.
 #pragma once
 
 #include <optional>
@@ -8,37 +8,37 @@
 
 namespace hallpier {
 
-// `Value` and `Failure` must be different types.
-template <class Value, class Failure>
+// `Value` and `Error` must be different types.
+template <class Value, class Error>
 class [[nodiscard]] Result {
  public:
-  // Both are implicit, so that functions return either.
+  // Implicit, so that a function can return a value or an error directly.
   Result(Value value) : outcome_(std::move(value)) {}
-  Result(Failure error) : outcome_(std::move(error)) {}
+  Result(Error error) : outcome_(std::move(error)) {}
 
   bool has_value() const { return std::holds_alternative<Value>(outcome_); }
   explicit operator bool() const { return has_value(); }
 
-  // Only if there is a value.
+  // Requires has_value().
   Value& operator*() { return std::get<Value>(outcome_); }
   const Value& operator*() const { return std::get<Value>(outcome_); }
   Value* operator->() { return &std::get<Value>(outcome_); }
   const Value* operator->() const { return &std::get<Value>(outcome_); }
 
-  // Only if there is none.
-  const Failure& error() const { return std::get<Failure>(outcome_); }
+  // Requires !has_value().
+  const Error& error() const { return std::get<Error>(outcome_); }
 
   Value value_or(Value fallback) && {
     return has_value() ? std::move(**this) : std::move(fallback);
   }
-  // The value, or nothing, for callers that treat every error alike.
+  // Returns std::nullopt on error, for callers that treat all errors alike.
   std::optional<Value> ToOptional() && {
     if (!has_value()) return std::nullopt;
     return std::move(**this);
   }
 
  private:
-  std::variant<Value, Failure> outcome_;
+  std::variant<Value, Error> outcome_;
 };
 
 }  // namespace hallpier
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,4 +1,4 @@
-// The program: parses the command line, checks the settings, and runs a controller or a command.
+// Entry point: parses the command line, validates the settings and runs a controller or a command.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -19,11 +19,11 @@
 namespace {
 
 // Exit statuses.
-constexpr int kGood = 0;
-constexpr int kCannotListen = 1;
-constexpr int kBadSettings = 2;
+constexpr int kSuccess = 0;
+constexpr int kListenFailed = 1;
+constexpr int kInvalidSettings = 2;
 
-// Logs to standard error, at the level of the environment's LOG_LEVEL.
+// Logs to standard error at the level given by the environment variable LOG_LEVEL (default: info).
 void SetUpLog(const std::string& node) {
   auto log = spdlog::stderr_logger_st("hallpier");
   log->set_pattern("%H:%M:%S.%e %L " + node + " %v");
@@ -32,7 +32,7 @@
   spdlog::set_default_logger(std::move(log));
 }
 
-// A controller on its event loop, as the signal handler sees them.
+// A controller and its event loop, for the signal handler.
 struct Node {
   hallpier::async::EventLoop loop;
   hallpier::controller::Controller controller;
@@ -43,13 +43,13 @@
   node->controller.Shutdown([node] { node->loop.Stop(); });
 }
 
-// False, after a line for each, if there are any.
-bool CheckFaults(const std::string& file,
-                 const std::vector<hallpier::config::ConfigError>& faults) {
-  for (const auto& fault : faults) {
-    std::fprintf(stderr, "%s: %s\n", file.c_str(), fault.Text().c_str());
+// Prints one line per error to standard error. Returns false if there are errors.
+bool ReportErrors(const std::string& file,
+                  const std::vector<hallpier::config::ConfigError>& errors) {
+  for (const auto& error : errors) {
+    std::fprintf(stderr, "%s: %s\n", file.c_str(), error.Text().c_str());
   }
-  return faults.empty();
+  return errors.empty();
 }
 
 struct Arguments {
@@ -60,13 +60,13 @@
   bool json = false;
 };
 
-// The arguments, or the exit status if the program is to end at once.
+// Returns the arguments, or the exit status if the program must exit immediately.
 std::variant<Arguments, int> ParseArguments(int argc, char** argv) {
   Arguments arguments;
   CLI::App cli("hallpier: a controller of a cluster scheduler");
   cli.add_option("--config", arguments.config_file, "the platform's settings (TOML)");
-  cli.add_option("--operator", arguments.operator_file, "the operators' own settings (HCL-like)");
-  cli.add_flag("--check", arguments.check, "check the settings, then end");
+  cli.add_option("--operator", arguments.operator_file, "the operators' options (HCL-like)");
+  cli.add_flag("--check", arguments.check, "validate the settings and exit");
   cli.set_version_flag("--version", std::string("hallpier ") + HALLPIER_VERSION);
   CLI::App* members = cli.add_subcommand("members", "show how the controllers see each other");
   members->add_option("--config", arguments.config_file, "the platform's settings (TOML)");
@@ -81,7 +81,7 @@
   return arguments;
 }
 
-// Serves until a signal ends it. Returns the exit status.
+// Runs the controller until SIGTERM or SIGINT. Returns the exit status.
 int Serve(hallpier::config::Settings settings, const hallpier::config::OperatorOptions& operators) {
   SetUpLog(settings.node);
   signal(SIGPIPE, SIG_IGN);
@@ -89,7 +89,7 @@
   std::string error;
   if (!node.controller.Start(&error)) {
     spdlog::error("start: can't listen reason={}", error);
-    return kCannotListen;
+    return kListenFailed;
   }
   ev_signal on_terminate;
   ev_signal on_interrupt;
@@ -103,12 +103,12 @@
   for (ev_signal* watcher : {&on_terminate, &on_interrupt}) {
     ev_signal_stop(node.loop.raw(), watcher);
   }
-  return kGood;
+  return kSuccess;
 }
 
 }  // namespace
 
-// An exception that reaches main ends the process, as it should.
+// An exception that reaches main() intentionally terminates the process.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   using namespace hallpier;
@@ -116,18 +116,18 @@
   if (const int* status = std::get_if<int>(&parsed)) return *status;
   const auto& arguments = std::get<Arguments>(parsed);
   auto settings = config::LoadSettings(arguments.config_file);
-  if (!CheckFaults(arguments.config_file, settings.errors)) return kBadSettings;
+  if (!ReportErrors(arguments.config_file, settings.errors)) return kInvalidSettings;
   if (arguments.members) return cli::RunMembersCommand(settings.value, arguments.json);
   config::ParseResult<config::OperatorOptions> options;
   if (!arguments.operator_file.empty()) {
     options = config::LoadOperatorOptions(arguments.operator_file);
   }
-  if (!CheckFaults(arguments.operator_file, options.errors)) return kBadSettings;
-  const auto contradictions = config::CheckConsistency(settings.value, options.value);
-  if (!CheckFaults(arguments.config_file, contradictions)) return kBadSettings;
+  if (!ReportErrors(arguments.operator_file, options.errors)) return kInvalidSettings;
+  const auto inconsistencies = config::CheckConsistency(settings.value, options.value);
+  if (!ReportErrors(arguments.config_file, inconsistencies)) return kInvalidSettings;
   if (arguments.check) {
-    std::printf("settings are good\n");
-    return kGood;
+    std::printf("settings are valid\n");
+    return kSuccess;
   }
   return Serve(std::move(settings.value), options.value);
 }
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -20,15 +20,15 @@
 constexpr double kMsPerS = 1000;
 // Exit statuses.
 constexpr int kAnswered = 0;
-constexpr int kNobodyAnswered = 1;
+constexpr int kNoAnswer = 1;
 
-// A controller of the settings, and where it listens for its peers.
+// A controller from the settings and the address on which it listens for peers.
 struct Target {
   std::string node;
   std::string endpoint;
 };
 
-// This controller and all others of the settings.
+// Returns this controller and all others from the settings.
 std::vector<Target> Targets(const config::Settings& settings) {
   std::vector<Target> targets = {{settings.node, settings.peer_bind}};
   for (config::Seed& seed : settings.OtherSeeds()) {
@@ -37,7 +37,7 @@
   return targets;
 }
 
-// What a controller's answer says; an error if it is no report.
+// Parses a controller's answer; returns an error if it is not a members report.
 MembersAnswer ReadAnswer(const std::string& node, const std::string& payload) {
   auto message = wire::ReadPeerMessage(payload);
   if (!message) {
@@ -58,18 +58,18 @@
     co_return MembersAnswer{target.node, std::nullopt, "can't be reached at " + target.endpoint};
   }
   const std::string request = wire::EncodeFrame(wire::WritePeerMessage(wire::MembersRequest{}));
-  bool open = co_await stream->Write(scope, request, deadline);
+  bool connected = co_await stream->Write(scope, request, deadline);
   wire::FrameDecoder frames(wire::kMaxPeerFrameBytes);
-  while (open && !frames.corrupt()) {
+  while (connected && !frames.corrupt()) {
     if (auto payload = frames.Next()) co_return ReadAnswer(target.node, *payload);
     std::string data;
-    open = co_await stream->Read(scope, data, deadline);
+    connected = co_await stream->Read(scope, data, deadline);
     frames.Feed(data);
   }
   co_return MembersAnswer{target.node, std::nullopt, "gives no answer; its version may be older"};
 }
 
-// Asks one controller; the answer is put where the caller collects them.
+// Asks one controller and stores its answer in `answer`.
 async::Task<> AskInto(async::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
   MembersAnswer received = co_await Ask(scope, std::move(target), deadline);
   *answer = std::move(received);
@@ -165,10 +165,10 @@
       continue;
     }
     if (!answer.report->enabled) {
-      text += fmt::format("{}: membership is off there\n", answer.node);
+      text += fmt::format("{}: membership is disabled on this controller\n", answer.node);
       continue;
     }
-    text += fmt::format("as {} sees it:\n", answer.node);
+    text += fmt::format("members as seen by {}:\n", answer.node);
     for (const wire::MemberRow& row : answer.report->rows) text += RowText(row);
     if (!answer.report->handover_to.empty()) {
       const std::string& from = answer.report->handover_from;
@@ -197,8 +197,8 @@
   for (const MembersAnswer& answer : answers) {
     if (answer.report) return kAnswered;
   }
-  std::fputs("no controller could be reached\n", stderr);
-  return kNobodyAnswered;
+  std::fputs("no controller answered\n", stderr);
+  return kNoAnswer;
 }
 
 }  // namespace hallpier::cli
--- a/src/cli/members_command.h
+++ b/src/cli/members_command.h
@@ -1,5 +1,6 @@
-// `hallpier members`: asks the controllers that a settings file names how they see each other, and
-// prints it as text or JSON (docs/schemas/members.schema.json). Runs an event loop of its own.
+// `hallpier members`: asks all controllers of a settings file for their view of the cluster's
+// members and prints the answers as text or JSON (docs/schemas/members.schema.json). Runs a
+// separate event loop.
 #pragma once
 
 #include <optional>
@@ -11,23 +12,23 @@
 
 namespace hallpier::cli {
 
-// What came of asking one controller.
+// The answer of one controller, or the reason why there is none.
 struct MembersAnswer {
   std::string node;
-  std::optional<wire::MembersReport> report;  // nothing: there is an error
-  std::string error;                          // why there is no report
+  std::optional<wire::MembersReport> report;  // std::nullopt if there is an error
+  std::string error;                          // empty if there is a report
 };
 
-// Asks every controller of the settings at once, for `timeout_s` seconds at the most. The answers
-// are in the order of the settings, this node's own first.
+// Asks all controllers of the settings concurrently, for at most `timeout_s` seconds. Returns the
+// answers with this node's first, the others in the order of the settings.
 std::vector<MembersAnswer> AskMembers(const config::Settings& settings, double timeout_s);
 
-// The answers as lines for a reader, or as one JSON document.
+// Formats the answers as human-readable lines or as one JSON document.
 std::string MembersText(const std::vector<MembersAnswer>& answers);
 std::string MembersJson(const std::vector<MembersAnswer>& answers);
 
-// The whole command: asks, and prints the answers to standard output. Returns the exit status: 0 if
-// a controller answered, 1 if none could be reached.
+// Runs the command: asks the controllers and prints their answers to standard output. Returns the
+// exit status: 0 if at least one controller sent a report, 1 if none did.
 int RunMembersCommand(const config::Settings& settings, bool json);
 
 }  // namespace hallpier::cli
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a settings file, and the result of parsing one.
+// Errors in a configuration file, and the result of parsing one.
 #pragma once
 
 #include <string>
@@ -7,18 +7,18 @@
 namespace hallpier::config {
 
 struct ConfigError {
-  std::string field;  // its path in the file, or the line where the file can't be parsed
+  std::string field;  // the field's path in the file, or the line of a syntax error
   std::string reason;
 
-  // One line for a person.
+  // Returns a one-line message.
   std::string Text() const { return field + ": " + reason; }
   bool operator==(const ConfigError&) const = default;
 };
 
 template <class T>
 struct ParseResult {
-  T value;                          // defaults stand where a field is at fault
-  std::vector<ConfigError> errors;  // none: the value is good
+  T value;                          // fields with errors keep defaults
+  std::vector<ConfigError> errors;  // empty: the value is valid
 
   bool ok() const { return errors.empty(); }
 };
--- a/src/config/consistency_check.cc
+++ b/src/config/consistency_check.cc
@@ -6,34 +6,34 @@
 namespace hallpier::config {
 namespace {
 
-// One kind of resource in a team's quota. A limit of 0 stands for none.
+// A team's quota of one resource. A limit of 0 means that there is no limit.
 struct Quota {
   std::string_view resource;
   double guarantee;
   double limit;
 };
 
-void CheckQuota(const Team& team, const Quota& quota, std::vector<ConfigError>* faults) {
+void CheckQuota(const Team& team, const Quota& quota, std::vector<ConfigError>* errors) {
   if (quota.limit <= 0 || quota.guarantee <= quota.limit) return;
   std::ostringstream reason;
   reason << team.name << " is guaranteed " << quota.guarantee << " " << quota.resource
          << ", more than its limit of " << quota.limit;
-  faults->push_back({"params.teams", reason.str()});
+  errors->push_back({"params.teams", reason.str()});
 }
 
 }  // namespace
 
 std::vector<ConfigError> CheckConsistency(const Settings& settings,
                                           const OperatorOptions& options) {
-  std::vector<ConfigError> faults;
-  // Controllers that share a limit lend each other no more than the limit; a guarantee beyond it
-  // could never be met.
-  if (!options.blocks.enabled) return faults;
+  std::vector<ConfigError> errors;
+  // With blocks enabled, controllers lend each other shares of the team's limit and never more than
+  // that in total, so a guarantee above the limit could not be met.
+  if (!options.blocks.enabled) return errors;
   for (const Team& team : settings.teams) {
-    CheckQuota(team, {"cpus", team.cpus, team.cpus_max}, &faults);
-    CheckQuota(team, {"gpus", team.gpus, team.gpus_max}, &faults);
+    CheckQuota(team, {"cpus", team.cpus, team.cpus_max}, &errors);
+    CheckQuota(team, {"gpus", team.gpus, team.gpus_max}, &errors);
   }
-  return faults;
+  return errors;
 }
 
 }  // namespace hallpier::config
--- a/src/config/consistency_check.h
+++ b/src/config/consistency_check.h
@@ -1,4 +1,4 @@
-// Checks that the settings and the operators' options go together.
+// Checks that the settings and the operators' options are consistent with each other.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace hallpier::config {
 
-// What the two files say that does not go together; the fields are those of the settings.
+// Returns the inconsistencies between the two files. The errors name fields of the settings file.
 std::vector<ConfigError> CheckConsistency(const Settings& settings, const OperatorOptions& options);
 
 }  // namespace hallpier::config
--- a/src/config/operator_options.cc
+++ b/src/config/operator_options.cc
@@ -14,54 +14,54 @@
 namespace hallpier::config {
 namespace {
 
-// A number of the file, and the range that it must lie in.
+// A numeric option of the file and its allowed range.
 struct NumberOption {
   const char* name;
   double* value;
-  double least;
-  double most;
+  double minimum;
+  double maximum;
 };
 
-// libconfuse reports faults through a plain function; this is where the current parse wants them.
-// Options are parsed by one thread, at the start of the process.
-std::vector<ConfigError>* parse_faults = nullptr;
+// Receives the errors of the current parse. A global, because libconfuse reports errors through a
+// plain function. Safe because options are parsed by one thread, at the start of the process.
+std::vector<ConfigError>* parse_errors = nullptr;
 
 void OnParseError(cfg_t* file, const char* format, va_list args) {
-  constexpr size_t kMaxMessage = 200;
-  char message[kMaxMessage];
+  constexpr size_t kMaxMessageBytes = 200;
+  char message[kMaxMessageBytes];
   vsnprintf(message, sizeof(message), format, args);
-  parse_faults->push_back({"operator file, line " + std::to_string(file->line), message});
+  parse_errors->push_back({"operator file, line " + std::to_string(file->line), message});
 }
 
-std::vector<cfg_opt_t> DescribeNumbers(const std::vector<NumberOption>& numbers) {
-  std::vector<cfg_opt_t> described;
-  described.reserve(numbers.size() + 2);
+std::vector<cfg_opt_t> DeclareNumbers(const std::vector<NumberOption>& numbers) {
+  std::vector<cfg_opt_t> declared;
+  declared.reserve(numbers.size() + 2);
   for (const NumberOption& number : numbers) {
-    described.push_back(CFG_FLOAT(number.name, *number.value, CFGF_NONE));
+    declared.push_back(CFG_FLOAT(number.name, *number.value, CFGF_NONE));
   }
-  return described;
+  return declared;
 }
 
-// Of a section that is switched on and off as a whole.
-std::vector<cfg_opt_t> DescribeSwitchedSection(const std::vector<NumberOption>& numbers) {
-  std::vector<cfg_opt_t> described = DescribeNumbers(numbers);
-  described.push_back(CFG_BOOL("enabled", cfg_false, CFGF_NONE));
-  described.push_back(CFG_END());
-  return described;
+// Declares the options of a section that is turned on and off by its `enabled` option.
+std::vector<cfg_opt_t> DeclareToggleableSection(const std::vector<NumberOption>& numbers) {
+  std::vector<cfg_opt_t> declared = DeclareNumbers(numbers);
+  declared.push_back(CFG_BOOL("enabled", cfg_false, CFGF_NONE));
+  declared.push_back(CFG_END());
+  return declared;
 }
 
-// `path`: of the section, before the names of its options.
+// Reads the numbers of a section. `path`: prefix of the option names in errors ("blocks.").
 void ReadNumbers(cfg_t* section, const std::string& path, const std::vector<NumberOption>& numbers,
-                 std::vector<ConfigError>* faults) {
+                 std::vector<ConfigError>* errors) {
   for (const NumberOption& number : numbers) {
     const double value = cfg_getfloat(section, number.name);
-    if (value >= number.least && value <= number.most) {
+    if (value >= number.minimum && value <= number.maximum) {
       *number.value = value;
       continue;
     }
     std::ostringstream reason;
-    reason << value << " is not between " << number.least << " and " << number.most;
-    faults->push_back({path + number.name, reason.str()});
+    reason << value << " is not between " << number.minimum << " and " << number.maximum;
+    errors->push_back({path + number.name, reason.str()});
   }
 }
 
@@ -97,12 +97,13 @@
   };
 }
 
-void CheckBlocks(const OperatorOptions& options, std::vector<ConfigError>* faults) {
+void ValidateBlocks(const OperatorOptions& options, std::vector<ConfigError>* errors) {
   if (options.blocks.holders != std::floor(options.blocks.holders)) {
-    faults->push_back({"blocks.holders", "not a whole number"});
+    errors->push_back(
+        {"blocks.holders", std::to_string(options.blocks.holders) + " is not a whole number"});
   }
   if (options.blocks.enabled && !options.membership.enabled) {
-    faults->push_back({"blocks.enabled", "needs membership.enabled"});
+    errors->push_back({"blocks.enabled", "needs membership.enabled"});
   }
 }
 
@@ -119,18 +120,18 @@
   const std::vector<NumberOption> numbers = GeneralNumbers(&options);
   const std::vector<NumberOption> membership_numbers = MembershipNumbers(&options.membership);
   const std::vector<NumberOption> block_numbers = BlockNumbers(&options.blocks);
-  std::vector<cfg_opt_t> membership_section = DescribeSwitchedSection(membership_numbers);
-  std::vector<cfg_opt_t> block_section = DescribeSwitchedSection(block_numbers);
-  std::vector<cfg_opt_t> file_options = DescribeNumbers(numbers);
+  std::vector<cfg_opt_t> membership_section = DeclareToggleableSection(membership_numbers);
+  std::vector<cfg_opt_t> block_section = DeclareToggleableSection(block_numbers);
+  std::vector<cfg_opt_t> file_options = DeclareNumbers(numbers);
   file_options.push_back(CFG_SEC("membership", membership_section.data(), CFGF_NONE));
   file_options.push_back(CFG_SEC("blocks", block_section.data(), CFGF_NONE));
   file_options.push_back(CFG_END());
   const std::unique_ptr<cfg_t, decltype(&cfg_free)> file(cfg_init(file_options.data(), CFGF_NONE),
                                                          &cfg_free);
   cfg_set_error_function(file.get(), OnParseError);
-  parse_faults = &parsed.errors;
+  parse_errors = &parsed.errors;
   const bool readable = cfg_parse_buf(file.get(), text.c_str()) == CFG_SUCCESS;
-  parse_faults = nullptr;
+  parse_errors = nullptr;
   if (!readable) return parsed;
   ReadNumbers(file.get(), "", numbers, &parsed.errors);
   cfg_t* membership = cfg_getsec(file.get(), "membership");
@@ -139,7 +140,7 @@
   cfg_t* blocks = cfg_getsec(file.get(), "blocks");
   ReadNumbers(blocks, "blocks.", block_numbers, &parsed.errors);
   options.blocks.enabled = cfg_getbool(blocks, "enabled") == cfg_true;
-  CheckBlocks(options, &parsed.errors);
+  ValidateBlocks(options, &parsed.errors);
   return parsed;
 }
 
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -1,5 +1,6 @@
-// The operators' own options, from a file beside the settings (libconfuse). All are optional. Times
-// are ratios to the platform's settings, so that one file serves every deployment.
+// The operators' options, read with libconfuse from a file separate from the settings. All are
+// optional. Most times are ratios to times of the platform's settings, so that one file serves
+// every deployment.
 #pragma once
 
 #include <string>
@@ -9,44 +10,44 @@
 
 namespace hallpier::config {
 
-// Membership of the controllers (docs/membership.md).
+// Cluster membership of the controllers (docs/membership.md).
 struct MembershipOptions {
   bool enabled = false;
-  double probe_ratio = 1.0 / 16;  // time between two probes / heartbeat_interval_s
-  double missed_probes = 3;       // unanswered ones that make a node suspect
-  double confirm_probes = 3;      // a recorded suspicion stands for so many before the verdict
-  double yield_leases = 1;        // least time between two changes of the leader / lease_s
+  double probe_ratio = 1.0 / 16;  // probe interval / heartbeat_interval_s
+  double missed_probes = 3;       // unanswered probes after which a node is suspected
+  double confirm_probes = 3;      // probe intervals until a recorded suspicion becomes a failure
+  double yield_leases = 1;        // minimum time between leader changes / lease_s
 };
 
-// Team limits across controllers (docs/team-limits.md).
+// Enforcement of team limits across controllers (docs/team-limits.md).
 struct BlockOptions {
   bool enabled = false;
-  double holders = 9;        // controllers that hold a block of machines at a time
-  double lease_ratio = 1;    // a silent holder loses its block after this / heartbeat_interval_s
-  double widen_ratio = 0.5;  // after this a job is open to one more holder / heartbeat_interval_s
+  double holders = 9;        // maximum number of controllers that hold a block of machines
+  double lease_ratio = 1;    // silence after which a holder loses its block / heartbeat_interval_s
+  double widen_ratio = 0.5;  // waiting time per additional holder of a job / heartbeat_interval_s
 };
 
 struct OperatorOptions {
-  double round_s = 2.0;           // time between two rounds of mapping, at first
-  double leader_ttl_ratio = 0.5;  // leader's lease on the state service / heartbeat_interval_s
-  double blind_ratio = 0.5;       // leases are renewed without the state service for this / lease_s
-  double silent_ratio = 3.0;     // a machine is given up after this many silent heartbeat intervals
-  double idle_ratio = 6.0;       // an idle machine is scaled in after this many nominal boot times
-  double headroom = 1.0;         // machines kept beyond what runs and waits
-  double patience_ratio = 0.32;  // best-effort work moves up after this part of its aim
-  double starve_s = 150;         // work that has not begun by then comes first, within starve_share
-  double starve_share = 0.25;    // share of all processors that work which waited so long may take
-  double urgent_reserve = 0.08;  // share of all processors kept for prod and urgent work
+  double round_s = 2.0;           // initial interval between scheduling rounds
+  double leader_ttl_ratio = 0.5;  // TTL of the leader's lease / heartbeat_interval_s
+  double blind_ratio = 0.5;       // max time of renewing leases without the state service / lease_s
+  double silent_ratio = 3.0;      // missed heartbeats after which a machine is given up
+  double idle_ratio = 6.0;        // idle time before a machine is scaled in / nominal boot time
+  double headroom = 1.0;          // spare capacity / demand
+  double patience_ratio = 0.32;   // waiting time after which best-effort jobs move up / objective
+  double starve_s = 150;          // waiting time after which a job counts as starved and goes first
+  double starve_share = 0.25;     // share of all CPUs that starved jobs may use
+  double urgent_reserve = 0.08;   // share of all CPUs reserved for prod and urgent jobs
   MembershipOptions membership;
   BlockOptions blocks;
 };
 
-// How soon a change on a machine is known and acted upon. Workers report changes between their
-// regular heartbeats and commands are sent to them directly, so that a long heartbeat interval does
-// not make it longer.
+// Returns the time in which the leader learns of a change on a machine and acts on it. Workers
+// report changes between their regular heartbeats and commands are sent to them directly, so a long
+// heartbeat interval does not increase this time.
 double ReactionTimeS(const Settings& settings, const OperatorOptions& options);
 
-// Faults name the field and the value.
+// Errors name the field and, for a number out of range, its value.
 ParseResult<OperatorOptions> ParseOperatorOptions(const std::string& text);
 ParseResult<OperatorOptions> LoadOperatorOptions(const std::string& path);
 
--- a/src/config/settings_parser.cc
+++ b/src/config/settings_parser.cc
@@ -12,67 +12,69 @@
 namespace hallpier::config {
 namespace {
 
-// Beyond any quantity that a setting can sensibly have.
+// Larger than any sensible value of a setting.
 constexpr double kMaxNumber = 1e15;
-// The state service of a cluster takes at least so many writes in a transaction: what belongs
-// together is written together.
+// Smallest limit on the writes of a transaction that this program supports: records that belong
+// together are written in one transaction.
 constexpr double kMinTransactionWrites = 4;
 
-// A table of the file, and its path in the names of its fields ("params.state.").
+// A table of the file, and the prefix of its field names in errors ("params.state.").
 struct Section {
   const toml::table& table;
   std::string path;
 };
 
-// Reads fields one by one and collects the faults.
+// Reads fields one by one and collects the errors.
 class FieldReader {
  public:
-  FieldReader(const toml::table& root, std::vector<ConfigError>* faults)
-      : root_(root), faults_(*faults) {}
+  FieldReader(const toml::table& root, std::vector<ConfigError>* errors)
+      : root_(root), errors_(*errors) {}
 
-  void AddFault(std::string field, std::string reason) {
-    faults_.push_back({std::move(field), std::move(reason)});
+  void AddError(std::string field, std::string reason) {
+    errors_.push_back({std::move(field), std::move(reason)});
   }
 
   std::string Text(const Section& section, const char* key) {
     auto text = section.table[key].value<std::string>();
-    if (!text || text->empty()) AddFault(section.path + key, "missing, or not a text");
+    if (!text || text->empty()) AddError(section.path + key, "missing, empty or not a string");
     return text.value_or("");
   }
 
   std::string Address(const Section& section, const char* key) {
     std::string text = Text(section, key);
     if (!text.empty() && !net::ParseAddress(text)) {
-      AddFault(section.path + key, "not an address: " + text);
+      AddError(section.path + key, "not an IPv4 address with a port: " + text);
     }
     return text;
   }
 
-  // A number of at least `least`. `fallback`: its value where it is missing, if it may be.
-  double Number(const Section& section, const char* key, double least,
+  // Reads a number of at least `minimum`. `fallback`: value of a missing field; std::nullopt if
+  // the field is required.
+  double Number(const Section& section, const char* key, double minimum,
                 std::optional<double> fallback = std::nullopt) {
     auto node = section.table[key];
     if (!node && fallback) return *fallback;
     auto number = node.value<double>();
     if (!number) {
-      AddFault(section.path + key, "missing, or not a number");
-      return least;
+      AddError(section.path + key, "missing or not a number");
+      return minimum;
     }
-    if (!(*number >= least) || *number > kMaxNumber) {
+    if (!(*number >= minimum) || *number > kMaxNumber) {
       std::ostringstream reason;
-      reason << *number << " is out of range";
-      AddFault(section.path + key, reason.str());
-      return least;
+      reason << *number << " is not between " << minimum << " and " << kMaxNumber;
+      AddError(section.path + key, reason.str());
+      return minimum;
     }
     return *number;
   }
 
-  // `fallback`: the limits where they are missing, if they may be.
+  // Reads the limits of the state service. `fallback`: values of missing fields; std::nullopt if
+  // all fields are required.
   StateLimits Limits(const Section& section, const std::optional<StateLimits>& fallback) {
-    auto number = [&](const char* key, double least, auto StateLimits::*limit) {
-      std::optional<double> other;
-      if (fallback) other = static_cast<double>((*fallback).*limit);
-      return Number(section, key, least, other);
+    auto number = [&](const char* key, double minimum, auto StateLimits::*limit) {
+      std::optional<double> default_value;
+      if (fallback) default_value = static_cast<double>((*fallback).*limit);
+      return Number(section, key, minimum, default_value);
     };
     StateLimits limits;
     limits.rps = number("rps", 1, &StateLimits::rps);
@@ -86,7 +88,7 @@
   Section Root() const { return {root_, ""}; }
 
   Section RequiredSection(const std::string& name) {
-    if (root_.at_path(name).as_table() == nullptr) AddFault(name, "missing section");
+    if (root_.at_path(name).as_table() == nullptr) AddError(name, "missing section");
     return OptionalSection(name);
   }
 
@@ -96,7 +98,7 @@
     return {table == nullptr ? kEmpty : *table, name + "."};
   }
 
-  // Calls `read` for each table of an array, which may be missing.
+  // Calls `read` for each table of an array of tables. The array may be missing.
   template <class F>
   void ForEach(const std::string& name, F read) {
     const toml::array* array = root_.at_path(name).as_array();
@@ -106,22 +108,22 @@
       if (const toml::table* table = array->get(i)->as_table()) {
         read(Section{*table, path});
       } else {
-        AddFault(path, "not a table");
+        AddError(path, "not a table");
       }
     }
   }
 
  private:
   const toml::table& root_;
-  std::vector<ConfigError>& faults_;
+  std::vector<ConfigError>& errors_;
 };
 
-// A node may stand among its own seeds, but no name may stand for two of them.
-void CheckNames(const Settings& settings, FieldReader* reader) {
+// Checks that all seeds have different names. This node may be one of the seeds.
+void CheckSeedNames(const Settings& settings, FieldReader* reader) {
   std::set<std::string> names;
   for (const Seed& seed : settings.seeds) {
     if (seed.node.empty() || names.insert(seed.node).second) continue;
-    reader->AddFault("seeds", "two nodes are named " + seed.node);
+    reader->AddError("seeds", "two nodes are named " + seed.node);
   }
 }
 
@@ -135,7 +137,7 @@
     settings->seeds.push_back(
         {reader.Text(seed, "node"), reader.Text(seed, "area"), reader.Address(seed, "endpoint")});
   });
-  CheckNames(*settings, &reader);
+  CheckSeedNames(*settings, &reader);
 }
 
 void ReadServices(FieldReader& reader, Settings* settings) {
@@ -146,8 +148,8 @@
 
 void ReadCluster(FieldReader& reader, Settings* settings) {
   const Section params = reader.RequiredSection("params");
-  const double known_nodes = 1.0 + static_cast<double>(settings->seeds.size());
-  settings->cluster_size = static_cast<int>(reader.Number(params, "size", 1, known_nodes));
+  const double default_size = 1.0 + static_cast<double>(settings->seeds.size());
+  settings->cluster_size = static_cast<int>(reader.Number(params, "size", 1, default_size));
   settings->skew_ms = reader.Number(params, "skew_ms", 0, 0.0);
   const toml::array* zones = params.table["zones"].as_array();
   if (zones == nullptr) return;
@@ -202,7 +204,7 @@
   if (const toml::table* next = state.table["next"].as_table()) {
     settings->next_state_limits = reader.Limits({*next, "params.state.next."}, limits);
   } else {
-    reader.AddFault("params.state.next", "not a table");
+    reader.AddError("params.state.next", "not a table");
   }
 }
 
@@ -217,13 +219,13 @@
   constexpr double kMinCoreShare = 0.001;
   constexpr double kMinMemoryMb = 16;
   constexpr double kMinSockets = 16;
-  constexpr double kUsualMemoryMb = 256;
-  constexpr double kUsualSockets = 1000;
+  constexpr double kDefaultMemoryMb = 256;
+  constexpr double kDefaultSockets = 1000;
   const Section limits = reader.OptionalSection("params.machine_limits");
   settings->core_share = reader.Number(limits, "core_share", kMinCoreShare, 1.0);
-  settings->memory_mb = reader.Number(limits, "memory_mb", kMinMemoryMb, kUsualMemoryMb);
+  settings->memory_mb = reader.Number(limits, "memory_mb", kMinMemoryMb, kDefaultMemoryMb);
   settings->max_sockets =
-      static_cast<int>(reader.Number(limits, "max_sockets", kMinSockets, kUsualSockets));
+      static_cast<int>(reader.Number(limits, "max_sockets", kMinSockets, kDefaultSockets));
 }
 
 }  // namespace
--- a/src/config/settings_parser.h
+++ b/src/config/settings_parser.h
@@ -1,4 +1,4 @@
-// Reads the settings file (TOML). Fields that are not known are passed over.
+// Parses the settings file (TOML). Unknown fields are ignored.
 #pragma once
 
 #include <string>
--- a/src/config/text_file.h
+++ b/src/config/text_file.h
@@ -1,4 +1,4 @@
-// Reading a whole file.
+// Reads a text file.
 #pragma once
 
 #include <optional>
@@ -6,7 +6,7 @@
 
 namespace hallpier::config {
 
-// Nothing if the file can't be read.
+// Returns the contents of a file; std::nullopt if it can't be read.
 std::optional<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace hallpier::config
--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -1,4 +1,4 @@
-// What the leader asks of the cloud, and how the cloud lists machines.
+// Requests from the leader to the cloud, and the cloud's listing of rented machines.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 namespace hallpier::model {
 
 struct ScaleOutRequest {
-  std::string request;  // its own name, unique for ever: a repeated request is idempotent
+  std::string request;  // idempotency key: a request name is never reused, so retries are safe
   std::string machine_type;
   std::string zone;
   bool spot = false;
@@ -23,13 +23,13 @@
   std::string zone;
   bool spot = false;
   CloudMachineState state = CloudMachineState::kBooting;
-  double age_s = 0;  // since it was requested
+  double age_s = 0;  // time since the machine was requested
 };
 
-// One page of the cloud's list, which may lag behind by `list_lag_s` of the settings.
+// One page of the cloud's listing, which may be up to `list_lag_s` (settings) out of date.
 struct CloudMachineList {
   std::vector<CloudMachine> machines;
-  bool more = false;  // there is another page
+  bool more = false;  // true if another page follows
 };
 
 }  // namespace hallpier::model
--- a/src/model/heartbeat.h
+++ b/src/model/heartbeat.h
@@ -1,4 +1,4 @@
-// What workers and the leader say to each other: heartbeats with status, and commands.
+// Messages between workers and the leader: heartbeats that carry status, and commands.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace hallpier::model {
 
-// Sent by the agent of a worker at every heartbeat interval, and as the answer to commands.
+// Sent by a worker's agent once per heartbeat interval and in reply to commands.
 struct Heartbeat {
   std::string machine;
   std::string endpoint;
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  AgentEpoch agent_epoch;               // one life of the agent; ends with its lease
-  uint64_t sequence = 0;                // orders the heartbeats of an epoch
-  FencingToken token;                   // the highest fencing token that the agent has seen
-  std::optional<double> spot_notice_s;  // seconds until the cloud takes the machine back
-  std::vector<TaskStatus> tasks;        // all that the agent knows of
+  AgentEpoch agent_epoch;               // incarnation of the agent; ends when its lease expires
+  uint64_t sequence = 0;                // orders the heartbeats within an epoch
+  FencingToken token;                   // highest fencing token that the agent has seen
+  std::optional<double> spot_notice_s;  // seconds until the cloud reclaims the spot machine
+  std::vector<TaskStatus> tasks;        // every task that the agent knows
 };
 
-// kForget: an exited task need not be reported any more.
+// kForget acknowledges an exited task: the agent stops reporting it.
 enum class CommandKind { kRun, kStop, kForget };
 
 struct WorkerCommand {
   CommandKind kind = CommandKind::kRun;
   TaskId task;
   uint64_t attempt = 0;
-  double grace_s = 0;  // kStop: time to write a checkpoint
+  double grace_s = 0;  // kStop only: time that the task gets to write a checkpoint
 };
 
 }  // namespace hallpier::model
--- a/src/model/ids.h
+++ b/src/model/ids.h
@@ -1,5 +1,5 @@
-// Counters that are compared with each other and must not be mixed up. None has arithmetic: the
-// state service, or a worker's agent, says what comes next.
+// Monotonic ids as distinct types, so that values of different kinds can't be compared or assigned
+// to each other. They have no arithmetic: the state service or a worker's agent issues the next id.
 #pragma once
 
 #include <compare>
@@ -8,27 +8,27 @@
 namespace hallpier::model {
 
 template <class Tag>
-class Counter {
+class MonotonicId {
  public:
-  constexpr Counter() = default;
-  constexpr explicit Counter(uint64_t value) : value_(value) {}
+  constexpr MonotonicId() = default;
+  constexpr explicit MonotonicId(uint64_t value) : value_(value) {}
 
   constexpr uint64_t value() const { return value_; }
-  // False for the initial value, which stands for none.
+  // False for 0, the initial value, which means that no id is known.
   constexpr bool is_set() const { return value_ != 0; }
-  // clang-tidy takes the defaulted comparison for arithmetic on a literal 0.
+  // clang-tidy mistakes the literal 0 in the defaulted comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
-  friend constexpr auto operator<=>(const Counter&, const Counter&) = default;
+  friend constexpr auto operator<=>(const MonotonicId&, const MonotonicId&) = default;
 
  private:
   uint64_t value_ = 0;
 };
 
-// Grows with every term of a leader. Who holds a lower one than the state service, or a worker, has
-// seen, is refused there.
-using FencingToken = Counter<struct FencingTokenTag>;
+// Increases with every leader term. The state service and the workers reject a request whose token
+// is lower than the highest one that they have seen.
+using FencingToken = MonotonicId<struct FencingTokenTag>;
 
-// One life of a worker's agent. It ends with the worker's lease.
-using AgentEpoch = Counter<struct AgentEpochTag>;
+// One incarnation of a worker's agent. It ends when the worker's lease expires.
+using AgentEpoch = MonotonicId<struct AgentEpochTag>;
 
 }  // namespace hallpier::model
--- a/src/model/job.cc
+++ b/src/model/job.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::string_view kJobIdPrefix = "run-";
-constexpr size_t kMaxJobId = 64;
+constexpr size_t kMaxJobIdLength = 64;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 
 bool IsJobId(std::string_view id) {
   if (!id.starts_with(kJobIdPrefix)) return false;
-  if (id.size() == kJobIdPrefix.size() || id.size() > kMaxJobId) return false;
+  if (id.size() == kJobIdPrefix.size() || id.size() > kMaxJobIdLength) return false;
   const std::string_view digits = id.substr(kJobIdPrefix.size());
   return std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -1,4 +1,4 @@
-// Jobs as users submit them. The protocol's field names are mapped in wire/user_codec.h.
+// Jobs as users submit them. wire/user_codec.h maps the protocol's field names to these members.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace hallpier::model {
 
-// Highest first.
+// Ordered from the highest priority to the lowest.
 enum class Priority { kProd, kUrgent, kNormal, kBestEffort };
-// An array job is done once all its tasks are; a service runs until it is cancelled.
+// An array job is done once all of its tasks are done; a service runs until it is cancelled.
 enum class JobKind { kArray, kService };
 enum class JobPhase { kPending, kRunning, kDone, kCancelled };
 
-// Tasks of one job.
+// Largest number of tasks in one job.
 inline constexpr uint32_t kMaxTasksPerJob = 100000;
 
 struct JobSpec {
@@ -24,7 +24,7 @@
   JobKind kind = JobKind::kArray;
   Priority priority = Priority::kNormal;
   uint32_t tasks = 1;
-  // What one task takes.
+  // Resources that one task needs.
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
@@ -32,27 +32,27 @@
   double image_gb = 0;
   std::vector<std::string> machine_types;  // empty: any
   std::string zone;                        // empty: any
-  bool one_zone = false;                   // all tasks in the same zone
-  bool spread = false;                     // tasks evenly over the zones
+  bool one_zone = false;                   // all tasks run in the same zone
+  bool spread = false;                     // tasks are spread evenly over the zones
   bool spot = false;                       // may run on spot machines
-  double estimated_run_s = 0;              // run time of a task, by its owner
+  double estimated_run_s = 0;              // run time of a task, as its owner estimates it
   double checkpoint_every_s = 0;
-  double checkpoint_s = 0;                // how long a checkpoint takes
-  double deadline_s = 0;                  // after the submission; 0: no deadline
-  std::vector<std::string> dependencies;  // DAG dependencies: done before any task starts
+  double checkpoint_s = 0;                // time that writing a checkpoint takes
+  double deadline_s = 0;                  // relative to the submission; 0: no deadline
+  std::vector<std::string> dependencies;  // ids of jobs that must be done first (DAG)
 
   bool AllowsMachineType(std::string_view machine_type) const;
 };
 
-// True for "run-000412" and the like.
+// Returns whether `id` has the form of a job id: "run-" and digits, such as "run-000412".
 bool IsJobId(std::string_view id);
 
-// What a user is told of a job.
+// The status of a job as reported to its user.
 struct JobStatus {
   std::string id;
   JobPhase phase = JobPhase::kPending;
-  uint64_t done = 0;     // tasks
-  uint64_t running = 0;  // tasks
+  uint64_t done = 0;     // number of tasks that are done
+  uint64_t running = 0;  // number of tasks that run
 };
 
 }  // namespace hallpier::model
--- a/src/model/key_value.h
+++ b/src/model/key_value.h
@@ -1,5 +1,5 @@
 // The state service: a consensus-backed key-value store with compare-and-swap transactions, watches
-// and leases. Every change has a revision; the version of a key is the revision of its last change.
+// and leases. Every change gets a revision; a key's version is the revision of its last change.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 // One page of a listing.
 struct KeyValueList {
   std::vector<KeyValue> entries;
-  bool more = false;  // there is another page
+  bool more = false;  // true if another page follows
   uint64_t revision = 0;
 };
 
-// A transaction is carried out only if all its preconditions hold.
+// A transaction is executed only if all of its preconditions hold.
 struct Precondition {
   std::string key;
   uint64_t version = 0;  // 0: the key must not exist
@@ -29,19 +29,19 @@
 
 struct KeyWrite {
   std::string key;
-  std::string value;      // JSON; empty: the key is dropped
-  uint64_t lease_id = 0;  // the key is dropped when this lease expires; 0: none
+  std::string value;      // JSON; empty: deletes the key
+  uint64_t lease_id = 0;  // the key is deleted when this lease expires; 0: no lease
 };
 
 struct WatchEvent {
   std::string key;
-  std::string value;  // empty: dropped
+  std::string value;  // empty: the key was deleted
   uint64_t version = 0;
 };
 
 struct WatchResponse {
   std::vector<WatchEvent> events;
-  uint64_t revision = 0;  // the watch goes on from here
+  uint64_t revision = 0;  // the next watch request continues from this revision
 };
 
 }  // namespace hallpier::model
--- a/src/model/machine_view.h
+++ b/src/model/machine_view.h
@@ -1,4 +1,5 @@
-// Machines and failures as the leader describes them to the other controllers that place tasks.
+// The state of machines and task failures, as the leader sends it to other controllers that place
+// tasks.
 #pragma once
 
 #include <cstdint>
@@ -9,35 +10,36 @@
 
 namespace hallpier::model {
 
-// A task as its machine last reported it to the leader.
+// The last status of a task that its machine reported to the leader.
 struct TaskView {
   TaskId task;
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
-  bool start_observed = false;  // the leader saw it start to run
-  uint64_t phase_age_ms = 0;    // how long it has been in this phase; not kept up to date
+  bool start_observed = false;  // the leader observed the transition to running
+  uint64_t phase_age_ms = 0;    // time in this phase; a change of only this is not sent again
   bool operator==(const TaskView&) const = default;
 };
 
-// A machine as the leader sees it. Of one in another block only its zone is told.
+// A machine as the leader sees it. For a machine of another block, only its name and zone are
+// set.
 struct MachineView {
   std::string machine;
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  bool accepts_tasks = false;       // it may get new tasks
-  std::vector<std::string> images;  // there, of those that unfinished jobs need
+  bool accepts_tasks = false;       // new tasks may be placed on it
+  std::vector<std::string> images;  // cached images that unfinished jobs need
   std::vector<TaskView> tasks;
   bool operator==(const MachineView&) const = default;
 };
 
-// What the leader knows of the failures of a job's tasks.
+// Failures of a job's tasks that the leader has recorded.
 struct JobFailures {
   std::string job;
-  bool suspected = false;      // it fails because of itself
-  bool retry_allowed = false;  // its holder may start one more task of it
-  std::vector<std::string> failed_on;
+  bool suspected = false;              // the job itself is the suspected cause of its failures
+  bool retry_allowed = false;          // the job's block holder may start one more of its tasks
+  std::vector<std::string> failed_on;  // machines
   bool operator==(const JobFailures&) const = default;
 };
 
--- a/src/model/member.h
+++ b/src/model/member.h
@@ -1,4 +1,4 @@
-// Controllers as members of their cluster (src/membership).
+// Cluster membership of the controllers (src/membership).
 #pragma once
 
 #include <compare>
@@ -8,32 +8,33 @@
 
 namespace hallpier::model {
 
-// One life of a node's process, and how often that process has refuted a suspicion. A higher one
-// overrides all that was said of a lower one.
+// Identifies a run of a node's process (`session`) and counts how often that process has refuted a
+// suspicion. Information about a higher incarnation overrides all information about a lower one.
 struct Incarnation {
-  uint64_t session = 0;     // 0: none is known
-  uint64_t refutation = 0;  // within the session
+  uint64_t session = 0;     // 0: no session is known
+  uint64_t refutation = 0;  // number of refutations within the session
   auto operator<=>(const Incarnation&) const = default;
 };
 
 enum class MemberState : uint8_t { kAlive = 0, kSuspect = 1, kFailed = 2, kLeft = 3 };
 
-// What the sender of a status has observed of another node.
+// The state of another node as observed by the sender of a status message.
 struct MemberObservation {
   std::string node;
   Incarnation incarnation;
   MemberState state = MemberState::kAlive;
-  // How long before it was sent the node was known to be alive; nothing: never.
+  // Time between the last sign of life from the node and the sending of this message; std::nullopt
+  // if there was none.
   std::optional<uint64_t> last_heard_ms_ago;
   bool operator==(const MemberObservation&) const = default;
 };
 
-// How well a node is placed to lead.
+// Indicators of how well a node could serve as the leader.
 struct LeadershipFitness {
   bool leading = false;
-  bool reaches_state_service = false;  // the state service answers it without a relay
-  uint64_t event_loop_lag_ms = 0;      // how late its event loop gets its turns, lately
-  uint64_t recent_heartbeats = 0;      // that reached it in the last half of a report period
+  bool reaches_state_service = false;  // the state service answers this node without a relay
+  uint64_t event_loop_lag_ms = 0;      // recent delay of event loop turns
+  uint64_t recent_heartbeats = 0;      // received in the last half of a heartbeat interval
   bool operator==(const LeadershipFitness&) const = default;
 };
 
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -1,4 +1,4 @@
-// The tasks of a job: their names, and what a worker reports of one.
+// Tasks of a job: their names and the status that a worker reports.
 #pragma once
 
 #include <compare>
@@ -10,16 +10,16 @@
 namespace hallpier::model {
 
 enum class TaskPhase { kFetching, kRunning, kCheckpointing, kExited };
-// Why a task has exited.
+// Why a task exited; kNone if it has not.
 enum class ExitCause { kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown };
 
-// The cause as it stands in logs; empty for kNone.
+// Returns the cause as written in logs; empty for kNone.
 std::string_view ExitCauseName(ExitCause cause);
 
 struct TaskId {
   std::string job;
   uint32_t index = 0;
-  // Numbers first: most comparisons then end without a look at the text.
+  // Compares the index first, so that most comparisons need not compare the job's string.
   friend std::strong_ordering operator<=>(const TaskId& a, const TaskId& b) {
     if (a.index != b.index) return a.index <=> b.index;
     return a.job <=> b.job;
@@ -27,17 +27,18 @@
   friend bool operator==(const TaskId&, const TaskId&) = default;
 };
 
-// "run-000412/7"
+// Returns the task's name, such as "run-000412/7".
 std::string TaskName(const TaskId& task);
+// Returns std::nullopt if `name` is not a job id, a slash and an index below kMaxTasksPerJob.
 std::optional<TaskId> ParseTaskName(std::string_view name);
 
-// A task as its worker reports it.
+// The status of a task as its worker reports it.
 struct TaskStatus {
   TaskId task;
   uint64_t attempt = 0;
   TaskPhase state = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
-  bool checkpoint_saved = false;  // a checkpoint was written before it exited
+  bool checkpoint_saved = false;  // a checkpoint was written before the task exited
 };
 
 }  // namespace hallpier::model
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -63,8 +63,8 @@
   text.replace(text.find("127.0.0.1:5"), 11, "state.local");
   const auto faults = FaultsOf(config::ParseSettings(text));
   ASSERT_EQ(faults.size(), 2U);
-  EXPECT_EQ(faults[0], "services.state: not an address: state.local");
-  EXPECT_EQ(faults[1], "params.workers.lease_s: -1 is out of range");
+  EXPECT_EQ(faults[0], "services.state: not an IPv4 address with a port: state.local");
+  EXPECT_EQ(faults[1], "params.workers.lease_s: -1 is not between 0.1 and 1e+15");
 }
 
 TEST(Operator, OverridesRatiosAndNamesFaults) {
@@ -107,7 +107,7 @@
   EXPECT_EQ(faults_of("blocks {\n holders = 1\n}\n"),
             std::vector<std::string>{"blocks.holders: 1 is not between 2 and 64"});
   EXPECT_EQ(faults_of("blocks {\n holders = 2.5\n}\n"),
-            std::vector<std::string>{"blocks.holders: not a whole number"});
+            std::vector<std::string>{"blocks.holders: 2.500000 is not a whole number"});
   EXPECT_EQ(faults_of("blocks {\n lease_ratio = 0\n widen_ratio = 101\n}\n").size(), 2U);
 }
 
