--- a/src/blocks/divider.h
+++ b/src/blocks/assignment_planner.h
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "blocks/division.h"
+#include "blocks/block_assignment.h"
 #include "model/ids.h"
 
 namespace hallpier::blocks {
@@ -20,10 +20,10 @@
 // By node: the session of its process.
 using Candidates = std::map<std::string, uint64_t>;
 
-class Divider {
+class AssignmentPlanner {
  public:
   // `most`: holders at a time.
-  explicit Divider(size_t most) : most_(most) {}
+  explicit AssignmentPlanner(size_t most) : most_(most) {}
 
   // A term of this leader has begun. What the records of others lent may be beyond the limits by
   // now: a leader of an older version may have placed without a look at them.
@@ -32,12 +32,14 @@
   // The record to be written in place of `current`; nothing: it is as it should be. `token`: of
   // this leader. `revision`: how far its copy of the records is. Fewer than two candidates hold
   // nothing.
-  std::optional<DivisionRecord> Review(const DivisionRecord& current, model::FencingToken token,
-                                       uint64_t revision, const Candidates& candidates) const;
+  std::optional<BlockAssignmentRecord> Review(const BlockAssignmentRecord& current,
+                                              model::FencingToken token, uint64_t revision,
+                                              const Candidates& candidates) const;
 
  private:
   // Those that hold a block first, then by name, `most_` at the most.
-  std::vector<Holder> Chosen(const DivisionRecord& current, const Candidates& candidates) const;
+  std::vector<BlockOwner> Chosen(const BlockAssignmentRecord& current,
+                                 const Candidates& candidates) const;
 
   const size_t most_;
   model::FencingToken first_token_;
--- a/src/blocks/lending.cc
+++ b/src/blocks/block_planner.cc
@@ -1,11 +1,11 @@
-#include "blocks/lending.h"
+#include "blocks/block_planner.h"
 
 #include <algorithm>
 
 #include "config/operator_options.h"
 #include "model/machine_type.h"
 #include "plan/feasibility.h"
-#include "quota/lender.h"
+#include "quota/allocation_planner.h"
 #include "quota/usage.h"
 #include "store/keys.h"
 
@@ -16,13 +16,13 @@
 constexpr double kHoldOffLeases = 1;
 constexpr double kMaxHoldOffLeases = 16;
 
-HolderTable::Options TableOptions(const config::Settings& settings,
-                                  const config::BlockOptions& options) {
+OwnerEligibility::Options TableOptions(const config::Settings& settings,
+                                       const config::BlockOptions& options) {
   const double lease_s = options.lease_ratio * settings.heartbeat_interval_s;
   return {.node = settings.node,
           .lease_s = lease_s,
-          .hold_off_s = kHoldOffLeases * lease_s,
-          .max_hold_off_s = kMaxHoldOffLeases * lease_s};
+          .backoff_s = kHoldOffLeases * lease_s,
+          .max_backoff_s = kMaxHoldOffLeases * lease_s};
 }
 
 quota::AmountByTeam AmountsOf(const std::map<std::string, plan::Resources>& rooms) {
@@ -50,12 +50,12 @@
 
 }  // namespace
 
-std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
-                                          const fleet::WorkerRegistry& registry,
-                                          const plan::PlanningContext& context,
-                                          const plan::RoundResult& round,
-                                          const plan::PlacementScope& scope) {
-  std::vector<quota::AmountByTeam> withheld(scope.holder_count);
+std::vector<quota::AmountByTeam> ReservedForOthers(const jobs::JobTable& job_table,
+                                                   const fleet::WorkerRegistry& registry,
+                                                   const plan::PlanningContext& context,
+                                                   const plan::RoundResult& round,
+                                                   const plan::PlacementScope& scope) {
+  std::vector<quota::AmountByTeam> reserved_for_others(scope.holder_count);
   for (const auto& [team, id] : round.first_job_over_quota) {
     const jobs::Job* job = job_table.Find(id);
     if (job == nullptr) continue;
@@ -63,55 +63,58 @@
     // Where nobody can place it, nobody has to wait for it.
     if (std::find(able.begin(), able.end(), 1) == able.end()) continue;
     for (size_t i = 0; i < able.size(); ++i) {
-      if (able[i] == 0) withheld[i][team] = quota::TaskAmount(job->spec);
+      if (able[i] == 0) reserved_for_others[i][team] = quota::TaskAmount(job->spec);
     }
   }
-  return withheld;
+  return reserved_for_others;
 }
 
-Lending::Lending(const config::Settings& settings, const config::BlockOptions& options)
+BlockPlanner::BlockPlanner(const config::Settings& settings, const config::BlockOptions& options)
     : settings_(settings),
       holders_(TableOptions(settings, options)),
       divider_(static_cast<size_t>(options.holders)) {}
 
-void Lending::BeginTerm(model::FencingToken token, const BlockRecords& records, double now) {
+void BlockPlanner::BeginTerm(model::FencingToken token, const BlockRecords& records, double now) {
   divider_.BeginTerm(token);
-  holders_.BeginTerm(records.division().record(), now);
+  holders_.BeginTerm(records.block_assignment().record(), now);
 }
 
-std::optional<RecordChange> Lending::ReviewDivision(const BlockRecords& records,
-                                                    const CopyState& copy, bool all_understand,
-                                                    double now) {
+std::optional<RecordChange> BlockPlanner::PlanAssignmentChange(const BlockRecords& records,
+                                                               const CacheState& copy,
+                                                               bool all_understand, double now) {
   const Candidates fit = holders_.Fit(now);
   const Candidates candidates = all_understand ? fit : Candidates();
-  auto next = divider_.Review(records.division().record(), copy.token, copy.revision, candidates);
+  auto next =
+      divider_.Review(records.block_assignment().record(), copy.token, copy.revision, candidates);
   if (!next) return std::nullopt;
   RecordChange change;
   change.preconditions = {store::FencingTokenPrecondition(copy.token),
-                          {store::DivisionKey(), records.division_version()}};
-  change.writes = {{store::DivisionKey(), WriteDivision(*next), 0}};
+                          {store::DivisionKey(), records.block_assignment_version()}};
+  change.writes = {{store::DivisionKey(), WriteBlockAssignment(*next), 0}};
   return change;
 }
 
-std::optional<RecordChange> Lending::ReviewShares(
-    const BlockRecords& records, const CopyState& copy, const jobs::JobTable& job_table,
+std::optional<RecordChange> BlockPlanner::PlanAllocationChange(
+    const BlockRecords& records, const CacheState& copy, const jobs::JobTable& job_table,
     const fleet::WorkerRegistry& registry, const plan::PlanningContext& context,
     const plan::RoundResult& round, const plan::PlacementScope& scope,
     const WriteLimits& limits) const {
   // What a holder placed before its share shrank may not have come yet: lent anew now, it would
   // count twice.
-  if (copy.revision < records.newest()) return std::nullopt;
-  const DivisionRecord& division = records.division().record();
+  if (copy.revision < records.newest_revision()) return std::nullopt;
+  const BlockAssignmentRecord& block_assignment = records.block_assignment().record();
   const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
-  const auto withheld = Withheld(job_table, registry, context, round, scope);
-  std::vector<quota::HolderAccount> accounts;
-  for (size_t i = 0; i < division.holders.size(); ++i) {
-    const Holder& holder = division.holders[i];
-    accounts.push_back({holder.node, holder.grant, records.ShareOf(holder.node), usage.by_holder[i],
-                        AmountsOf(round.planned_by_holder[i]), withheld[i]});
+  const auto reserved_for_others = ReservedForOthers(job_table, registry, context, round, scope);
+  std::vector<quota::OwnerAccount> accounts;
+  for (size_t i = 0; i < block_assignment.holders.size(); ++i) {
+    const BlockOwner& holder = block_assignment.holders[i];
+    accounts.push_back({holder.node, holder.allocation_epoch, records.AllocationOf(holder.node),
+                        usage.by_owner[i], AmountsOf(round.planned_by_holder[i]),
+                        reserved_for_others[i]});
   }
-  auto changes = quota::ReviewShares(settings_.teams, {usage.outside, quota::LeastTasks(job_table)},
-                                     accounts, limits.value_bytes);
+  auto changes = quota::PlanAllocationChanges(settings_.teams,
+                                              {usage.unowned, quota::SmallestTasks(job_table)},
+                                              accounts, limits.value_bytes);
   if (changes.empty()) return std::nullopt;
   // The rest comes with the next review, which finds the versions of these.
   if (changes.size() > limits.operations) changes.resize(limits.operations);
@@ -119,8 +122,8 @@
   change.preconditions = records.AllPreconditions();
   change.preconditions.insert(change.preconditions.begin(),
                               store::FencingTokenPrecondition(copy.token));
-  for (const quota::ShareChange& share : changes) {
-    change.writes.push_back({store::ShareKey(share.node), quota::WriteShare(share.record), 0});
+  for (const quota::AllocationChange& share : changes) {
+    change.writes.push_back({store::ShareKey(share.node), quota::WriteAllocation(share.record), 0});
   }
   return change;
 }
--- a/src/blocks/lending.h
+++ b/src/blocks/block_planner.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "blocks/assignment_planner.h"
 #include "blocks/block_records.h"
-#include "blocks/divider.h"
-#include "blocks/holder_table.h"
+#include "blocks/owner_eligibility.h"
 #include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
@@ -30,40 +30,39 @@
   size_t value_bytes = 0;
 };
 
-class Lending {
+class BlockPlanner {
  public:
-  Lending(const config::Settings& settings, const config::BlockOptions& options);
+  BlockPlanner(const config::Settings& settings, const config::BlockOptions& options);
 
   // A term has begun under this token.
   void BeginTerm(model::FencingToken token, const BlockRecords& records, double now);
-  HolderTable& holders() { return holders_; }
+  OwnerEligibility& holders() { return holders_; }
 
   // The division as it should be; nothing: it is. `all_understand`: every node of the settings
   // reads these records; else nobody holds anything.
-  std::optional<RecordChange> ReviewDivision(const BlockRecords& records, const CopyState& copy,
-                                             bool all_understand, double now);
+  std::optional<RecordChange> PlanAssignmentChange(const BlockRecords& records,
+                                                   const CacheState& copy, bool all_understand,
+                                                   double now);
   // The shares as they should be; nothing: they are, or the copy is not new enough to say. `round`:
   // the leader's plan over all machines.
-  std::optional<RecordChange> ReviewShares(const BlockRecords& records, const CopyState& copy,
-                                           const jobs::JobTable& job_table,
-                                           const fleet::WorkerRegistry& registry,
-                                           const plan::PlanningContext& context,
-                                           const plan::RoundResult& round,
-                                           const plan::PlacementScope& scope,
-                                           const WriteLimits& limits) const;
+  std::optional<RecordChange> PlanAllocationChange(
+      const BlockRecords& records, const CacheState& copy, const jobs::JobTable& job_table,
+      const fleet::WorkerRegistry& registry, const plan::PlanningContext& context,
+      const plan::RoundResult& round, const plan::PlacementScope& scope,
+      const WriteLimits& limits) const;
 
  private:
   const config::Settings& settings_;
-  HolderTable holders_;
-  Divider divider_;
+  OwnerEligibility holders_;
+  AssignmentPlanner divider_;
 };
 
 // By holder: what must be left free as tasks end, since the team's next job in the order is one
 // that the holder can't place and another can.
-std::vector<quota::AmountByTeam> Withheld(const jobs::JobTable& job_table,
-                                          const fleet::WorkerRegistry& registry,
-                                          const plan::PlanningContext& context,
-                                          const plan::RoundResult& round,
-                                          const plan::PlacementScope& scope);
+std::vector<quota::AmountByTeam> ReservedForOthers(const jobs::JobTable& job_table,
+                                                   const fleet::WorkerRegistry& registry,
+                                                   const plan::PlanningContext& context,
+                                                   const plan::RoundResult& round,
+                                                   const plan::PlacementScope& scope);
 
 }  // namespace hallpier::blocks
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -4,32 +4,34 @@
 
 #include <algorithm>
 
-#include "quota/lender.h"
+#include "quota/allocation_planner.h"
 #include "quota/usage.h"
 #include "store/keys.h"
 
 namespace hallpier::blocks {
 
-void BlockRecords::PutDivision(const std::string& value, uint64_t version) {
-  std::optional<DivisionRecord> record = value.empty() ? DivisionRecord() : ReadDivision(value);
+void BlockRecords::SetBlockAssignment(const std::string& value, uint64_t version) {
+  std::optional<BlockAssignmentRecord> record =
+      value.empty() ? BlockAssignmentRecord() : ReadBlockAssignment(value);
   if (!record) spdlog::error("state: the division of blocks can't be read; nobody places by it");
-  division_ = Division(record.value_or(DivisionRecord()));
+  division_ = BlockAssignment(record.value_or(BlockAssignmentRecord()));
   division_version_ = value.empty() ? 0 : version;
   newest_ = std::max(newest_, version);
 }
 
-void BlockRecords::PutShare(const std::string& node, const std::string& value, uint64_t version) {
-  std::optional<quota::ShareRecord> record =
-      value.empty() ? quota::ShareRecord() : quota::ReadShare(value);
+void BlockRecords::SetAllocation(const std::string& node, const std::string& value,
+                                 uint64_t version) {
+  std::optional<quota::AllocationRecord> record =
+      value.empty() ? quota::AllocationRecord() : quota::ReadAllocation(value);
   if (!record) spdlog::error("state: the share of {} can't be read; nothing is lent to it", node);
   Share& share = shares_[node];
-  share.record = record.value_or(quota::ShareRecord());
+  share.record = record.value_or(quota::AllocationRecord());
   share.version = value.empty() ? 0 : version;
   newest_ = std::max(newest_, version);
 }
 
-const quota::ShareRecord& BlockRecords::ShareOf(const std::string& node) const {
-  static const quota::ShareRecord kNone;
+const quota::AllocationRecord& BlockRecords::AllocationOf(const std::string& node) const {
+  static const quota::AllocationRecord kNone;
   auto it = shares_.find(node);
   return it == shares_.end() ? kNone : it->second.record;
 }
@@ -41,17 +43,17 @@
 
 std::vector<model::Precondition> BlockRecords::AllPreconditions() const {
   std::vector<model::Precondition> preconditions = {{store::DivisionKey(), division_version_}};
-  for (const Holder& holder : division_.record().holders) {
+  for (const BlockOwner& holder : division_.record().owners) {
     preconditions.push_back({store::ShareKey(holder.node), ShareVersion(holder.node)});
   }
   return preconditions;
 }
 
-std::optional<size_t> BlockRecords::Holding(const std::string& node, uint64_t session,
-                                            const CopyState& copy) const {
+std::optional<size_t> BlockRecords::ActiveOwnerIndex(const std::string& node, uint64_t session,
+                                                     const CacheState& copy) const {
   const std::optional<size_t> holder = division_.IndexOf(node);
   if (!holder) return std::nullopt;
-  const DivisionRecord& record = division_.record();
+  const BlockAssignmentRecord& record = division_.record();
   // Another process of this name was granted the block: its placements may still be under way.
   if (record.holders[*holder].session != session) return std::nullopt;
   // A leader that has not confirmed the division, or knows no blocks, may place anything.
@@ -63,17 +65,17 @@
 }
 
 std::vector<model::Precondition> BlockRecords::PlacementPreconditions(size_t holder) const {
-  const DivisionRecord& record = division_.record();
+  const BlockAssignmentRecord& record = division_.record();
   const std::string& node = record.holders.at(holder).node;
   return {store::FencingTokenPrecondition(record.token),
           {store::DivisionKey(), division_version_},
           {store::ShareKey(node), ShareVersion(node)}};
 }
 
-plan::PlacementScope BlockRecords::WholeScope(double widen_s, double wall_now) const {
+plan::PlacementScope BlockRecords::AllMachinesScope(double widen_s, double wall_now) const {
   plan::PlacementScope scope;
-  scope.holder_count = division_.record().holders.size();
-  scope.holder_of = [this](const std::string& machine) { return division_.HolderOf(machine); };
+  scope.holder_count = division_.record().owners.size();
+  scope.holder_of = [this](const std::string& machine) { return division_.OwnerOf(machine); };
   scope.may_place = [this, widen_s, wall_now](size_t holder, const jobs::Job& job) {
     return division_.MayPlace(holder, job.spec, job.priority, wall_now - job.runnable_since,
                               widen_s);
@@ -81,16 +83,16 @@
   return scope;
 }
 
-plan::PlacementScope BlockRecords::HolderScope(size_t holder, double widen_s, double wall_now,
-                                               const config::Settings& settings,
-                                               const jobs::JobTable& job_table) const {
-  plan::PlacementScope scope = WholeScope(widen_s, wall_now);
+plan::PlacementScope BlockRecords::OwnerScope(size_t holder, double widen_s, double wall_now,
+                                              const config::Settings& settings,
+                                              const jobs::JobTable& job_table) const {
+  plan::PlacementScope scope = AllMachinesScope(widen_s, wall_now);
   scope.single_holder = holder;
-  const Holder& self = division_.record().holders.at(holder);
+  const BlockOwner& self = division_.record().owners.at(holder);
   const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
   for (const config::Team& team : settings.teams) {
-    const quota::Amount left =
-        quota::RoomLeft(team, ShareOf(self.node), self.grant, usage.by_holder[holder]);
+    const quota::Amount left = quota::RemainingQuota(team, AllocationOf(self.node),
+                                                     self.allocation_epoch, usage.by_owner[holder]);
     scope.team_allowances[team.name] = {left.cpus, left.gpus, 0};
   }
   return scope;
--- a/src/blocks/view_sender.cc
+++ b/src/blocks/block_view_builder.cc
@@ -1,4 +1,4 @@
-#include "blocks/view_sender.h"
+#include "blocks/block_view_builder.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -51,10 +51,10 @@
   return views;
 }
 
-std::vector<wire::BlockView> ViewSender::Next(model::FencingToken token, const Division& division,
-                                              std::optional<size_t> holder,
-                                              const std::vector<model::MachineView>& machines,
-                                              std::vector<model::JobFailures> failures) {
+std::vector<wire::BlockView> BlockViewBuilder::BuildViews(
+    model::FencingToken token, const BlockAssignment& block_assignment,
+    std::optional<size_t> holder, const std::vector<model::MachineView>& machines,
+    std::vector<model::JobFailures> failures) {
   if (sequence_ == 0) told_.clear();
   std::vector<wire::BlockView> views;
   size_t bytes = 0;
@@ -68,7 +68,7 @@
   std::map<std::string, uint64_t> known;
   for (const model::MachineView& machine : machines) {
     if (!holder) break;
-    const bool own = division.HolderOf(machine.machine) == holder;
+    const bool own = block_assignment.OwnerOf(machine.machine) == holder;
     const model::MachineView told = own ? machine : ZoneOf(machine);
     const std::string encoded = EncodedWithoutTimes(told);
     const uint64_t hash = XXH3_64bits(encoded.data(), encoded.size());
--- a/src/blocks/view_sender.h
+++ b/src/blocks/block_view_builder.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "blocks/division.h"
+#include "blocks/block_assignment.h"
 #include "fleet/worker_registry.h"
 #include "jobs/job_table.h"
 #include "model/ids.h"
@@ -21,7 +21,7 @@
                                                  const jobs::JobTable& job_table, double now);
 
 // The messages to one node.
-class ViewSender {
+class BlockViewBuilder {
  public:
   // The node is to be told everything anew: its link is new, or it has missed a message.
   void Restart() { sequence_ = 0; }
@@ -30,10 +30,11 @@
   }
   // What the node does not know yet, in messages that fit a frame; at least one, which also renews
   // what it knows. `holder`: its number; nothing: it holds no block and is told no machines.
-  std::vector<wire::BlockView> Next(model::FencingToken token, const Division& division,
-                                    std::optional<size_t> holder,
-                                    const std::vector<model::MachineView>& machines,
-                                    std::vector<model::JobFailures> failures);
+  std::vector<wire::BlockView> BuildViews(model::FencingToken token,
+                                          const BlockAssignment& block_assignment,
+                                          std::optional<size_t> holder,
+                                          const std::vector<model::MachineView>& machines,
+                                          std::vector<model::JobFailures> failures);
 
  private:
   uint64_t sequence_ = 0;
--- a/src/blocks/machine_mirror.cc
+++ b/src/blocks/machine_state_replica.cc
@@ -1,17 +1,17 @@
-#include "blocks/machine_mirror.h"
+#include "blocks/machine_state_replica.h"
 
 #include "fleet/machine_views.h"
 #include "model/machine_view.h"
 
 namespace hallpier::blocks {
 
-void MachineMirror::Forget() {
+void MachineStateReplica::Forget() {
   std::vector<std::string> names;
   for (const auto& [name, machine] : registry_.machines()) names.push_back(name);
   for (const std::string& name : names) registry_.Remove(name);
 }
 
-std::optional<uint64_t> MachineMirror::Take(const wire::BlockView& view, double now) {
+std::optional<uint64_t> MachineStateReplica::Apply(const wire::BlockView& view, double now) {
   if (view.token < token_) return std::nullopt;
   if (view.token > token_ && view.sequence != 1) sequence_ = 0;
   token_ = view.token;
--- a/src/blocks/machine_mirror.h
+++ b/src/blocks/machine_state_replica.h
@@ -11,13 +11,13 @@
 
 namespace hallpier::blocks {
 
-class MachineMirror {
+class MachineStateReplica {
  public:
-  explicit MachineMirror(fleet::WorkerRegistry::Options options) : registry_(options) {}
+  explicit MachineStateReplica(fleet::WorkerRegistry::Options options) : registry_(options) {}
 
   // Takes in a view. Returns the number to acknowledge: its own, or 0 if one before it was missed;
   // nothing: it comes from a leader that was followed by another.
-  std::optional<uint64_t> Take(const wire::BlockView& view, double now);
+  std::optional<uint64_t> Apply(const wire::BlockView& view, double now);
   fleet::WorkerRegistry& registry() { return registry_; }
 
  private:
--- a/src/blocks/holder_table.cc
+++ b/src/blocks/owner_eligibility.cc
@@ -1,4 +1,4 @@
-#include "blocks/holder_table.h"
+#include "blocks/owner_eligibility.h"
 
 #include <algorithm>
 
@@ -9,13 +9,13 @@
 
 }  // namespace
 
-void HolderTable::BeginTerm(const DivisionRecord& division, double now) {
+void OwnerEligibility::BeginTerm(const BlockAssignmentRecord& block_assignment, double now) {
   for (auto& [name, node] : nodes_) {
     node.fit = false;
     node.renewed_at.reset();
-    node.not_before = node.hold_off_s = 0;
+    node.not_before = node.backoff_s = 0;
   }
-  for (const Holder& holder : division.holders) {
+  for (const BlockOwner& holder : block_assignment.holders) {
     Node& node = nodes_[holder.node];
     node.fit = true;
     node.fit_since = now;
@@ -24,18 +24,18 @@
   }
 }
 
-void HolderTable::OnPause(double now) {
+void OwnerEligibility::OnPause(double now) {
   for (auto& [name, node] : nodes_) {
     if (node.fit) node.renewed_at = now;
   }
 }
 
-void HolderTable::OnMember(const std::string& node, std::optional<uint64_t> session) {
+void OwnerEligibility::OnMember(const std::string& node, std::optional<uint64_t> session) {
   nodes_[node].session = session;
 }
 
-void HolderTable::OnAcknowledged(const std::string& node, uint64_t session, bool able,
-                                 double asked) {
+void OwnerEligibility::OnAcknowledged(const std::string& node, uint64_t session, bool able,
+                                      double asked) {
   if (!able) return;
   Node& known = nodes_[node];
   // A late answer of a former process renews nothing.
@@ -45,22 +45,22 @@
   known.acknowledged_session = session;
 }
 
-bool HolderTable::Renewed(const Node& node, double now) const {
+bool OwnerEligibility::Renewed(const Node& node, double now) const {
   return node.session && node.renewed_at && *node.session == node.acknowledged_session &&
          now - *node.renewed_at <= options_.lease_s;
 }
 
-void HolderTable::Lose(Node* node, double now) const {
+void OwnerEligibility::Lose(Node* node, double now) const {
   node->fit = false;
   // Who was well for long enough begins anew.
-  const bool lasted = now - node->fit_since > options_.max_hold_off_s;
-  const double doubled = kBackoffFactor * node->hold_off_s;
-  node->hold_off_s = lasted ? options_.hold_off_s
-                            : std::clamp(doubled, options_.hold_off_s, options_.max_hold_off_s);
-  node->not_before = now + node->hold_off_s;
+  const bool lasted = now - node->fit_since > options_.max_backoff_s;
+  const double doubled = kBackoffFactor * node->backoff_s;
+  node->backoff_s =
+      lasted ? options_.backoff_s : std::clamp(doubled, options_.backoff_s, options_.max_backoff_s);
+  node->not_before = now + node->backoff_s;
 }
 
-Candidates HolderTable::Fit(double now) {
+Candidates OwnerEligibility::Fit(double now) {
   Candidates fit;
   for (auto& [name, node] : nodes_) {
     if (name == options_.node) {
--- a/src/blocks/holder_table.h
+++ b/src/blocks/owner_eligibility.h
@@ -2,7 +2,8 @@
 //
 // A holder acknowledges each view of its machines that the leader sends; that renews the lease of
 // its block, if the state service answers it. The lease says only when the leader may better lend
-// the block to others: what keeps a former holder from placing are the guards (blocks/division.h).
+// the block to others: what keeps a former holder from placing are the guards
+// (blocks/block_assignment.h).
 #pragma once
 
 #include <cstdint>
@@ -10,23 +11,23 @@
 #include <optional>
 #include <string>
 
-#include "blocks/divider.h"
+#include "blocks/assignment_planner.h"
 
 namespace hallpier::blocks {
 
-class HolderTable {
+class OwnerEligibility {
  public:
   struct Options {
-    std::string node;           // the leader, which is always fit
-    double lease_s = 0;         // without a renewal for so long, a block is taken back
-    double hold_off_s = 0;      // after that its holder gets none for so long; doubled each time...
-    double max_hold_off_s = 0;  // ...up to this
+    std::string node;          // the leader, which is always fit
+    double lease_s = 0;        // without a renewal for so long, a block is taken back
+    double backoff_s = 0;      // after that its holder gets none for so long; doubled each time...
+    double max_backoff_s = 0;  // ...up to this
   };
-  explicit HolderTable(Options options) : options_(std::move(options)) {}
+  explicit OwnerEligibility(Options options) : options_(std::move(options)) {}
 
   // A term has begun: who held blocks before has not been heard of by this leader yet, and is given
   // the time of a lease.
-  void BeginTerm(const DivisionRecord& division, double now);
+  void BeginTerm(const BlockAssignmentRecord& block_assignment, double now);
   // After a pause of this process nobody has been asked for a while.
   void OnPause(double now);
   // A member's record: the session that is alive; nothing: it is suspect, failed or gone.
@@ -45,7 +46,7 @@
     std::optional<double> renewed_at;
     bool fit = false;
     double not_before = 0;
-    double hold_off_s = 0;
+    double backoff_s = 0;
     double fit_since = 0;
   };
   void Lose(Node* node, double now) const;
--- a/src/blocks/rendezvous.cc
+++ b/src/blocks/rendezvous_hash.cc
@@ -1,19 +1,19 @@
-#include "blocks/rendezvous.h"
+#include "blocks/rendezvous_hash.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 namespace hallpier::blocks {
 
-Rendezvous::Rendezvous(const std::vector<std::string>& nodes) {
+RendezvousHash::RendezvousHash(const std::vector<std::string>& nodes) {
   for (const std::string& node : nodes) seeds_.push_back(XXH3_64bits(node.data(), node.size()));
 }
 
-uint64_t Rendezvous::Weight(size_t node, std::string_view name) const {
+uint64_t RendezvousHash::Weight(size_t node, std::string_view name) const {
   return XXH3_64bits_withSeed(name.data(), name.size(), seeds_.at(node));
 }
 
-size_t Rendezvous::First(std::string_view name) const {
+size_t RendezvousHash::HighestRanked(std::string_view name) const {
   size_t first = 0;
   for (size_t node = 1; node < size(); ++node) {
     if (Weight(node, name) > Weight(first, name)) first = node;
@@ -21,7 +21,7 @@
   return first;
 }
 
-size_t Rendezvous::WritePriorityOf(size_t node, std::string_view name) const {
+size_t RendezvousHash::RankOf(size_t node, std::string_view name) const {
   size_t before = 0;
   for (size_t other = 0; other < size(); ++other) {
     const bool first = Weight(other, name) > Weight(node, name) ||
--- a/src/blocks/rendezvous.h
+++ b/src/blocks/rendezvous_hash.h
@@ -10,15 +10,15 @@
 
 namespace hallpier::blocks {
 
-class Rendezvous {
+class RendezvousHash {
  public:
-  explicit Rendezvous(const std::vector<std::string>& nodes);
+  explicit RendezvousHash(const std::vector<std::string>& nodes);
 
   size_t size() const { return seeds_.size(); }
   // The number of the node that comes first for a name. There must be a node.
-  size_t First(std::string_view name) const;
+  size_t HighestRanked(std::string_view name) const;
   // How many nodes come before this one.
-  size_t WritePriorityOf(size_t node, std::string_view name) const;
+  size_t RankOf(size_t node, std::string_view name) const;
 
  private:
   // The larger comes first. XXH3 is specified, so that all builds and versions agree.
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -46,8 +46,8 @@
   // A suspect may still refute the suspicion; if it doesn't respond, its lease expires first.
   const bool present = record && (record->state == model::MemberState::kAlive ||
                                   record->state == model::MemberState::kSuspect);
-  lending_.holders().OnMember(node,
-                              present ? std::optional(record->incarnation.session) : std::nullopt);
+  lending_.eligibility().OnMember(
+      node, present ? std::optional(record->incarnation.session) : std::nullopt);
 }
 
 void BlockCoordinator::OnLinkChanged(const std::string& node) {
@@ -63,11 +63,11 @@
   link.sender.OnAcknowledged(answer.sequence);
   auto sent = link.unacknowledged.find(answer.sequence);
   if (sent == link.unacknowledged.end()) return;
-  lending_.holders().OnAcknowledged(node, answer.session, answer.can_place, sent->second);
+  lending_.eligibility().OnAcknowledged(node, answer.session, answer.can_place, sent->second);
   link.unacknowledged.erase(link.unacknowledged.begin(), std::next(sent));
 }
 
-blocks::CopyState BlockCoordinator::CurrentCopyState() const {
+blocks::CacheState BlockCoordinator::CurrentCopyState() const {
   return {services_.cache->revision(), services_.election->token()};
 }
 
@@ -81,27 +81,28 @@
 }
 
 bool BlockCoordinator::MayPlaceOnAllMachines() const {
-  return !divided() && services_.cache->revision() >= services_.block_records->newest();
+  return !divided() && services_.cache->revision() >= services_.block_records->newest_revision();
 }
 
 std::optional<size_t> BlockCoordinator::HolderIndex(uint64_t session) const {
-  return services_.block_records->Holding(services_.settings->node, session, CurrentCopyState());
+  return services_.block_records->ActiveOwnerIndex(services_.settings->node, session,
+                                                   CurrentCopyState());
 }
 
 plan::PlacementScope BlockCoordinator::WholeScope() const {
-  return services_.block_records->WholeScope(WideningIntervalS(), services_.time_of_day());
+  return services_.block_records->AllMachinesScope(WideningIntervalS(), services_.time_of_day());
 }
 
 plan::PlacementScope BlockCoordinator::HolderScope(size_t holder) const {
-  return services_.block_records->HolderScope(holder, WideningIntervalS(), services_.time_of_day(),
-                                              *services_.settings, *services_.job_table);
+  return services_.block_records->OwnerScope(holder, WideningIntervalS(), services_.time_of_day(),
+                                             *services_.settings, *services_.job_table);
 }
 
 void BlockCoordinator::HandlePause() {
   const double resumed_at = term_->loop().resumed_at();
   if (resumed_at <= last_pause_end_) return;
   last_pause_end_ = resumed_at;
-  lending_.holders().OnPause(Now());
+  lending_.eligibility().OnPause(Now());
 }
 
 async::Task<> BlockCoordinator::ReviewAfterRound(const plan::RoundResult& round,
@@ -111,7 +112,7 @@
   if (term_->cancelled()) co_return;
   // The shares of the current holders can't be derived from a plan for a different number of
   // holders.
-  const size_t holders = services_.block_records->division().record().holders.size();
+  const size_t holders = services_.block_records->block_assignment().record().owners.size();
   if (scope != nullptr && scope->holder_count == holders) {
     GrantRetries(round, *scope);
     co_await ReviewShares(round, *scope);
@@ -122,8 +123,8 @@
 
 async::Task<> BlockCoordinator::ReviewDivision() {
   const bool all_understand = services_.formats->AllNodesSupportBlocks();
-  auto change =
-      lending_.ReviewDivision(*services_.block_records, CurrentCopyState(), all_understand, Now());
+  auto change = lending_.PlanAssignmentChange(*services_.block_records, CurrentCopyState(),
+                                              all_understand, Now());
   if (!change) co_return;
   spdlog::info("blocks: division record={}", change->writes[0].value);
   co_await CommitChange(std::move(*change));
@@ -134,9 +135,9 @@
   const blocks::WriteLimits limits = {
       static_cast<size_t>(services_.formats->max_transaction_writes()),
       services_.formats->max_value_bytes()};
-  auto change =
-      lending_.ReviewShares(*services_.block_records, CurrentCopyState(), *services_.job_table,
-                            registry_, context_, round, scope, limits);
+  auto change = lending_.PlanAllocationChange(*services_.block_records, CurrentCopyState(),
+                                              *services_.job_table, registry_, context_, round,
+                                              scope, limits);
   if (!change) co_return;
   for (const model::KeyWrite& write : change->writes) {
     spdlog::debug("blocks: share key={} record={}", write.key, write.value);
@@ -186,7 +187,7 @@
 
 void BlockCoordinator::SendViews() {
   views_sent_at_ = Now();
-  const blocks::Division& division = services_.block_records->division();
+  const blocks::BlockAssignment& division = services_.block_records->block_assignment();
   std::vector<model::MachineView> machines;
   if (divided()) machines = blocks::DescribeMachines(registry_, *services_.job_table, Now());
   for (auto& [node, link] : links_) {
@@ -194,8 +195,8 @@
     const std::optional<size_t> holder = division.IndexOf(node);
     std::vector<model::JobFailures> failures;
     if (holder) failures = registry_.failure_tracker().DescribeFailures(RetriesGrantedTo(*holder));
-    for (const wire::BlockView& view : link.sender.Next(services_.election->token(), division,
-                                                        holder, machines, std::move(failures))) {
+    for (const wire::BlockView& view : link.sender.BuildViews(
+             services_.election->token(), division, holder, machines, std::move(failures))) {
       link.unacknowledged[view.sequence] = Now();
       services_.send(node, view);
     }
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -10,8 +10,8 @@
 #include <string>
 
 #include "async/wait.h"
-#include "blocks/lending.h"
-#include "blocks/view_sender.h"
+#include "blocks/block_planner.h"
+#include "blocks/block_view_builder.h"
 #include "controller/node_services.h"
 #include "fleet/worker_registry.h"
 #include "membership/member_record.h"
@@ -38,7 +38,7 @@
   void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
 
   // True while blocks have holders, according to the records known to this node.
-  bool divided() const { return services_.block_records->division().divided(); }
+  bool divided() const { return services_.block_records->block_assignment().has_owners(); }
   // True if the leader may place on all machines, limited by the full quotas: no block has a
   // holder, and the watch cache contains every placement that was made while some block had one.
   bool MayPlaceOnAllMachines() const;
@@ -57,7 +57,7 @@
  private:
   // The views that were sent to a node over its current link.
   struct Link {
-    blocks::ViewSender sender;
+    blocks::BlockViewBuilder sender;
     // When the views without an acknowledgement were sent (steady time), by sequence number.
     std::map<uint64_t, double> unacknowledged;
   };
@@ -76,8 +76,9 @@
   void GrantRetries(const plan::RoundResult& round, const plan::PlacementScope& scope);
   std::set<std::string> RetriesGrantedTo(size_t holder) const;
   void SendViews();
-  blocks::CopyState CurrentCopyState() const;
-  // Seconds after which one more holder may place a waiting job (blocks::Division::MayPlace).
+  blocks::CacheState CurrentCopyState() const;
+  // Seconds after which one more holder may place a waiting job
+  // (blocks::BlockAssignment::MayPlace).
   double WideningIntervalS() const;
   // Maximum seconds between two views.
   double ViewIntervalS() const;
@@ -86,7 +87,7 @@
   const NodeServices& services_;
   const fleet::WorkerRegistry& registry_;
   const plan::PlanningContext& context_;
-  blocks::Lending lending_;
+  blocks::BlockPlanner lending_;
   async::Scope* term_ = nullptr;
   std::map<std::string, Link> links_;               // to all other nodes in the settings
   std::map<std::string, RetryGrant> retry_grants_;  // by job
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -49,7 +49,7 @@
 }
 
 std::optional<wire::BlockAcknowledgement> BlockPlacementLoop::OnView(const wire::BlockView& view) {
-  const std::optional<uint64_t> sequence = machines_.Take(view, Now());
+  const std::optional<uint64_t> sequence = machines_.Apply(view, Now());
   if (!sequence) return std::nullopt;
   if (!view.changed.empty() || !view.failures.empty()) RequestRound();
   return wire::BlockAcknowledgement{*sequence, services_.session(), CanPlace()};
@@ -62,8 +62,9 @@
   if (services_.election->leading() || paused || services_.formats->change_pending()) {
     return std::nullopt;
   }
-  const blocks::CopyState copy = {services_.cache->revision(), services_.cache->fencing_token()};
-  return services_.block_records->Holding(services_.settings->node, services_.session(), copy);
+  const blocks::CacheState copy = {services_.cache->revision(), services_.cache->fencing_token()};
+  return services_.block_records->ActiveOwnerIndex(services_.settings->node, services_.session(),
+                                                   copy);
 }
 
 async::Task<> BlockPlacementLoop::Run() {
@@ -89,7 +90,7 @@
   context_.machine_types = *services_.machine_types;
   const double widening_interval_s =
       services_.operator_options->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
-  const plan::PlacementScope scope = services_.block_records->HolderScope(
+  const plan::PlacementScope scope = services_.block_records->OwnerScope(
       holder, widening_interval_s, time_of_day, *services_.settings, *services_.job_table);
   plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, machines_.registry(),
                                            now, time_of_day, &scope);
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "async/wait.h"
-#include "blocks/machine_mirror.h"
+#include "blocks/machine_state_replica.h"
 #include "controller/node_services.h"
 #include "controller/round_trigger.h"
 #include "controller/transaction_committer.h"
@@ -38,7 +38,7 @@
   double Now() const { return services_.scope->loop().Now(); }
 
   const NodeServices& services_;
-  blocks::MachineMirror machines_;
+  blocks::MachineStateReplica machines_;
   plan::PlanningContext context_;
   RoundTrigger trigger_;
   TransactionCommitter committer_;
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -50,15 +50,15 @@
 
 void RecordDispatcher::OnDivision(const std::string& key, const std::string& value) {
   blocks::BlockRecords& records = *services_.block_records;
-  records.PutDivision(value, services_.cache->Version(key));
+  records.SetBlockAssignment(value, services_.cache->Version(key));
   services_.client->SetOtherNodesPlaceTasks(services_.operator_options->blocks.enabled &&
-                                            records.division().divided());
+                                            records.block_assignment().has_owners());
   RequestBlockRound();
 }
 
 void RecordDispatcher::OnShare(const std::string& node, const std::string& key,
                                const std::string& value) {
-  services_.block_records->PutShare(node, value, services_.cache->Version(key));
+  services_.block_records->SetAllocation(node, value, services_.cache->Version(key));
   RequestBlockRound();
 }
 
--- a/src/quota/lender.h
+++ b/src/quota/allocation_planner.h
@@ -9,41 +9,41 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "quota/share_record.h"
+#include "quota/allocation_record.h"
 
 namespace hallpier::quota {
 
 // One holder as the leader knows it.
-struct HolderAccount {
+struct OwnerAccount {
   std::string node;
-  uint64_t grant = 0;  // of its block
-  ShareRecord share;   // as recorded; of another grant: nothing is lent
+  uint64_t allocation_epoch = 0;  // of its block
+  AllocationRecord allocation;    // as recorded; of another grant: nothing is lent
   AmountByTeam placed;
   AmountByTeam planned;
-  AmountByTeam withheld;
+  AmountByTeam reserved_for_others;
 };
 
-struct ShareChange {
+struct AllocationChange {
   std::string node;
-  ShareRecord record;
-  bool operator==(const ShareChange&) const = default;
+  AllocationRecord record;
+  bool operator==(const AllocationChange&) const = default;
 };
 
 // What is known of the teams beside their holders' accounts.
-struct TeamFigures {
-  AmountByTeam outside;  // recorded on machines of no holder
+struct TeamUsage {
+  AmountByTeam unowned;  // recorded on machines of no holder
   AmountByTeam least;    // that a task of the team takes; a team not named has none
 };
 
 // The share records that are to be written now; none: all is as it should be. `value_bytes`: the
 // largest value that the state service takes.
-std::vector<ShareChange> ReviewShares(const std::vector<config::Team>& teams,
-                                      const TeamFigures& figures,
-                                      const std::vector<HolderAccount>& holders,
-                                      size_t value_bytes);
+std::vector<AllocationChange> PlanAllocationChanges(const std::vector<config::Team>& teams,
+                                                    const TeamUsage& figures,
+                                                    const std::vector<OwnerAccount>& holders,
+                                                    size_t value_bytes);
 
 // What a holder may still place of a team's limit. Unlimited kinds are infinite.
-Amount RoomLeft(const config::Team& team, const ShareRecord& share, uint64_t grant,
-                const AmountByTeam& placed);
+Amount RemainingQuota(const config::Team& team, const AllocationRecord& allocation,
+                      uint64_t allocation_epoch, const AmountByTeam& placed);
 
 }  // namespace hallpier::quota
--- a/src/quota/share_record.cc
+++ b/src/quota/allocation_record.cc
@@ -1,4 +1,4 @@
-#include "quota/share_record.h"
+#include "quota/allocation_record.h"
 
 #include "wire/json.h"
 
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-std::string WriteShare(const ShareRecord& record) {
+std::string WriteAllocation(const AllocationRecord& record) {
   wire::JsonWriter w;
   w.StartObject();
-  w.Field("grant").Uint64(record.grant);
+  w.Field("grant").Uint64(record.allocation_epoch);
   w.Field("lent").StartObject();
-  for (const auto& [team, amount] : record.lent) {
+  for (const auto& [team, amount] : record.allocated) {
     if (Empty(amount)) continue;
     w.Text(team);
     w.StartArray();
@@ -39,30 +39,30 @@
   return w.Take();
 }
 
-std::optional<ShareRecord> ReadShare(std::string_view json) {
+std::optional<AllocationRecord> ReadAllocation(std::string_view json) {
   auto document = wire::ParseObject(json);
   if (!document) return std::nullopt;
-  auto grant = wire::GetCount(*document, "grant");
-  const wire::JsonValue* lent = wire::Find(*document, "lent");
-  if (!grant || lent == nullptr || !lent->IsObject()) return std::nullopt;
-  ShareRecord record;
-  record.grant = *grant;
-  for (const auto& member : lent->GetObject()) {
+  auto allocation_epoch = wire::GetCount(*document, "grant");
+  const wire::JsonValue* allocated = wire::Find(*document, "lent");
+  if (!allocation_epoch || allocated == nullptr || !allocated->IsObject()) return std::nullopt;
+  AllocationRecord record;
+  record.allocation_epoch = *allocation_epoch;
+  for (const auto& member : allocated->GetObject()) {
     auto amount = ReadAmount(member.value);
     if (!amount) return std::nullopt;
-    record.lent[std::string(member.name.GetString(), member.name.GetStringLength())] = *amount;
+    record.allocated[std::string(member.name.GetString(), member.name.GetStringLength())] = *amount;
   }
   return record;
 }
 
-ShareRecord Trimmed(ShareRecord record, size_t value_bytes) {
-  std::erase_if(record.lent, [](const auto& entry) { return Empty(entry.second); });
-  while (!record.lent.empty() && WriteShare(record).size() > value_bytes) {
-    auto smallest =
-        std::min_element(record.lent.begin(), record.lent.end(), [](const auto& a, const auto& b) {
+AllocationRecord TrimToSize(AllocationRecord record, size_t value_bytes) {
+  std::erase_if(record.allocated, [](const auto& entry) { return Empty(entry.second); });
+  while (!record.allocated.empty() && WriteAllocation(record).size() > value_bytes) {
+    auto smallest = std::min_element(
+        record.allocated.begin(), record.allocated.end(), [](const auto& a, const auto& b) {
           return a.second.cpus + a.second.gpus < b.second.cpus + b.second.gpus;
         });
-    record.lent.erase(smallest);
+    record.allocated.erase(smallest);
   }
   return record;
 }
--- a/src/quota/share_record.h
+++ b/src/quota/allocation_record.h
@@ -14,19 +14,20 @@
 // A team that is not named has nothing lent.
 using AmountByTeam = std::map<std::string, Amount>;
 
-struct ShareRecord {
-  // The grant of a block (blocks/division.h) that it belongs to; with any other nothing is lent.
-  uint64_t grant = 0;
-  AmountByTeam lent;
-  bool operator==(const ShareRecord&) const = default;
+struct AllocationRecord {
+  // The grant of a block (blocks/block_assignment.h) that it belongs to; with any other nothing is
+  // lent.
+  uint64_t allocation_epoch = 0;
+  AmountByTeam allocated;
+  bool operator==(const AllocationRecord&) const = default;
 };
 
-std::string WriteShare(const ShareRecord& record);
+std::string WriteAllocation(const AllocationRecord& record);
 // Nothing if it can't be read: then nothing is lent.
-std::optional<ShareRecord> ReadShare(std::string_view json);
+std::optional<AllocationRecord> ReadAllocation(std::string_view json);
 
 // Leaves out the smallest amounts until the record fits `value_bytes`: a holder with less than it
 // could use is safe, a record that is refused holds up all others.
-ShareRecord Trimmed(ShareRecord record, size_t value_bytes);
+AllocationRecord TrimToSize(AllocationRecord record, size_t value_bytes);
 
 }  // namespace hallpier::quota
--- a/src/quota/team_account.cc
+++ b/src/quota/team_account.cc
@@ -14,94 +14,95 @@
 
 }  // namespace
 
-TeamAccount::TeamAccount(double limit, double outside, std::vector<Position> positions,
+TeamAccount::TeamAccount(double limit, double unowned, std::vector<OwnerAmounts> positions,
                          double least)
-    : limit_(limit), outside_(outside), positions_(std::move(positions)), least_(least) {}
+    : limit_(limit), outside_(unowned), positions_(std::move(positions)), least_(least) {}
 
-double TeamAccount::Sum(const Amounts& lent) const {
+double TeamAccount::Sum(const Amounts& allocated) const {
   double sum = outside_;
-  for (size_t i = 0; i < lent.size(); ++i) sum += std::max(lent[i], positions_[i].placed);
+  for (size_t i = 0; i < allocated.size(); ++i) sum += std::max(allocated[i], positions_[i].placed);
   return sum;
 }
 
 double TeamAccount::Committed() const { return Sum(Lent()); }
 
 TeamAccount::Amounts TeamAccount::Lent() const {
-  Amounts lent;
-  lent.reserve(positions_.size());
-  for (const Position& p : positions_) lent.push_back(p.lent);
-  return lent;
+  Amounts allocated;
+  allocated.reserve(positions_.size());
+  for (const OwnerAmounts& p : positions_) allocated.push_back(p.allocated);
+  return allocated;
 }
 
-double TeamAccount::Idle(const Amounts& lent, size_t i) const {
-  return std::max(0.0, lent[i] - Need(i));
+double TeamAccount::Idle(const Amounts& allocated, size_t i) const {
+  return std::max(0.0, allocated[i] - Need(i));
 }
 
-double TeamAccount::Missing(const Amounts& lent) const {
+double TeamAccount::Missing(const Amounts& allocated) const {
   double missing = 0;
   for (size_t i = 0; i < positions_.size(); ++i) {
-    if (positions_[i].planned > 0) missing += std::max(0.0, Need(i) - lent[i]);
+    if (positions_[i].planned > 0) missing += std::max(0.0, Need(i) - allocated[i]);
   }
   return missing;
 }
 
-void TeamAccount::ShrinkToLimit(Amounts* lent) const {
+void TeamAccount::ShrinkToLimit(Amounts* allocated) const {
   double placed = 0;
-  for (const Position& p : positions_) placed += p.placed;
+  for (const OwnerAmounts& p : positions_) placed += p.placed;
   const double room = std::max(0.0, limit_ - outside_);
   const double excess = Committed() - limit_;
   if (excess <= kTolerance) return;
   if (placed <= room) {
-    RecallIdle(excess, lent);
-    if (Sum(*lent) <= limit_ + kTolerance) return;
+    RecallIdle(excess, allocated);
+    if (Sum(*allocated) <= limit_ + kTolerance) return;
     // What the plan needs has to give way as well.
-    for (size_t i = 0; i < lent->size(); ++i) {
-      (*lent)[i] = std::min((*lent)[i], positions_[i].placed);
+    for (size_t i = 0; i < allocated->size(); ++i) {
+      (*allocated)[i] = std::min((*allocated)[i], positions_[i].placed);
     }
     return;
   }
   // More runs than is allowed: each share shrinks to its part of the limit, so that no start
   // follows an end until the whole is within it.
-  for (size_t i = 0; i < lent->size(); ++i) {
-    (*lent)[i] = std::min((*lent)[i], room * positions_[i].placed / placed);
+  for (size_t i = 0; i < allocated->size(); ++i) {
+    (*allocated)[i] = std::min((*allocated)[i], room * positions_[i].placed / placed);
   }
 }
 
-void TeamAccount::Withhold(Amounts* lent) const {
-  for (size_t i = 0; i < lent->size(); ++i) {
-    const Position& p = positions_[i];
-    if (p.withheld <= 0) continue;
-    (*lent)[i] = std::min((*lent)[i], std::max(0.0, p.placed - p.withheld));
+void TeamAccount::Withhold(Amounts* allocated) const {
+  for (size_t i = 0; i < allocated->size(); ++i) {
+    const OwnerAmounts& p = positions_[i];
+    if (p.reserved_for_others <= 0) continue;
+    (*allocated)[i] = std::min((*allocated)[i], std::max(0.0, p.placed - p.reserved_for_others));
   }
 }
 
-double TeamAccount::LendNeeded(double free, Amounts* lent) const {
-  for (size_t i = 0; i < lent->size(); ++i) {
-    const Position& p = positions_[i];
-    if (p.planned <= 0 || p.withheld > 0 || (*lent)[i] >= Need(i) - kTolerance) continue;
-    const double from = std::max((*lent)[i], p.placed);
+double TeamAccount::LendNeeded(double free, Amounts* allocated) const {
+  for (size_t i = 0; i < allocated->size(); ++i) {
+    const OwnerAmounts& p = positions_[i];
+    if (p.planned <= 0 || p.reserved_for_others > 0 || (*allocated)[i] >= Need(i) - kTolerance)
+      continue;
+    const double from = std::max((*allocated)[i], p.placed);
     const double given = std::min(free, Need(i) - from);
     if (given <= kTolerance) continue;
-    (*lent)[i] = from + given;
+    (*allocated)[i] = from + given;
     free -= given;
   }
   return std::max(0.0, free);
 }
 
-void TeamAccount::RecallIdle(double missing, Amounts* lent) const {
-  std::vector<size_t> order(lent->size());
+void TeamAccount::RecallIdle(double missing, Amounts* allocated) const {
+  std::vector<size_t> order(allocated->size());
   std::iota(order.begin(), order.end(), size_t{0});
   std::stable_sort(order.begin(), order.end(),
-                   [&](size_t a, size_t b) { return Idle(*lent, a) > Idle(*lent, b); });
+                   [&](size_t a, size_t b) { return Idle(*allocated, a) > Idle(*allocated, b); });
   for (const size_t i : order) {
-    const double taken = std::min(missing, Idle(*lent, i));
+    const double taken = std::min(missing, Idle(*allocated, i));
     if (taken <= 0) continue;
-    (*lent)[i] -= taken;
+    (*allocated)[i] -= taken;
     missing -= taken;
   }
 }
 
-void TeamAccount::LendSpare(double free, Amounts* lent) const {
+void TeamAccount::LendSpare(double free, Amounts* allocated) const {
   double needed = outside_;
   for (size_t i = 0; i < positions_.size(); ++i) needed += Need(i);
   const double even =
@@ -109,39 +110,39 @@
   if (even <= kTolerance || even < least_) return;
   double short_of = 0;
   for (size_t i = 0; i < positions_.size(); ++i) {
-    if (positions_[i].withheld > 0 || Idle(*lent, i) >= kLowSpare * even) continue;
-    const double wanted = Need(i) + even - std::max((*lent)[i], positions_[i].placed);
+    if (positions_[i].reserved_for_others > 0 || Idle(*allocated, i) >= kLowSpare * even) continue;
+    const double wanted = Need(i) + even - std::max((*allocated)[i], positions_[i].placed);
     const double given = std::min(free, wanted);
     if (given > kTolerance) {
-      (*lent)[i] = std::max((*lent)[i], positions_[i].placed) + given;
+      (*allocated)[i] = std::max((*allocated)[i], positions_[i].placed) + given;
       free -= given;
     }
     short_of += wanted - given;
   }
   if (short_of <= kTolerance) return;
   for (size_t i = 0; i < positions_.size() && short_of > kTolerance; ++i) {
-    const double taken = std::min(short_of, Idle(*lent, i) - even);
+    const double taken = std::min(short_of, Idle(*allocated, i) - even);
     if (taken <= kTolerance) continue;
-    (*lent)[i] -= taken;
+    (*allocated)[i] -= taken;
     short_of -= taken;
   }
 }
 
 std::vector<double> TeamAccount::Rebalance() const {
-  Amounts lent = Lent();
+  Amounts allocated = Lent();
   if (Committed() > limit_ + kTolerance) {
-    ShrinkToLimit(&lent);
-    return lent;
+    ShrinkToLimit(&allocated);
+    return allocated;
   }
-  Withhold(&lent);
-  const double left = LendNeeded(limit_ - Committed(), &lent);
-  const double missing = Missing(lent);
+  Withhold(&allocated);
+  const double left = LendNeeded(limit_ - Committed(), &allocated);
+  const double missing = Missing(allocated);
   if (missing > kTolerance) {
-    RecallIdle(missing, &lent);
+    RecallIdle(missing, &allocated);
   } else {
-    LendSpare(left, &lent);
+    LendSpare(left, &allocated);
   }
-  return lent;
+  return allocated;
 }
 
 }  // namespace hallpier::quota
--- a/src/quota/team_account.h
+++ b/src/quota/team_account.h
@@ -3,8 +3,8 @@
 // A share counts as the larger of what is lent and what is recorded as placed under it, since its
 // holder may place up to what is lent at any moment, and since what is placed stays until it is
 // proven gone. The sum of these, and of what is placed under no share, is committed; nothing is
-// ever lent that would take it beyond the limit. Lending less than is placed is always safe, and is
-// how a share shrinks as tasks end.
+// ever lent that would take it beyond the limit. BlockPlanner less than is placed is always safe,
+// and is how a share shrinks as tasks end.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,19 @@
 namespace hallpier::quota {
 
 // One holder's part of the account.
-struct Position {
-  double lent = 0;
+struct OwnerAmounts {
+  double allocated = 0;
   double placed = 0;   // recorded on machines of its block
   double planned = 0;  // what the leader's plan would place there now
   // What is to be left free as tasks end, for work of the team that this holder can't place.
-  double withheld = 0;
+  double reserved_for_others = 0;
 };
 
 class TeamAccount {
  public:
-  // `outside`: recorded on machines of no holder. `least`: the smallest amount that a task of the
+  // `unowned`: recorded on machines of no holder. `least`: the smallest amount that a task of the
   // team takes; 0: not known.
-  TeamAccount(double limit, double outside, std::vector<Position> positions, double least = 0);
+  TeamAccount(double limit, double unowned, std::vector<OwnerAmounts> positions, double least = 0);
 
   // Committed by what is lent and placed now.
   double Committed() const;
@@ -38,22 +38,22 @@
   double Need(size_t i) const { return positions_[i].placed + positions_[i].planned; }
   Amounts Lent() const;
   // What is committed if so much is lent.
-  double Sum(const Amounts& lent) const;
-  double Idle(const Amounts& lent, size_t i) const;
-  double Missing(const Amounts& lent) const;
-  void ShrinkToLimit(Amounts* lent) const;
-  void Withhold(Amounts* lent) const;
+  double Sum(const Amounts& allocated) const;
+  double Idle(const Amounts& allocated, size_t i) const;
+  double Missing(const Amounts& allocated) const;
+  void ShrinkToLimit(Amounts* allocated) const;
+  void Withhold(Amounts* allocated) const;
   // Lends what the plan needs, as far as there is something free. Returns what is left.
-  double LendNeeded(double free, Amounts* lent) const;
+  double LendNeeded(double free, Amounts* allocated) const;
   // Takes back what lies idle, the largest first, until `missing` is met.
-  void RecallIdle(double missing, Amounts* lent) const;
+  void RecallIdle(double missing, Amounts* allocated) const;
   // Lends what nobody needs yet, so that new work need not wait for the leader; unless an even part
   // is less than any task takes. What is left unlent needs no recall when it is needed.
-  void LendSpare(double free, Amounts* lent) const;
+  void LendSpare(double free, Amounts* allocated) const;
 
   const double limit_;
   const double outside_;
-  const std::vector<Position> positions_;
+  const std::vector<OwnerAmounts> positions_;
   const double least_;
 };
 
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -37,10 +37,10 @@
 std::string NodeFormatKey(std::string_view node);
 // Key of the membership record of a node (membership/member_record.h).
 std::string MemberKey(std::string_view node);
-// Key of the record that assigns machines to controllers (blocks/division.h).
+// Key of the record that assigns machines to controllers (blocks/block_assignment.h).
 std::string DivisionKey();
 // Key of the record of the share of the team quotas that the holder of a block may use
-// (quota/share_record.h).
+// (quota/allocation_record.h).
 std::string ShareKey(std::string_view node);
 
 // ParseResult keys: one type per kind of key, holding the variable parts of the key.
--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -26,7 +26,7 @@
   }
   void Start() { Start(Options()); }
   bool Settled(const Options& options) const {
-    const auto holders = cluster_->Division().holders;
+    const auto holders = cluster_->Division().owners;
     return holders.size() == static_cast<size_t>(options.nodes) &&
            std::all_of(holders.begin(), holders.end(),
                        [&](const auto& h) { return cluster_->ShareCpus(h.node) > 0; });
@@ -127,7 +127,7 @@
     options.min_late_s = 10;
     options.max_late_s = 12;
     Start(options);
-    const blocks::Division division(cluster_->Division());
+    const blocks::BlockAssignment division(cluster_->Division());
     const size_t holder = *division.IndexOf(other_);
     model::JobSpec spec = Spec("run-900", 4);
     for (int i = 901; !division.MayPlace(holder, spec, spec.priority, 0, 1); ++i) {
@@ -187,7 +187,7 @@
   cluster_->Kill(leader_);
   cluster_->Kill(other_);
   cluster_->RunFor(5);
-  EXPECT_TRUE(cluster_->Division().holders.empty()) << "one that is left holds no block";
+  EXPECT_TRUE(cluster_->Division().owners.empty()) << "one that is left holds no block";
   cluster_->Restart(leader_);
   cluster_->Restart(other_);
   ExpectAllEnds();
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -2,10 +2,10 @@
 // same time, and some of them end, are cut off or are of an older version.
 #include <algorithm>
 
-#include "blocks/division.h"
+#include "blocks/block_assignment.h"
 #include "end_to_end.h"
 #include "model/task.h"
-#include "quota/share_record.h"
+#include "quota/allocation_record.h"
 
 namespace hallpier {
 namespace {
@@ -38,18 +38,18 @@
       if (store::IsKeyOfKind<store::ShareKeyName>(key) && !value.empty()) ++lendings_;
     });
   }
-  blocks::DivisionRecord Division() const {
-    return blocks::ReadDivision(state_->Value(store::DivisionKey()))
-        .value_or(blocks::DivisionRecord());
+  blocks::BlockAssignmentRecord Division() const {
+    return blocks::ReadBlockAssignment(state_->Value(store::DivisionKey()))
+        .value_or(blocks::BlockAssignmentRecord());
   }
   bool Holds(int node) const {
     const auto record = Division();
-    return std::any_of(record.holders.begin(), record.holders.end(), [&](const auto& holder) {
+    return std::any_of(record.owners.begin(), record.owners.end(), [&](const auto& holder) {
       return holder.node == "node-" + std::to_string(node);
     });
   }
   async::Task<bool> Divided(size_t holders) {
-    bool ok = co_await Within(10, [&] { return Division().holders.size() == holders; });
+    bool ok = co_await Within(10, [&] { return Division().owners.size() == holders; });
     EXPECT_TRUE(ok) << state_->Value(store::DivisionKey());
     co_return ok;
   }
@@ -94,7 +94,7 @@
     co_await Divided(3);
     End(leader);
     bool ok =
-        co_await Within(10, [&] { return Leader() != leader && Division().holders.size() == 2; });
+        co_await Within(10, [&] { return Leader() != leader && Division().owners.size() == 2; });
     EXPECT_TRUE(ok);
     co_await AllDone(20, other, 40);
     EXPECT_LE(peak_, kLimit);
@@ -122,14 +122,15 @@
     co_await Divided(3);
     bool ok = co_await Within(5, [&] { return lendings_ >= 3; });
     EXPECT_TRUE(ok);
-    const blocks::Holder holder = Division().holders.back();
-    quota::ShareRecord beyond;
-    beyond.grant = holder.grant;
-    beyond.lent["team"].cpus = 10.0 * kLimit;
-    co_await WriteRecord(store::ShareKey(holder.node), quota::WriteShare(beyond));
+    const blocks::BlockOwner holder = Division().owners.back();
+    quota::AllocationRecord beyond;
+    beyond.allocation_epoch = holder.allocation_epoch;
+    beyond.allocated["team"].cpus = 10.0 * kLimit;
+    co_await WriteRecord(store::ShareKey(holder.node), quota::WriteAllocation(beyond));
     ok = co_await Within(5, [&] {
-      const auto share = quota::ReadShare(state_->Value(store::ShareKey(holder.node)));
-      return share && share->lent.contains("team") && share->lent.at("team").cpus <= kLimit;
+      const auto share = quota::ReadAllocation(state_->Value(store::ShareKey(holder.node)));
+      return share && share->allocated.contains("team") &&
+             share->allocated.at("team").cpus <= kLimit;
     });
     EXPECT_TRUE(ok) << state_->Value(store::ShareKey(holder.node));
     co_await WriteRecord(store::DivisionKey(), R"({"odd":1})");
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -16,10 +16,10 @@
 #include <variant>
 #include <vector>
 
-#include "blocks/division.h"
+#include "blocks/block_assignment.h"
 #include "cli/members_command.h"
 #include "membership/member_record.h"
-#include "quota/share_record.h"
+#include "quota/allocation_record.h"
 #include "store/keys.h"
 #include "store/machine_type_pages.h"
 #include "store/packed_task_group.h"
@@ -185,17 +185,17 @@
   constexpr std::string_view kText =
       R"({"token":412,"holders":[{"node":"hallnode-0","session":3,"grant":9},)"
       R"({"node":"hallnode-2","session":1,"grant":10}]})";
-  EXPECT_EQ(blocks::WriteDivision(
+  EXPECT_EQ(blocks::WriteBlockAssignment(
                 {model::FencingToken(412), {{"hallnode-0", 3, 9}, {"hallnode-2", 1, 10}}}),
             kText);
-  EXPECT_EQ(blocks::WriteDivision(Checked(blocks::ReadDivision(kText))), kText);
+  EXPECT_EQ(blocks::WriteBlockAssignment(Checked(blocks::ReadBlockAssignment(kText))), kText);
 }
 
 TEST(GoldenRecord, Share) {
   constexpr std::string_view kText = R"({"grant":9,"lent":{"ml":[0.5,0.0],"vision":[96.0,8.0]}})";
-  EXPECT_EQ(quota::WriteShare({9, {{"vision", {96, 8}}, {"none", {0, 0}}, {"ml", {0.5, 0}}}}),
+  EXPECT_EQ(quota::WriteAllocation({9, {{"vision", {96, 8}}, {"none", {0, 0}}, {"ml", {0.5, 0}}}}),
             kText);
-  EXPECT_EQ(quota::WriteShare(Checked(quota::ReadShare(kText))), kText);
+  EXPECT_EQ(quota::WriteAllocation(Checked(quota::ReadAllocation(kText))), kText);
 }
 
 TEST(GoldenRecord, Format) {
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "fixtures.h"
-#include "quota/lender.h"
+#include "quota/allocation_planner.h"
 #include "quota/team_account.h"
 #include "quota/usage.h"
 
@@ -16,7 +16,7 @@
 
 constexpr double kLimit = 12;
 
-std::vector<double> Rebalanced(double limit, const std::vector<Position>& positions,
+std::vector<double> Rebalanced(double limit, const std::vector<OwnerAmounts>& positions,
                                double outside = 0) {
   return TeamAccount(limit, outside, positions).Rebalance();
 }
@@ -39,40 +39,40 @@
 
 // The other may still start what was lent to it: only the review after the recall lends it.
 TEST(TeamAccount, WhatIsRecalledIsNotLentInTheSameReview) {
-  const auto lent = Rebalanced(kLimit, {{2, 2, 3, 0}, {10, 4, 0, 0}});
-  EXPECT_EQ(lent[0], 2);
-  EXPECT_EQ(lent[1], 7);
+  const auto allocated = Rebalanced(kLimit, {{2, 2, 3, 0}, {10, 4, 0, 0}});
+  EXPECT_EQ(allocated[0], 2);
+  EXPECT_EQ(allocated[1], 7);
   EXPECT_EQ(Rebalanced(kLimit, {{2, 2, 3, 0}, {7, 4, 0, 0}})[0], 5);
 }
 
 TEST(TeamAccount, ATaskLargerThanAnEvenShareGetsItsRoomByRecall) {
-  std::vector<Position> positions = {{4, 0, 0, 0}, {4, 0, 9, 0}, {4, 0, 0, 0}};
+  std::vector<OwnerAmounts> positions = {{4, 0, 0, 0}, {4, 0, 9, 0}, {4, 0, 0, 0}};
   for (int review = 0; review < 2; ++review) {
-    const auto lent = Rebalanced(kLimit, positions);
-    for (size_t i = 0; i < lent.size(); ++i) positions[i].lent = lent[i];
+    const auto allocated = Rebalanced(kLimit, positions);
+    for (size_t i = 0; i < allocated.size(); ++i) positions[i].allocated = allocated[i];
   }
-  EXPECT_GE(positions[1].lent, 9);
+  EXPECT_GE(positions[1].allocated, 9);
 }
 
 TEST(TeamAccount, ALimitBelowWhatRunsStopsNewStartsAndNothingElse) {
-  std::vector<Position> positions = {{8, 8, 0, 0}, {4, 4, 2, 0}};
-  auto lent = Rebalanced(6, positions);
-  EXPECT_LE(lent[0] + lent[1], 6);
+  std::vector<OwnerAmounts> positions = {{8, 8, 0, 0}, {4, 4, 2, 0}};
+  auto allocated = Rebalanced(6, positions);
+  EXPECT_LE(allocated[0] + allocated[1], 6);
   // As tasks end, no start follows until the whole is within the limit.
-  positions = {{lent[0], 7, 0, 0}, {lent[1], 3, 2, 0}};
-  lent = Rebalanced(6, positions);
-  EXPECT_LT(lent[0], 7);
-  EXPECT_LT(lent[1], 3);
+  positions = {{allocated[0], 7, 0, 0}, {allocated[1], 3, 2, 0}};
+  allocated = Rebalanced(6, positions);
+  EXPECT_LT(allocated[0], 7);
+  EXPECT_LT(allocated[1], 3);
 }
 
 TEST(TeamAccount, WithheldRoomIsLeftAsTasksEnd) {
-  const auto lent = Rebalanced(kLimit, {{12, 12, 0, 3}, {0, 0, 0, 0}});
-  EXPECT_EQ(lent, (std::vector<double>{9, 0}));
+  const auto allocated = Rebalanced(kLimit, {{12, 12, 0, 3}, {0, 0, 0, 0}});
+  EXPECT_EQ(allocated, (std::vector<double>{9, 0}));
 }
 
 TEST(TeamAccount, SharesThatContradictTheLimitShrinkToIt) {
-  const auto lent = Rebalanced(kLimit, {{10, 1, 0, 0}, {10, 2, 0, 0}});
-  EXPECT_LE(lent[0] + lent[1], kLimit);
+  const auto allocated = Rebalanced(kLimit, {{10, 1, 0, 0}, {10, 2, 0, 0}});
+  EXPECT_LE(allocated[0] + allocated[1], kLimit);
 }
 
 // Any holder may place up to its old or its new share, whichever is in force when it does. From any
@@ -82,18 +82,18 @@
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 8);
     std::bernoulli_distribution often(0.5);
-    std::vector<Position> positions(std::uniform_int_distribution<size_t>(1, 9)(random));
-    for (Position& p : positions) {
+    std::vector<OwnerAmounts> positions(std::uniform_int_distribution<size_t>(1, 9)(random));
+    for (OwnerAmounts& p : positions) {
       p = {amount(random), often(random) ? amount(random) : 0, often(random) ? amount(random) : 0,
            often(random) ? 0 : amount(random)};
     }
     const double outside = often(random) ? amount(random) : 0;
     const double committed = TeamAccount(0, outside, positions).Committed();
     const double limit = committed + (often(random) ? amount(random) : 0);
-    const auto lent = Rebalanced(limit, positions, outside);
+    const auto allocated = Rebalanced(limit, positions, outside);
     double worst = outside;
     for (size_t i = 0; i < positions.size(); ++i) {
-      worst += std::max({positions[i].lent, positions[i].placed, lent[i]});
+      worst += std::max({positions[i].allocated, positions[i].placed, allocated[i]});
     }
     ASSERT_LE(worst, limit + 1e-6) << "seed " << seed;
   }
@@ -105,68 +105,70 @@
   for (uint64_t seed = 0; seed < 1000; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 4);
-    std::vector<Position> positions(std::uniform_int_distribution<size_t>(2, 9)(random));
+    std::vector<OwnerAmounts> positions(std::uniform_int_distribution<size_t>(2, 9)(random));
     double needs = 0;
-    for (Position& p : positions) {
+    for (OwnerAmounts& p : positions) {
       p = {0, amount(random), amount(random), 0};
       needs += p.placed + p.planned;
     }
     // All the rest lies idle with one holder.
-    positions[0].lent = positions[0].placed + amount(random);
+    positions[0].allocated = positions[0].placed + amount(random);
     const double limit = std::max(needs, TeamAccount(0, 0, positions).Committed());
-    std::vector<double> lent;
+    std::vector<double> allocated;
     for (int review = 0; review < 4; ++review) {
-      lent = Rebalanced(limit, positions);
-      for (size_t i = 0; i < lent.size(); ++i) positions[i].lent = lent[i];
+      allocated = Rebalanced(limit, positions);
+      for (size_t i = 0; i < allocated.size(); ++i) positions[i].allocated = allocated[i];
     }
-    for (const Position& p : positions) {
-      ASSERT_GE(p.lent, p.placed + p.planned - 1e-6) << "seed " << seed;
+    for (const OwnerAmounts& p : positions) {
+      ASSERT_GE(p.allocated, p.placed + p.planned - 1e-6) << "seed " << seed;
     }
-    EXPECT_EQ(Rebalanced(limit, positions), lent) << "seed " << seed;
+    EXPECT_EQ(Rebalanced(limit, positions), allocated) << "seed " << seed;
   }
 }
 
-TEST(ShareRecords, AreReadAsWrittenAndBadOnesCountAsNone) {
-  const ShareRecord record{77, {{"team", {4.5, 1}}, {"other", {0, 2}}}};
-  EXPECT_EQ(ReadShare(WriteShare(record)), record);
+TEST(AllocationRecords, AreReadAsWrittenAndBadOnesCountAsNone) {
+  const AllocationRecord record{77, {{"team", {4.5, 1}}, {"other", {0, 2}}}};
+  EXPECT_EQ(ReadAllocation(WriteAllocation(record)), record);
   for (const char* bad :
        {"", "[]", R"({"grant":1})", R"({"grant":-1,"lent":{}})", R"({"grant":1,"lent":{"t":[1]}})",
         R"({"grant":1,"lent":{"t":[1,-2]}})", R"({"grant":1,"lent":{"t":[1,"2"]}})"}) {
-    EXPECT_EQ(ReadShare(bad), std::nullopt) << bad;
+    EXPECT_EQ(ReadAllocation(bad), std::nullopt) << bad;
   }
 }
 
-TEST(ShareRecords, WhatDoesNotFitAValueLosesTheSmallestAmounts) {
-  ShareRecord record{1, {}};
-  for (int i = 0; i < 100; ++i) record.lent["team-" + std::to_string(i)] = {1.0 + i, 0};
-  const ShareRecord trimmed = Trimmed(record, 1024);
-  EXPECT_LE(WriteShare(trimmed).size(), 1024U);
-  EXPECT_TRUE(trimmed.lent.contains("team-99"));
-  EXPECT_FALSE(trimmed.lent.contains("team-0"));
+TEST(AllocationRecords, WhatDoesNotFitAValueLosesTheSmallestAmounts) {
+  AllocationRecord record{1, {}};
+  for (int i = 0; i < 100; ++i) record.allocated["team-" + std::to_string(i)] = {1.0 + i, 0};
+  const AllocationRecord trimmed = TrimToSize(record, 1024);
+  EXPECT_LE(WriteAllocation(trimmed).size(), 1024U);
+  EXPECT_TRUE(trimmed.allocated.contains("team-99"));
+  EXPECT_FALSE(trimmed.allocated.contains("team-0"));
 }
 
-class LenderTest : public testing::Test {
+class AllocationPlannerTest : public testing::Test {
  protected:
-  std::vector<ShareChange> Review() const { return ReviewShares(teams_, {}, holders_, 8192); }
+  std::vector<AllocationChange> Review() const {
+    return PlanAllocationChanges(teams_, {}, holders_, 8192);
+  }
   std::vector<config::Team> teams_ = {{"free", 0, 0, 0, 0}, {"team", 0, 8, 0, 2}};
-  std::vector<HolderAccount> holders_ = {{"a", 5, {}, {}, {}, {}}, {"b", 6, {}, {}, {}, {}}};
+  std::vector<OwnerAccount> holders_ = {{"a", 5, {}, {}, {}, {}}, {"b", 6, {}, {}, {}, {}}};
 };
 
-TEST_F(LenderTest, OnlyTeamsWithALimitAreLentAnything) {
+TEST_F(AllocationPlannerTest, OnlyTeamsWithALimitAreLentAnything) {
   const auto changes = Review();
   ASSERT_EQ(changes.size(), 2U);
-  EXPECT_EQ(changes[0].record, (ShareRecord{5, {{"team", {4, 1}}}}));
-  EXPECT_EQ(changes[1].record.grant, 6U);
-  for (size_t i = 0; i < 2; ++i) holders_[i].share = changes[i].record;
+  EXPECT_EQ(changes[0].record, (AllocationRecord{5, {{"team", {4, 1}}}}));
+  EXPECT_EQ(changes[1].record.allocation_epoch, 6U);
+  for (size_t i = 0; i < 2; ++i) holders_[i].allocation = changes[i].record;
   EXPECT_TRUE(Review().empty()) << "nothing is written again";
 }
 
-TEST_F(LenderTest, AShareOfAnEarlierGrantLendsNothing) {
-  holders_[0].share = {4, {{"team", {8, 2}}}};
-  EXPECT_EQ(Review()[0].record.lent.at("team").cpus, 4);
-  EXPECT_EQ(RoomLeft(teams_[1], holders_[0].share, 5, {}).cpus, 0);
-  EXPECT_EQ(RoomLeft(teams_[1], holders_[0].share, 4, {{"team", {3, 0}}}).cpus, 5);
-  EXPECT_GT(RoomLeft(teams_[0], holders_[0].share, 5, {}).cpus, 1e9) << "no limit";
+TEST_F(AllocationPlannerTest, AShareOfAnEarlierGrantLendsNothing) {
+  holders_[0].allocation = {4, {{"team", {8, 2}}}};
+  EXPECT_EQ(Review()[0].record.allocated.at("team").cpus, 4);
+  EXPECT_EQ(RemainingQuota(teams_[1], holders_[0].allocation, 5, {}).cpus, 0);
+  EXPECT_EQ(RemainingQuota(teams_[1], holders_[0].allocation, 4, {{"team", {3, 0}}}).cpus, 5);
+  EXPECT_GT(RemainingQuota(teams_[0], holders_[0].allocation, 5, {}).cpus, 1e9) << "no limit";
 }
 
 TEST(Usage, CountsWhatIsRecordedByTheHolderOfItsMachine) {
@@ -180,9 +182,9 @@
     return machine == "vm-1" ? 0 : 1;
   };
   const Usage usage = CountPlaced(job_table, 2, holder_of);
-  EXPECT_EQ(usage.by_holder[0].at("team").cpus, 2);
-  EXPECT_EQ(usage.by_holder[1].at("team").cpus, 2);
-  EXPECT_EQ(usage.outside.at("team").cpus, 2);
+  EXPECT_EQ(usage.by_owner[0].at("team").cpus, 2);
+  EXPECT_EQ(usage.by_owner[1].at("team").cpus, 2);
+  EXPECT_EQ(usage.unowned.at("team").cpus, 2);
 }
 
 }  // namespace
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -122,24 +122,24 @@
 }
 
 std::string BlocksCluster::HolderOtherThan(const std::string& name) const {
-  for (const blocks::Holder& holder : Division().holders) {
+  for (const blocks::BlockOwner& holder : Division().owners) {
     if (holder.node != name) return holder.node;
   }
   return "";
 }
 
-blocks::DivisionRecord BlocksCluster::Division() const {
-  return blocks::ReadDivision(store_.Value(store::DivisionKey()))
-      .value_or(blocks::DivisionRecord());
+blocks::BlockAssignmentRecord BlocksCluster::Division() const {
+  return blocks::ReadBlockAssignment(store_.Value(store::DivisionKey()))
+      .value_or(blocks::BlockAssignmentRecord());
 }
 
 bool BlocksCluster::HoldsBlock(const std::string& name) const {
-  return blocks::Division(Division()).IndexOf(name).has_value();
+  return blocks::BlockAssignment(Division()).IndexOf(name).has_value();
 }
 
 double BlocksCluster::ShareCpus(const std::string& name) const {
-  auto share = quota::ReadShare(store_.Value(store::ShareKey(name)));
-  return share && share->lent.contains("team") ? share->lent.at("team").cpus : 0;
+  auto share = quota::ReadAllocation(store_.Value(store::ShareKey(name)));
+  return share && share->allocated.contains("team") ? share->allocated.at("team").cpus : 0;
 }
 
 double BlocksCluster::TakeLongestStall() {
@@ -154,10 +154,10 @@
 }
 
 std::set<std::string> BlocksCluster::MachinesOf(const std::string& holder) const {
-  const blocks::Division division(Division());
+  const blocks::BlockAssignment division(Division());
   std::set<std::string> machines;
   for (const std::string& name : workers_.Names()) {
-    if (division.HolderOf(name) == division.IndexOf(holder)) machines.insert(name);
+    if (division.OwnerOf(name) == division.IndexOf(holder)) machines.insert(name);
   }
   return machines;
 }
@@ -173,7 +173,7 @@
   node->process = &process;
   node->session = session + 1;
   node->state_cut = state_cut;
-  node->mirror = std::make_unique<blocks::MachineMirror>(RegistryOptions());
+  node->mirror = std::make_unique<blocks::MachineStateReplica>(RegistryOptions());
   node->context.settings = &settings_;
   node->context.operators = &operators_;
   node->context.machine_types = {MachineTypeOf("c4", kMachineCpus)};
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -18,9 +18,9 @@
 #include <utility>
 #include <vector>
 
-#include "blocks/lending.h"
-#include "blocks/machine_mirror.h"
-#include "blocks/view_sender.h"
+#include "blocks/block_planner.h"
+#include "blocks/block_view_builder.h"
+#include "blocks/machine_state_replica.h"
 #include "config/operator_options.h"
 #include "config/settings.h"
 #include "fleet/worker_registry.h"
@@ -106,7 +106,7 @@
   std::string Leader() const { return leader_; }
   // Returns a block holder other than `name`. Empty if there is none.
   std::string HolderOtherThan(const std::string& name) const;
-  blocks::DivisionRecord Division() const;
+  blocks::BlockAssignmentRecord Division() const;
   bool HoldsBlock(const std::string& name) const;
   // Returns the processors in the node's share of the limit of "team".
   double ShareCpus(const std::string& name) const;
@@ -155,7 +155,7 @@
     uint64_t revision = 0;
     size_t applied_changes = 0;  // number of changes of the store applied so far
     // Rounds.
-    std::unique_ptr<blocks::MachineMirror> mirror;
+    std::unique_ptr<blocks::MachineStateReplica> mirror;
     plan::PlanningContext context;
     bool busy = false;  // a transaction is in flight
     std::deque<jobs::Transaction> queue;
@@ -165,8 +165,8 @@
     bool uses_blocks = false;  // false for a version without blocks
     model::FencingToken token;
     std::unique_ptr<fleet::WorkerRegistry> registry;
-    std::unique_ptr<blocks::Lending> lending;
-    std::map<std::string, blocks::ViewSender> senders;
+    std::unique_ptr<blocks::BlockPlanner> lending;
+    std::map<std::string, blocks::BlockViewBuilder> senders;
     DeliveryFault next_fault = DeliveryFault::kNone;
     std::function<void()> on_sent;
     int placements = 0;
@@ -195,7 +195,7 @@
   void ApplyRecord(Node& node, const std::string& key, const std::string& value, uint64_t version);
   void ApplyChanges(Node& node);
   static uint64_t VersionIn(const Node& node, const std::string& key);
-  blocks::CopyState Copy(const Node& node) const;
+  blocks::CacheState Copy(const Node& node) const;
 
   // Rounds of a node.
   void Tick(const std::string& name, uint64_t generation);
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -1,7 +1,7 @@
 // Rounds of a node of BlocksCluster: as the leader, as a block holder, or as neither.
 #include <algorithm>
 
-#include "blocks/view_sender.h"
+#include "blocks/block_view_builder.h"
 #include "fleet/reconciliation.h"
 #include "fleet/task_outcomes.h"
 #include "plan/round.h"
@@ -60,7 +60,7 @@
   ApplyRecord(node, store::FencingTokenKey(), record, store_.revision());
   node.registry = std::make_unique<fleet::WorkerRegistry>(RegistryOptions());
   node.registry->BeginTerm(node.token, now(), now() + settings_.lease_s / 2);
-  node.lending = std::make_unique<blocks::Lending>(settings_, operators_.blocks);
+  node.lending = std::make_unique<blocks::BlockPlanner>(settings_, operators_.blocks);
   for (const std::string& other : names_) ReportMember(node, other);
   node.lending->BeginTerm(node.token, node.records, now());
   node.senders.clear();
@@ -72,7 +72,7 @@
   if (!responsive && now() - node.unavailable_since > kVerdictDelayS)
     failed_sessions_.insert({name, node.session});
   const bool failed = failed_sessions_.contains({name, node.session});
-  leader.lending->holders().OnMember(name, failed ? std::nullopt : std::optional(node.session));
+  leader.lending->eligibility().OnMember(name, failed ? std::nullopt : std::optional(node.session));
 }
 
 void BlocksCluster::Rejoin(Node& node) {
@@ -94,10 +94,10 @@
   if (ReachesState(node)) Rejoin(node);
   // A node that was frozen or partitioned plans with an outdated copy of the records. The
   // preconditions of its transaction must prevent wrong placements.
-  const auto holder = node.records.Holding(node.name, node.session, Copy(node));
+  const auto holder = node.records.ActiveOwnerIndex(node.name, node.session, Copy(node));
   if (!holder) return;
   const plan::PlacementScope scope =
-      node.records.HolderScope(*holder, WidenS(), now(), settings_, node.job_table);
+      node.records.OwnerScope(*holder, WidenS(), now(), settings_, node.job_table);
   const plan::RoundResult plan =
       plan::PlanRound(node.context, node.job_table, node.mirror->registry(), now(), now(), &scope);
   Send(node, plan.placements, node.records.PlacementPreconditions(*holder), true);
@@ -107,8 +107,8 @@
   const bool behind = node.applied_changes < store_.changes().size();
   if (node.revision < node.token.value() && behind) return;
   std::optional<plan::PlacementScope> scope;
-  if (node.uses_blocks && node.records.division().divided()) {
-    scope = node.records.WholeScope(WidenS(), now());
+  if (node.uses_blocks && node.records.block_assignment().has_owners()) {
+    scope = node.records.AllMachinesScope(WidenS(), now());
   }
   node.registry->UpdateObservations(node.job_table);
   std::vector<jobs::TaskTransition> transitions =
@@ -133,14 +133,14 @@
 
 BlocksCluster::OwnPlacements BlocksCluster::PlanOwnPlacements(Node& node, bool divided) {
   OwnPlacements own{.places = {}, .preconditions = {store::FencingTokenPrecondition(node.token)}};
-  const auto holder = node.records.Holding(node.name, node.session, Copy(node));
-  const bool undivided = !divided && !node.records.division().divided();
-  if (undivided && node.revision >= node.records.newest()) {
+  const auto holder = node.records.ActiveOwnerIndex(node.name, node.session, Copy(node));
+  const bool undivided = !divided && !node.records.block_assignment().has_owners();
+  if (undivided && node.revision >= node.records.newest_revision()) {
     own.places =
         plan::PlanRound(node.context, node.job_table, *node.registry, now(), now()).placements;
   } else if (holder) {
     const plan::PlacementScope scope =
-        node.records.HolderScope(*holder, WidenS(), now(), settings_, node.job_table);
+        node.records.OwnerScope(*holder, WidenS(), now(), settings_, node.job_table);
     own.places = plan::PlanRound(node.context, node.job_table, *node.registry, now(), now(), &scope)
                      .placements;
     own.preconditions = node.records.PlacementPreconditions(*holder);
@@ -151,10 +151,11 @@
 bool BlocksCluster::ReviewBlocks(Node& node, const plan::RoundResult& plan,
                                  const std::optional<plan::PlacementScope>& scope) {
   for (const std::string& other : names_) ReportMember(node, other);
-  auto change = node.lending->ReviewDivision(node.records, Copy(node), true, now());
+  auto change = node.lending->PlanAssignmentChange(node.records, Copy(node), true, now());
   if (!change && scope) {
-    change = node.lending->ReviewShares(node.records, Copy(node), node.job_table, *node.registry,
-                                        node.context, plan, *scope, kWriteLimits);
+    change =
+        node.lending->PlanAllocationChange(node.records, Copy(node), node.job_table, *node.registry,
+                                           node.context, plan, *scope, kWriteLimits);
   }
   if (!change) return false;
   jobs::Transaction transaction;
@@ -171,9 +172,9 @@
     const Node& node = NodeOf(other);
     const bool linked = node.process->running() && !node.peer_cut && !leader.peer_cut;
     if (other == leader.name || !linked) continue;
-    const auto holder = leader.records.division().IndexOf(other);
-    for (const auto& view : leader.senders[other].Next(leader.token, leader.records.division(),
-                                                       holder, machines, {})) {
+    const auto holder = leader.records.block_assignment().IndexOf(other);
+    for (const auto& view : leader.senders[other].BuildViews(
+             leader.token, leader.records.block_assignment(), holder, machines, {})) {
       InProcessAfter(options_.delay_s, other, node.process->generation(),
                      [this, other, view, leader_name = leader.name,
                       leader_generation = leader.process->generation(), sent = now()] {
@@ -187,7 +188,7 @@
                               const std::string& leader_name, uint64_t leader_generation,
                               double sent) {
   const Node& node = NodeOf(holder);
-  const auto sequence = node.mirror->Take(view, now());
+  const auto sequence = node.mirror->Apply(view, now());
   if (!sequence) return;
   InProcessAfter(options_.delay_s, leader_name, leader_generation,
                  [this, holder, leader_name, sent, sequence = *sequence, session = node.session,
@@ -196,7 +197,8 @@
                    if (!leader.is_leader) return;
                    leader.senders[holder].OnAcknowledged(sequence);
                    if (sequence > 0)
-                     leader.lending->holders().OnAcknowledged(holder, session, reaches_state, sent);
+                     leader.lending->eligibility().OnAcknowledged(holder, session, reaches_state,
+                                                                  sent);
                  });
 }
 
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -37,10 +37,10 @@
     node.job_table.Apply(parsed, value);
   }
   if (std::holds_alternative<store::DivisionKeyName>(parsed)) {
-    node.records.PutDivision(value, version);
+    node.records.SetBlockAssignment(value, version);
   }
   if (const auto* share = std::get_if<store::ShareKeyName>(&parsed)) {
-    node.records.PutShare(share->node, value, version);
+    node.records.SetAllocation(share->node, value, version);
   }
   const bool superseded = key == store::FencingTokenKey() && version != node.token.value();
   if (node.is_leader && superseded) node.is_leader = false;
@@ -62,7 +62,7 @@
   return it == node.versions.end() ? 0 : it->second;
 }
 
-blocks::CopyState BlocksCluster::Copy(const Node& node) const {
+blocks::CacheState BlocksCluster::Copy(const Node& node) const {
   const uint64_t revision = IsDisabled("copy") ? UINT64_MAX : node.revision;
   const model::FencingToken known(VersionIn(node, store::FencingTokenKey()));
   return {revision, node.is_leader ? node.token : known};
