--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -19,7 +19,7 @@
 class LargeFleet {
  public:
   static constexpr model::FencingToken kToken{7};
-  static constexpr double kStart = 100;
+  static constexpr double kStartTimeS = 100;
   static constexpr uint32_t kCpus = 4;
   static constexpr size_t kTasksPerJob = 1000;
 
@@ -65,7 +65,7 @@
   }
 
   // All pages of the cloud's list, as WorkerRegistry::OnCloudList takes them.
-  std::vector<model::CloudMachine> Listing() const {
+  std::vector<model::CloudMachine> CloudList() const {
     std::vector<model::CloudMachine> out;
     for (size_t i = 0; i < count_; ++i) {
       model::CloudMachine listed;
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -18,14 +18,15 @@
 TEST(LargeFleet, ATakeoverKeepsEveryTaskAndARoundPlacesWork) {
   LargeFleet fleet(kMachines);
   fleet.PutRecords();
-  fleet.TakeOver(LargeFleet::kStart);
-  fleet.registry().OnCloudList(fleet.Listing(), LargeFleet::kStart, LargeFleet::kStart + 1);
+  fleet.TakeOver(LargeFleet::kStartTimeS);
+  fleet.registry().OnCloudList(fleet.CloudList(), LargeFleet::kStartTimeS,
+                               LargeFleet::kStartTimeS + 1);
   EXPECT_EQ(fleet.registry().machines().size(), kMachines);
-  EXPECT_TRUE(
-      fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), LargeFleet::kStart + 1)
-          .empty())
+  EXPECT_TRUE(fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(),
+                                            LargeFleet::kStartTimeS + 1)
+                  .empty())
       << "what runs is neither ended nor given up";
-  const plan::RoundResult plan = fleet.Plan(LargeFleet::kStart + 1);
+  const plan::RoundResult plan = fleet.Plan(LargeFleet::kStartTimeS + 1);
   EXPECT_GE(plan.placements.size(), 500U);
   EXPECT_TRUE(plan.preemptions.empty());
   std::map<std::string, size_t> load;
@@ -37,10 +38,10 @@
 TEST(LargeFleet, MachinesReturnedInAWaveAreNotTakenFromALateList) {
   constexpr size_t kWave = 2 * kMachines;
   LargeFleet fleet(kWave);
-  fleet.TakeOver(LargeFleet::kStart);
-  const std::vector<model::CloudMachine> late = fleet.Listing();
+  fleet.TakeOver(LargeFleet::kStartTimeS);
+  const std::vector<model::CloudMachine> late = fleet.CloudList();
   for (size_t i = 0; i < kWave; ++i) fleet.registry().OnTerminated(LargeFleet::MachineName(i));
-  fleet.registry().OnCloudList(late, LargeFleet::kStart, LargeFleet::kStart + 1);
+  fleet.registry().OnCloudList(late, LargeFleet::kStartTimeS, LargeFleet::kStartTimeS + 1);
   EXPECT_EQ(fleet.registry().machines().size(), 0U);
 }
 
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -32,10 +32,10 @@
   size_t placed = 0;
   for (int run = 0; run < runs; ++run) {
     LargeFleet fleet(machines);
-    const double now = LargeFleet::kStart;
+    const double now = LargeFleet::kStartTimeS;
     load.push_back(ElapsedMs([&] { fleet.PutRecords(); }));
     takeover.push_back(ElapsedMs([&] { fleet.TakeOver(now); }));
-    const auto listing = fleet.Listing();
+    const auto listing = fleet.CloudList();
     list.push_back(ElapsedMs([&] { fleet.registry().OnCloudList(listing, now, now + 1); }));
     collect.push_back(ElapsedMs([&] {
       hallpier::fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(), now + 1);
