--- a/tests/capacity_demand_test.cc
+++ b/tests/capacity_demand_test.cc
@@ -1,4 +1,4 @@
-// What waiting tasks need new machines for.
+// The demand of waiting tasks for new machines.
 #include "plan/capacity_demand.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 using namespace testing_support;
 
-TEST(CapacityDemand, NamesTheTypesThatFitCheapestPerTaskFirst) {
+TEST(CapacityDemand, SortsSuitableTypesByPricePerTask) {
   std::vector<model::MachineType> types = {MachineTypeOf("c2", 2), MachineTypeOf("c8", 8),
                                            MachineTypeOf("c16", 16)};
   types[0].spot_price = 0.1;
@@ -23,7 +23,7 @@
   types[2].spot_price = 1.0;
   const auto demand = DemandFor(Spec("run-1", 10, 4), 7, types);
   ASSERT_TRUE(demand);
-  ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit two processors";
+  ASSERT_EQ(demand->choices.size(), 2U) << "a task does not fit on two processors";
   EXPECT_EQ(demand->choices[0].machine_type, "c8");
   EXPECT_EQ(demand->choices[0].tasks_per_machine, 2U);
   EXPECT_EQ(demand->choices[1].tasks_per_machine, 4U);
@@ -31,13 +31,13 @@
   EXPECT_FALSE(DemandFor(Spec("run-2", 10, 32), 7, types));
 }
 
-TEST(CapacityDemand, TheShortfallIsWhatCannotBeDoneInTime) {
+TEST(CapacityDemand, ShortfallIsShareOfWorkNotCompletedInTime) {
   EXPECT_EQ(ShortfallShare(0, 4, 30), 0);
   EXPECT_EQ(ShortfallShare(100, 4, 30), 0);
   EXPECT_DOUBLE_EQ(ShortfallShare(240, 4, 30), 0.5);
 }
 
-TEST(CapacityDemand, OfWhatNoRoundLookedAtIsThePartThatMachinesCannotDoInTime) {
+TEST(CapacityDemand, UnmappedJobsDemandOnlyWorkThatMachinesCannotCompleteInTime) {
   const config::Settings settings = SettingsOf();
   PlanningContext context;
   context.settings = &settings;
@@ -48,7 +48,7 @@
   JobQueue queue;
   queue.jobs = {{job_table.Find("run-1"), false, 0, 5}, {job_table.Find("run-2"), false, 1, 24}};
   ASSERT_EQ(LongestBootTime(context), 30);
-  // 24 tasks of 10 s; four processors do 120 s of work while a machine boots.
+  // 24 tasks take 10 s each; four processors complete 120 s of work while a machine boots.
   const auto demands = DemandForUnmapped(queue, 1, context, 4);
   ASSERT_EQ(demands.size(), 1U);
   EXPECT_EQ(demands[0].tasks, 12U);
--- a/tests/image_index_test.cc
+++ b/tests/image_index_test.cc
@@ -1,4 +1,4 @@
-// The numbers under which machines note their images.
+// The assignment of numbers to container images.
 #include "fleet/image_index.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace hallpier::fleet {
 namespace {
 
-TEST(ImageIndex, AnImageKeepsItsNumber) {
+TEST(ImageIndex, FindOrAddKeepsAssignedNumber) {
   ImageIndex images;
   EXPECT_FALSE(images.Find("a").has_value());
   EXPECT_EQ(images.FindOrAdd("a"), 0U);
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -19,7 +19,7 @@
  protected:
   JobOrderTest() : settings_(SettingsOf()), job_table_(64) {
     context_.settings = &settings_;
-    context_.operators = &operators_;
+    context_.operators = &operator_options_;
     context_.machine_types = {MachineTypeOf("c4", 4)};
   }
   const jobs::Job& Put(const std::string& id, model::Priority priority, double age) {
@@ -28,38 +28,38 @@
     PutJob(job_table_, spec, kNow - age);
     return *job_table_.Find(id);
   }
-  int Tier(const jobs::Job& job, bool within) {
-    return JobOrder(context_, kNow).PriorityTier(job, within);
+  int Tier(const jobs::Job& job, bool within_guarantee) {
+    return JobOrder(context_, kNow).PriorityTier(job, within_guarantee);
   }
 
   config::Settings settings_;
-  config::OperatorOptions operators_;
+  config::OperatorOptions operator_options_;
   jobs::JobTable job_table_;
   PlanningContext context_;
 };
 
-TEST_F(JobOrderTest, PriorityComesFirstAndAGuaranteeWithinIt) {
-  const int urgent_within = Tier(Put("run-1", model::Priority::kUrgent, 0), true);
+TEST_F(JobOrderTest, TierOrdersByPriorityThenGuarantee) {
+  const int urgent_within_guarantee = Tier(Put("run-1", model::Priority::kUrgent, 0), true);
   const int urgent = Tier(Put("run-2", model::Priority::kUrgent, 0), false);
-  const int normal_within = Tier(Put("run-3", model::Priority::kNormal, 0), true);
+  const int normal_within_guarantee = Tier(Put("run-3", model::Priority::kNormal, 0), true);
   const int normal = Tier(Put("run-4", model::Priority::kNormal, 0), false);
   const int best_effort = Tier(Put("run-5", model::Priority::kBestEffort, 0), true);
-  EXPECT_LT(urgent_within, urgent);
-  EXPECT_LT(urgent, normal_within);
-  EXPECT_LT(normal_within, normal);
+  EXPECT_LT(urgent_within_guarantee, urgent);
+  EXPECT_LT(urgent, normal_within_guarantee);
+  EXPECT_LT(normal_within_guarantee, normal);
   EXPECT_LT(normal, best_effort);
 }
 
-TEST_F(JobOrderTest, WorkWithinAGuaranteeThatHasWaitedForABootComesBeforeAllBeyondOne) {
-  const double boot = context_.machine_types[0].boot_s;
-  EXPECT_EQ(LongestBootTime(context_), boot);
-  const jobs::Job& waited = Put("run-1", model::Priority::kBestEffort, boot + 1);
-  EXPECT_LT(Tier(waited, true), Tier(Put("run-2", model::Priority::kUrgent, 0), false));
-  EXPECT_GT(Tier(waited, true), Tier(Put("run-3", model::Priority::kUrgent, 0), true));
-  EXPECT_GT(Tier(waited, false), Tier(Put("run-4", model::Priority::kNormal, 0), false));
+TEST_F(JobOrderTest, OverdueGuaranteeComesBeforeAllJobsBeyondGuarantee) {
+  const double boot_s = context_.machine_types[0].boot_s;
+  EXPECT_EQ(LongestBootTime(context_), boot_s);
+  const jobs::Job& overdue = Put("run-1", model::Priority::kBestEffort, boot_s + 1);
+  EXPECT_LT(Tier(overdue, true), Tier(Put("run-2", model::Priority::kUrgent, 0), false));
+  EXPECT_GT(Tier(overdue, true), Tier(Put("run-3", model::Priority::kUrgent, 0), true));
+  EXPECT_GT(Tier(overdue, false), Tier(Put("run-4", model::Priority::kNormal, 0), false));
 }
 
-TEST_F(JobOrderTest, JobsThatMissedTheirAimWaitForOthersButNotForEver) {
+TEST_F(JobOrderTest, DefersJobThatMissedObjectiveForLimitedTime) {
   settings_.objectives = {{"finished", "lane", 100, 0.9}};
   const JobOrder order(context_, kNow);
   const int in_time = order.RemainingWorkBand(Put("run-1", model::Priority::kNormal, 10));
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -1,4 +1,4 @@
-// A fleet of a given size in memory: machines that report, jobs that run on them and jobs that
+// An in-memory fleet of a given size: machines that report, jobs that run on them and jobs that
 // wait.
 #pragma once
 
@@ -20,37 +20,38 @@
  public:
   static constexpr model::FencingToken kToken{7};
   static constexpr double kStartTimeS = 100;
-  static constexpr uint32_t kCpus = 4;
+  static constexpr uint32_t kCpusPerMachine = 4;
   static constexpr size_t kTasksPerJob = 1000;
 
   explicit LargeFleet(size_t machines)
       : settings_(SettingsOf()),
         job_table_(64),
-        registry_(RosterOptions(settings_)),
-        count_(machines) {
+        registry_(RegistryOptions(settings_)),
+        machine_count_(machines) {
     settings_.lease_s = 22;
     context_.settings = &settings_;
-    context_.operators = &operators_;
-    context_.machine_types = {MachineTypeOf("c4", kCpus)};
+    context_.operators = &operator_options_;
+    context_.machine_types = {MachineTypeOf("c4", kCpusPerMachine)};
   }
 
   static std::string MachineName(size_t i) { return fmt::format("vm-{:06}", i); }
 
-  // Half of every machine runs recorded tasks; as much work as would fill the fleet waits.
+  // Records running tasks on half of every machine, and as many waiting tasks as would fill the
+  // whole fleet.
   void PutRecords() {
-    const size_t running = count_ * kCpus / 2;
+    const size_t running = machine_count_ * kCpusPerMachine / 2;
     for (size_t first = 0; first < running; first += kTasksPerJob) {
       PutRunningJob(first, std::min(kTasksPerJob, running - first));
     }
-    for (size_t first = 0; first < count_ * kCpus; first += kTasksPerJob) {
+    for (size_t first = 0; first < machine_count_ * kCpusPerMachine; first += kTasksPerJob) {
       PutJob(job_table_, Spec("run-9" + std::to_string(100000 + first), kTasksPerJob), 1);
     }
   }
 
-  // A new leader begins, and every machine reports to it once.
+  // Begins the term of a new leader, to which every machine reports once.
   void TakeOver(double now) {
     registry_.BeginTerm(kToken, now, now);
-    for (size_t i = 0; i < count_; ++i) {
+    for (size_t i = 0; i < machine_count_; ++i) {
       model::Heartbeat report = ReportOf(MachineName(i), 1, 1, kToken);
       report.zone = i % 2 == 0 ? "a" : "b";
       for (const auto& [task, attempt] : job_table_.PlacementsOn(MachineName(i))) {
@@ -64,10 +65,10 @@
     }
   }
 
-  // All pages of the cloud's list, as WorkerRegistry::OnCloudList takes them.
+  // Returns the complete list of the cloud's machines, as WorkerRegistry::OnCloudList expects it.
   std::vector<model::CloudMachine> CloudList() const {
     std::vector<model::CloudMachine> out;
-    for (size_t i = 0; i < count_; ++i) {
+    for (size_t i = 0; i < machine_count_; ++i) {
       model::CloudMachine listed;
       listed.machine = MachineName(i);
       listed.endpoint = "127.0.0.1:1";
@@ -82,13 +83,13 @@
     return plan::PlanRound(context_, job_table_, registry_, now, now);
   }
 
-  size_t running() const { return count_ * kCpus / 2; }
+  size_t running_tasks() const { return machine_count_ * kCpusPerMachine / 2; }
   const jobs::JobTable& job_table() const { return job_table_; }
   fleet::WorkerRegistry& registry() { return registry_; }
   const config::Settings& settings() const { return settings_; }
 
  private:
-  static fleet::WorkerRegistry::Options RosterOptions(const config::Settings& settings) {
+  static fleet::WorkerRegistry::Options RegistryOptions(const config::Settings& settings) {
     fleet::WorkerRegistry::Options options;
     options.heartbeat_interval_s = settings.heartbeat_interval_s;
     options.lease_s = settings.lease_s;
@@ -106,17 +107,17 @@
     for (size_t i = 0; i < tasks; ++i) {
       const auto index = static_cast<uint32_t>(i);
       groups[job->groups.layout().GroupOf(index)].open[index] = {
-          1, MachineName((first + i) / (kCpus / 2))};
+          1, MachineName((first + i) / (kCpusPerMachine / 2))};
     }
     for (const auto& [number, group] : groups) PutTaskGroup(job_table_, id, number, group);
   }
 
   config::Settings settings_;
-  config::OperatorOptions operators_;
+  config::OperatorOptions operator_options_;
   plan::PlanningContext context_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
-  const size_t count_;
+  const size_t machine_count_;
 };
 
 }  // namespace hallpier::testing_support
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -1,4 +1,5 @@
-// What a fleet of 4,000 machines asks of the parts that have bounds. In fake time, without I/O.
+// Components that have limits, used with a fleet of 4,000 machines, in simulated time and without
+// I/O.
 #include "large_fleet.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
 
 constexpr size_t kMachines = 4000;
 
-TEST(LargeFleet, ATakeoverKeepsEveryTaskAndARoundPlacesWork) {
+TEST(LargeFleet, TakeoverKeepsAllTasksAndRoundPlacesWork) {
   LargeFleet fleet(kMachines);
   fleet.PutRecords();
   fleet.TakeOver(LargeFleet::kStartTimeS);
@@ -25,27 +26,30 @@
   EXPECT_TRUE(fleet::CollectTaskTransitions(fleet.registry(), fleet.job_table(),
                                             LargeFleet::kStartTimeS + 1)
                   .empty())
-      << "what runs is neither ended nor given up";
+      << "no running task has ended or is requeued";
   const plan::RoundResult plan = fleet.Plan(LargeFleet::kStartTimeS + 1);
   EXPECT_GE(plan.placements.size(), 500U);
   EXPECT_TRUE(plan.preemptions.empty());
   std::map<std::string, size_t> load;
   for (const jobs::TaskTransition& place : plan.placements) ++load[place.machine];
-  for (const auto& [machine, tasks] : load) EXPECT_LE(tasks, LargeFleet::kCpus / 2) << machine;
+  for (const auto& [machine, tasks] : load)
+    EXPECT_LE(tasks, LargeFleet::kCpusPerMachine / 2) << machine;
 }
 
-// A list may be as old as twice its usual lag: what was returned since must not come back with it.
-TEST(LargeFleet, MachinesReturnedInAWaveAreNotTakenFromALateList) {
-  constexpr size_t kWave = 2 * kMachines;
-  LargeFleet fleet(kWave);
+// Guards against restoring terminated machines: a cloud list may be as old as twice its usual lag,
+// and still contains machines that were terminated since.
+TEST(LargeFleet, DelayedCloudListDoesNotRestoreTerminatedMachines) {
+  constexpr size_t kTerminatedMachines = 2 * kMachines;
+  LargeFleet fleet(kTerminatedMachines);
   fleet.TakeOver(LargeFleet::kStartTimeS);
-  const std::vector<model::CloudMachine> late = fleet.CloudList();
-  for (size_t i = 0; i < kWave; ++i) fleet.registry().OnTerminated(LargeFleet::MachineName(i));
-  fleet.registry().OnCloudList(late, LargeFleet::kStartTimeS, LargeFleet::kStartTimeS + 1);
+  const std::vector<model::CloudMachine> delayed_list = fleet.CloudList();
+  for (size_t i = 0; i < kTerminatedMachines; ++i)
+    fleet.registry().OnTerminated(LargeFleet::MachineName(i));
+  fleet.registry().OnCloudList(delayed_list, LargeFleet::kStartTimeS, LargeFleet::kStartTimeS + 1);
   EXPECT_EQ(fleet.registry().machines().size(), 0U);
 }
 
-TEST(LargeFleet, ANodeHandsOverAsManyCancellationsAsAFrameMayHave) {
+TEST(LargeFleet, LargestCancellationReportFitsInPeerFrame) {
   wire::CancellationReport report;
   report.complete = true;
   for (size_t i = 0; i < wire::kMaxCancellationsPerFrame; ++i) {
--- a/tests/latency_reservation_test.cc
+++ b/tests/latency_reservation_test.cc
@@ -1,4 +1,4 @@
-// What is kept free for latency-sensitive job classes.
+// Resources that are kept free for latency-sensitive job classes.
 #include "plan/latency_reservation.h"
 
 #include <gtest/gtest.h>
@@ -24,12 +24,13 @@
   }
 };
 
-TEST_F(LatencyReservationTest, LearnsFromUrgentJobsOfClassesThatAreToStartAtOnce) {
-  const double soon_s = settings_.heartbeat_interval_s;
-  settings_.objectives = {{"wait", "lane", 4 * soon_s, 0.9}};
+TEST_F(LatencyReservationTest, LearnsOnlyFromUrgentJobsWithImmediateStartObjective) {
+  const double immediate_s = settings_.heartbeat_interval_s;
+  settings_.objectives = {{"wait", "lane", 4 * immediate_s, 0.9}};
   LearnLatencySensitiveClass(context_, PutUrgentJob("run-1", 10));
-  EXPECT_TRUE(context_.latency_sensitive_classes.empty()) << "its tasks may wait for a slot";
-  settings_.objectives = {{"wait", "lane", soon_s, 0.9}};
+  EXPECT_TRUE(context_.latency_sensitive_classes.empty())
+      << "its objective allows its tasks to wait for resources";
+  settings_.objectives = {{"wait", "lane", immediate_s, 0.9}};
   PutJob(job_table_, Spec("run-2", 10));
   LearnLatencySensitiveClass(context_, *job_table_.Find("run-2"));
   EXPECT_TRUE(context_.latency_sensitive_classes.empty()) << "not urgent";
@@ -38,20 +39,21 @@
   EXPECT_EQ(context_.latency_sensitive_classes["lane"].need.cpus, 1);
   EXPECT_EQ(context_.latency_sensitive_classes["lane"].tasks, 10);
   LearnLatencySensitiveClass(context_, PutUrgentJob("run-3", 60));
-  EXPECT_DOUBLE_EQ(context_.latency_sensitive_classes["lane"].tasks, 11) << "moved by 2 % of 50";
+  EXPECT_DOUBLE_EQ(context_.latency_sensitive_classes["lane"].tasks, 11)
+      << "the average moves by 2 % of the difference of 50";
 }
 
-TEST_F(LatencyReservationTest, KeepsTheOperatorsShareFreeAndNoMoreThanAFewJobsTake) {
+TEST_F(LatencyReservationTest, ReservesForFewJobsWithinConfiguredShare) {
   context_.latency_sensitive_classes["lane"] = {{1, 0, 1}, 1};
-  operators_.urgent_reserve = 0.5;
+  operator_options_.urgent_reserve = 0.5;
   const std::vector<MachineAvailability> empty(1, {ResourceTimeline(Resources{8, 0, 100}), 0});
-  auto slots = empty;
-  ReserveForLatencySensitive(context_, 8, slots);
-  EXPECT_EQ(slots[0].timeline.free_now().cpus, 5) << "three jobs of one task";
+  auto machines = empty;
+  ReserveForLatencySensitive(context_, 8, machines);
+  EXPECT_EQ(machines[0].timeline.free_now().cpus, 5) << "three jobs of one task";
   context_.latency_sensitive_classes["lane"].tasks = 100;
-  slots = empty;
-  ReserveForLatencySensitive(context_, 8, slots);
-  EXPECT_EQ(slots[0].timeline.free_now().cpus, 4) << "half of all processors";
+  machines = empty;
+  ReserveForLatencySensitive(context_, 8, machines);
+  EXPECT_EQ(machines[0].timeline.free_now().cpus, 4) << "limited to half of all processors";
 }
 
 }  // namespace
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -1,4 +1,4 @@
-// Which running tasks a round preempts, and for which waiting ones.
+// The choice of running tasks that a round preempts for waiting tasks.
 #include "plan/preemption.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 class PreemptionTest : public RoundFixture {};
 
-TEST_F(PreemptionTest, UrgentWorkStopsWhatLosesLeast) {
+TEST_F(PreemptionTest, UrgentTaskPreemptsAttemptThatLosesLeast) {
   auto low = Spec("run-1", 4);
   low.priority = model::Priority::kBestEffort;
   low.estimated_run_s = 500;
@@ -36,13 +36,14 @@
   auto r = Plan();
   ASSERT_EQ(r.preemptions.size(), 1U);
   EXPECT_EQ(r.preemptions[0].task.index, 3U) << "it started last";
-  EXPECT_TRUE(r.placements.empty()) << "the room is not there yet";
+  EXPECT_TRUE(r.placements.empty()) << "the resources are not free yet";
 }
 
-// A leader that has just taken over knows of no task how long it has run: of two that it heard of
-// at the same moment the one of the longer job has more to lose, and one that it started itself has
-// less.
-TEST_F(PreemptionTest, AfterATakeoverWhatMayHaveRunLongIsNotStoppedFirst) {
+// Guards against preempting the tasks that have run longest. After a takeover the leader does not
+// know how long a task has run. Of two tasks that were first reported at about the same time, the
+// one of the job with the longer run time has more to lose; a task that the leader started itself
+// has less.
+TEST_F(PreemptionTest, AfterTakeoverDoesNotPreemptAttemptThatMayHaveRunLong) {
   auto longer = Spec("run-1", 2, 2), shorter = Spec("run-3", 2, 2);
   longer.priority = shorter.priority = model::Priority::kBestEffort;
   longer.estimated_run_s = 500;
@@ -65,29 +66,30 @@
   EXPECT_EQ(plan.preemptions[0].task.job, "run-3");
 }
 
-// Seen on a recorded day: work within a guarantee stopped urgent tasks every half second, and they
-// took the room again, being first in the order.
-TEST_F(PreemptionTest, WorkWithinAGuaranteeStopsOthersOnlyOnceItComesFirst) {
+// Guards against endless preemption: on a recorded day a job within its guarantee preempted urgent
+// tasks every half second, and these took the resources back because they came first in the order.
+TEST_F(PreemptionTest, GuaranteedJobPreemptsOnlyOnceItComesFirst) {
   settings_.teams = {{"other", 0, 0, 0, 0}, {"team", 8, 0, 0, 0}};
-  auto borrowed = Spec("run-1", 4);
-  borrowed.team = "other";
-  borrowed.priority = model::Priority::kUrgent;
-  borrowed.estimated_run_s = 500;
-  PutJob(job_table_, borrowed, 1);
+  auto beyond_guarantee = Spec("run-1", 4);
+  beyond_guarantee.team = "other";
+  beyond_guarantee.priority = model::Priority::kUrgent;
+  beyond_guarantee.estimated_run_s = 500;
+  PutJob(job_table_, beyond_guarantee, 1);
   RunOnVm1(4);
-  auto owed = Spec("run-2", 1);
-  owed.priority = model::Priority::kBestEffort;
-  PutJob(job_table_, owed, 90);
+  auto guaranteed = Spec("run-2", 1);
+  guaranteed.priority = model::Priority::kBestEffort;
+  PutJob(job_table_, guaranteed, 90);
   EXPECT_TRUE(Plan().preemptions.empty());
-  PutJob(job_table_, owed, 100 - 31);  // a machine boots in 30 s
+  PutJob(job_table_, guaranteed, 100 - 31);  // a machine boots in 30 s
   auto r = Plan();
   ASSERT_EQ(r.preemptions.size(), 1U);
   EXPECT_EQ(r.preemptions[0].for_job, "run-2");
 }
 
-// Seen on a recorded day: the room was made on a machine that lacked the urgent task's image, where
-// it would have ended later than in the slot it had, so that it did not take the room.
-TEST_F(PreemptionTest, NothingIsStoppedWhereTheTaskWouldEndLaterEvenSo) {
+// Guards against useless preemption: on a recorded day resources were freed on a machine that
+// lacked the urgent task's image. The task would have ended later there than in the slot that it
+// already had, so it did not use these resources.
+TEST_F(PreemptionTest, DoesNotPreemptIfTaskWouldEndLater) {
   auto low = Spec("run-1", 4);
   low.priority = model::Priority::kBestEffort;
   low.estimated_run_s = 20;
@@ -97,12 +99,12 @@
   high.priority = model::Priority::kUrgent;
   PutJob(job_table_, high, 2);
   EXPECT_EQ(Plan().preemptions.size(), 1U);
-  low.estimated_run_s = 8;  // the slot comes soon by itself
+  low.estimated_run_s = 8;  // the slot becomes free soon without preemption
   PutJob(job_table_, low);
   EXPECT_TRUE(PlanRound(context_, job_table_, registry_, 104, 104).preemptions.empty());
 }
 
-TEST_F(PreemptionTest, SameRankIsNeverStopped) {
+TEST_F(PreemptionTest, DoesNotPreemptSameTier) {
   auto spec = Spec("run-1", 4);
   spec.priority = model::Priority::kUrgent;
   spec.estimated_run_s = 500;
@@ -114,9 +116,10 @@
   EXPECT_TRUE(Plan().preemptions.empty());
 }
 
-// Seen on the grown deployments: work that the order puts first was stopped for later work, got the
-// room back in the next round, and was stopped again, a hundred times a second.
-TEST_F(PreemptionTest, NobodyIsStoppedForWorkThatComesLater) {
+// Guards against endless preemption: on enlarged deployments a job that came first in the order was
+// preempted for a later job, got the resources back in the next round, and was preempted again, a
+// hundred times per second.
+TEST_F(PreemptionTest, DoesNotPreemptForJobLaterInOrder) {
   auto first = Spec("run-1", 4);
   first.priority = model::Priority::kBestEffort;
   first.estimated_run_s = 500;
@@ -128,7 +131,7 @@
   PutJob(job_table_, urgent, 99);
   settings_.teams = {{"team", 0, 0, 0, 0}, {"other", 0, 0, 0, 0}};
   EXPECT_EQ(Plan().preemptions.size(), 1U);
-  settings_.teams[0].cpus = 4;  // what runs is owed to its team, and has waited for long
+  settings_.teams[0].cpus = 4;  // run-1 is now within the guarantee and has waited long
   EXPECT_TRUE(Plan().preemptions.empty());
 }
 
--- a/tests/reconciliation_test.cc
+++ b/tests/reconciliation_test.cc
@@ -1,4 +1,4 @@
-// Commands that bring a machine in line with what is recorded for it.
+// Commands that bring a machine in line with its recorded placements.
 #include "fleet/reconciliation.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 class ReconciliationTest : public WorkerRegistryFixture {};
 
-TEST_F(ReconciliationTest, ResendsARecordedStartThatTheWorkerLacks) {
+TEST_F(ReconciliationTest, ResendsRecordedStartThatWorkerDoesNotReport) {
   auto commands = Heartbeat(1, 1, {}, 1);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].kind, model::CommandKind::kRun);
@@ -24,18 +24,19 @@
   EXPECT_FALSE(IsRequeued(2));
 }
 
-TEST_F(ReconciliationTest, DoesNotForgetWhileALostStartMayStillArrive) {
+TEST_F(ReconciliationTest, SendsNoForgetWhileLostStartMayStillArrive) {
   Heartbeat(1, 1, kToken, 1);
   auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
-  Place(job_table_, "run-1", 0, 1, "");  // its end has been recorded
+  Place(job_table_, "run-1", 0, 1, "");  // the end of the attempt is recorded
   auto answer = Heartbeat(
       1, 2, kToken, 2,
       {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
-  EXPECT_TRUE(answer.empty()) << "forgotten, a late start order would run the attempt anew";
+  EXPECT_TRUE(answer.empty())
+      << "after a forget command, a late start command would run the attempt again";
 }
 
-TEST_F(ReconciliationTest, ForgetsOnlyWhatIsRecorded) {
+TEST_F(ReconciliationTest, SendsForgetOnlyOnceCompletionIsRecorded) {
   auto done = TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone);
   auto commands = Heartbeat(1, 1, kToken, 1, {done});
   EXPECT_TRUE(commands.empty());
@@ -50,7 +51,7 @@
   EXPECT_EQ(commands[0].kind, model::CommandKind::kForget);
 }
 
-TEST_F(ReconciliationTest, TasksThatNobodyRecordedAreStopped) {
+TEST_F(ReconciliationTest, StopsTasksThatAreNotRecorded) {
   auto commands = Heartbeat(1, 1, kToken, 1,
                             {TaskReportOf("run-9", 3, 2, model::TaskPhase::kRunning),
                              TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
@@ -59,8 +60,8 @@
   EXPECT_EQ(commands[0].task.job, "run-9");
 }
 
-TEST_F(ReconciliationTest, CancelledTasksAreStoppedWithoutGrace) {
-  Cancel();
+TEST_F(ReconciliationTest, StopsCancelledTasksWithoutGracePeriod) {
+  CancelJob();
   auto commands =
       Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
   ASSERT_EQ(commands.size(), 1U);
--- a/tests/replan_policy_test.cc
+++ b/tests/replan_policy_test.cc
@@ -1,4 +1,4 @@
-// When the rest of a round is decided anew (controller/replan_policy.h).
+// Decisions to drop the remaining transactions of a round in favour of a new round.
 #include "controller/replan_policy.h"
 
 #include <gtest/gtest.h>
@@ -6,45 +6,47 @@
 namespace hallpier::controller {
 namespace {
 
-constexpr double kInterval = 10;
+constexpr double kBackgroundIntervalS = 10;
 
-jobs::Transaction Ranked(jobs::WritePriority rank) {
+jobs::Transaction TransactionOf(jobs::WritePriority priority) {
   jobs::Transaction transaction;
-  transaction.priority = rank;
+  transaction.priority = priority;
   return transaction;
 }
 
-TEST(ReplanPolicy, UrgentWorkGoesBeforeAllButUrgentStartsAndEnds) {
-  ReplanPolicy policy(kInterval);
-  const jobs::Transaction start = Ranked(jobs::WritePriority::kPlacement);
+TEST(ReplanPolicy, UrgentWorkReplansUnlessUrgentPlacementOrJobEndIsNext) {
+  ReplanPolicy policy(kBackgroundIntervalS);
+  const jobs::Transaction start = TransactionOf(jobs::WritePriority::kPlacement);
   EXPECT_FALSE(policy.ShouldReplan(start, true, 100));
   policy.OnUrgentWork();
   EXPECT_TRUE(policy.ShouldReplan(start, false, 100));
-  EXPECT_TRUE(policy.ShouldReplan(Ranked(jobs::WritePriority::kTaskEnd), false, 100));
-  EXPECT_FALSE(policy.ShouldReplan(Ranked(jobs::WritePriority::kUrgentPlacement), true, 100));
-  EXPECT_FALSE(policy.ShouldReplan(Ranked(jobs::WritePriority::kJobEnd), true, 100));
+  EXPECT_TRUE(policy.ShouldReplan(TransactionOf(jobs::WritePriority::kTaskEnd), false, 100));
+  EXPECT_FALSE(
+      policy.ShouldReplan(TransactionOf(jobs::WritePriority::kUrgentPlacement), true, 100));
+  EXPECT_FALSE(policy.ShouldReplan(TransactionOf(jobs::WritePriority::kJobEnd), true, 100));
   policy.OnRoundStarted();
   EXPECT_FALSE(policy.ShouldReplan(start, true, 100)) << "the round has considered it";
 }
 
-TEST(ReplanPolicy, BackgroundWritesYieldToNewWorkButForOneInEachInterval) {
-  ReplanPolicy policy(kInterval);
-  for (const auto rank : {jobs::WritePriority::kCleanup, jobs::WritePriority::kTaskEnd}) {
-    const jobs::Transaction background = Ranked(rank);
-    const double now = rank == jobs::WritePriority::kCleanup ? 100 : 200;
-    EXPECT_FALSE(policy.ShouldReplan(background, true, now)) << "none for a long time";
+TEST(ReplanPolicy, NewWorkDropsBackgroundWritesExceptOnePerInterval) {
+  ReplanPolicy policy(kBackgroundIntervalS);
+  for (const auto priority : {jobs::WritePriority::kCleanup, jobs::WritePriority::kTaskEnd}) {
+    const jobs::Transaction background = TransactionOf(priority);
+    const double now = priority == jobs::WritePriority::kCleanup ? 100 : 200;
+    EXPECT_FALSE(policy.ShouldReplan(background, true, now)) << "none was sent for a long time";
     EXPECT_TRUE(policy.ShouldReplan(background, true, now + 1));
-    EXPECT_TRUE(policy.ShouldReplan(background, true, now + kInterval - 0.5));
-    EXPECT_FALSE(policy.ShouldReplan(background, true, now + kInterval));
+    EXPECT_TRUE(policy.ShouldReplan(background, true, now + kBackgroundIntervalS - 0.5));
+    EXPECT_FALSE(policy.ShouldReplan(background, true, now + kBackgroundIntervalS));
   }
 }
 
-TEST(ReplanPolicy, BackgroundWritesAreSentWhileNothingIsNew) {
-  ReplanPolicy policy(kInterval);
-  const jobs::Transaction background = Ranked(jobs::WritePriority::kCleanup);
+TEST(ReplanPolicy, SendsBackgroundWritesWithoutNewWork) {
+  ReplanPolicy policy(kBackgroundIntervalS);
+  const jobs::Transaction background = TransactionOf(jobs::WritePriority::kCleanup);
   EXPECT_FALSE(policy.ShouldReplan(background, false, 100));
   EXPECT_FALSE(policy.ShouldReplan(background, false, 100.1));
-  EXPECT_TRUE(policy.ShouldReplan(background, true, 100.2)) << "they count for the interval";
+  EXPECT_TRUE(policy.ShouldReplan(background, true, 100.2))
+      << "the writes sent before count toward the interval";
 }
 
 }  // namespace
--- a/tests/response_acknowledgement_test.cc
+++ b/tests/response_acknowledgement_test.cc
@@ -1,4 +1,4 @@
-// Machines whose heartbeats arrive while our answers to them get lost.
+// Detection of machines whose heartbeats arrive while our responses to them are lost.
 #include "fleet/response_acknowledgement.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 class ResponseAcknowledgementTest : public WorkerRegistryFixture {};
 
-// Seen from heartbeats alone: they never show the token that every answer carries.
-TEST_F(ResponseAcknowledgementTest, AMachineThatHearsNothingGetsNoWorkAndItsTasksStayCounted) {
+// The heartbeats never carry the token that every response contains.
+TEST_F(ResponseAcknowledgementTest, MachineThatNeverShowsOurTokenGetsNoTasksAndKeepsItsPlacements) {
   for (int i = 1; i <= 5; ++i) Heartbeat(1, static_cast<uint64_t>(i), {}, 3 * i);
   EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 15));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 15));
@@ -25,17 +25,17 @@
   EXPECT_TRUE(IsRequeued(16));
 }
 
-TEST_F(ResponseAcknowledgementTest, AMachineThatNeverShowsItsCommandsLosesOurAnswers) {
+TEST_F(ResponseAcknowledgementTest, ResponsesCountAsLostUntilCommandedTaskIsReported) {
   Heartbeat(1, 1, kToken, 3);
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 3));
   for (int i = 2; i <= 6; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i);
   EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 18));
-  // They arrive at one that shows the commands late.
+  // A late report of the commanded task shows that the responses do arrive.
   Heartbeat(1, 7, kToken, 21, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kFetching)});
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 21));
 }
 
-TEST_F(ResponseAcknowledgementTest, AMachineWhoseLeaseEndsThoughItWasAnsweredLosesOurAnswers) {
+TEST_F(ResponseAcknowledgementTest, MachineThatStartsNewEpochDespiteResponsesGetsNoTasks) {
   const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
   for (int i = 1; i <= 10; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {runs});
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 30));
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -18,26 +18,26 @@
 
 class RetryBudgetTest : public RoundFixture {};
 
-// A job that failed wherever it ran: one task at a time, behind what waits beside it, and nothing
-// is rented or stopped for it.
-TEST_F(RetryBudgetTest, AJobThatFailsEverywhereIsRetriedBehindAllOthersOfItsRank) {
+// A job that failed on every machine gets one task at a time, after the other waiting jobs of its
+// tier. No machine is requested and no task is preempted for it.
+TEST_F(RetryBudgetTest, JobThatFailsEverywhereIsRetriedAfterOthersOfItsTier) {
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
     registry_.failure_tracker().OnFailure("run-1", name, 90);
   registry_.UpdateObservations(job_table_);
   RoundResult alone = Plan();
-  EXPECT_EQ(PlacedOf(alone, "run-1"), 1U);
+  EXPECT_EQ(CountPlaced(alone, "run-1"), 1U);
   EXPECT_EQ(alone.retried_jobs, std::vector<std::string>{"run-1"});
   EXPECT_TRUE(alone.demands.empty());
   PutJob(job_table_, Spec("run-2", 12), 50);
-  RoundResult beside = Plan();
-  EXPECT_EQ(PlacedOf(beside, "run-2"), 12U);
-  EXPECT_EQ(PlacedOf(beside, "run-1"), 0U);
-  EXPECT_TRUE(beside.preemptions.empty());
+  RoundResult with_other_job = Plan();
+  EXPECT_EQ(CountPlaced(with_other_job, "run-2"), 12U);
+  EXPECT_EQ(CountPlaced(with_other_job, "run-1"), 0U);
+  EXPECT_TRUE(with_other_job.preemptions.empty());
 }
 
-TEST_F(RetryBudgetTest, ARetryWaitsForItsBackoff) {
+TEST_F(RetryBudgetTest, RetryWaitsForBackoff) {
   for (const char* name : {"vm-1", "vm-2", "vm-3"}) AddMachine(name);
   PutJob(job_table_, Spec("run-1", 20), 1);
   for (const char* name : {"vm-1", "vm-2", "vm-3"})
@@ -45,11 +45,12 @@
   registry_.UpdateObservations(job_table_);
   EXPECT_TRUE(Plan().placements.empty());
   registry_.failure_tracker().OnSuccess("run-1", "vm-1");
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 4U) << "on the machine that it succeeded on";
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 4U) << "all on the machine where it succeeded";
 }
 
-// Where it can go nowhere else, a job returns to machines that it failed on, but not at once.
-TEST_F(RetryBudgetTest, AJobThatFailedOnAllMachinesThatFitIsNotGivenUp) {
+// A job that fits on no other machine returns to a machine where it failed, but only after its
+// backoff.
+TEST_F(RetryBudgetTest, RetriesJobThatFailedOnAllSuitableMachines) {
   AddMachine("vm-1");
   for (int i = 2; i < 6; ++i) {
     model::Heartbeat other = ReportOf("vm-" + std::to_string(i), 1, 1, kTestToken);
@@ -61,14 +62,15 @@
   PutJob(job_table_, bound, 1);
   registry_.failure_tracker().OnFailure("run-1", "vm-1", 99);
   registry_.UpdateObservations(job_table_);
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U);
   RoundResult later = PlanRound(context_, job_table_, registry_, 103, 103);
-  EXPECT_EQ(PlacedOf(later, "run-1"), 1U);
+  EXPECT_EQ(CountPlaced(later, "run-1"), 1U);
   EXPECT_EQ(later.retried_jobs, std::vector<std::string>{"run-1"});
 }
 
-// However many such jobs there are, their retries share a small part of the processors.
-TEST_F(RetryBudgetTest, RetriesOfManyBrokenJobsAreBounded) {
+// The retries of all jobs that fail everywhere share a small part of the processors, regardless of
+// the number of such jobs.
+TEST_F(RetryBudgetTest, LimitsRetriesOfManyBrokenJobs) {
   for (int i = 0; i < 30; ++i) AddMachine("vm-" + std::to_string(i));
   for (int j = 0; j < 10; ++j) {
     const std::string id = "run-" + std::to_string(j);
--- a/tests/round_fixture.h
+++ b/tests/round_fixture.h
@@ -1,4 +1,4 @@
-// The fixture of tests that plan rounds over a few machines.
+// A fixture for tests that plan rounds with a few machines.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,19 +18,19 @@
 
 namespace hallpier::testing_support {
 
-// One machine type of four processors, a leader whose term has begun, and rounds at time 100.
+// One machine type with four processors, a leader whose term has begun, and rounds at time 100.
 class RoundFixture : public testing::Test {
  protected:
   RoundFixture() : settings_(SettingsOf()), job_table_(64), registry_({3, 30, 3, 4}) {
     context_.settings = &settings_;
-    context_.operators = &operators_;
+    context_.operators = &operator_options_;
     context_.machine_types = {MachineTypeOf("c4", 4)};
     registry_.BeginTerm(kTestToken, 0, 0);
   }
   void AddMachine(const std::string& name) {
     registry_.OnHeartbeat(ReportOf(name, 1, 1, kTestToken), 100, false);
   }
-  // Tasks 0 to count - 1 of run-1 run on vm-1 and are reported.
+  // Places tasks 0 to count - 1 of run-1 on vm-1 and reports them as running.
   void RunOnVm1(uint32_t count) {
     model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
     for (uint32_t i = 0; i < count; ++i) {
@@ -40,13 +40,13 @@
     registry_.OnHeartbeat(report, 100, false);
   }
   plan::RoundResult Plan() { return plan::PlanRound(context_, job_table_, registry_, 100, 100); }
-  size_t PlacedOf(const plan::RoundResult& result, const std::string& job) {
+  size_t CountPlaced(const plan::RoundResult& result, const std::string& job) {
     return static_cast<size_t>(std::count_if(result.placements.begin(), result.placements.end(),
                                              [&](const auto& p) { return p.task.job == job; }));
   }
 
   config::Settings settings_;
-  config::OperatorOptions operators_;
+  config::OperatorOptions operator_options_;
   jobs::JobTable job_table_;
   fleet::WorkerRegistry registry_;
   plan::PlanningContext context_;
--- a/tests/run_time_test.cc
+++ b/tests/run_time_test.cc
@@ -1,4 +1,4 @@
-// Predicted run times.
+// The prediction of run times.
 #include "plan/run_time.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 class RunTimeTest : public RoundFixture {};
 
-TEST_F(RunTimeTest, PredictsFromTheLearnedMeanOnceThereIsOne) {
+TEST_F(RunTimeTest, PredictsFromObservedMeanIfThereIsOne) {
   PutJob(job_table_, Spec("run-1", 4));
   EXPECT_DOUBLE_EQ(PredictRunTime(*job_table_.Find("run-1"), "c4"), 10);
   store::TaskGroup task_group;
--- a/tests/spot_eviction_test.cc
+++ b/tests/spot_eviction_test.cc
@@ -18,15 +18,16 @@
 
 class SpotEvictionTest : public RoundFixture {};
 
-TEST_F(SpotEvictionTest, ANoticedMachineIsLeftByWhatCannotEndInTime) {
-  auto saves = Spec("run-1", 1), lasts = Spec("run-2", 1), ends = Spec("run-3", 1);
-  saves.checkpoint_every_s = 20;
-  saves.checkpoint_s = 4;
-  saves.estimated_run_s = lasts.estimated_run_s = 100;
-  ends.estimated_run_s = 3;
+TEST_F(SpotEvictionTest, PreemptsOnlyTasksThatCannotEndInTime) {
+  auto checkpointing = Spec("run-1", 1), long_running = Spec("run-2", 1),
+       short_running = Spec("run-3", 1);
+  checkpointing.checkpoint_every_s = 20;
+  checkpointing.checkpoint_s = 4;
+  checkpointing.estimated_run_s = long_running.estimated_run_s = 100;
+  short_running.estimated_run_s = 3;
   model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
   report.spot_notice_s = 8;
-  for (const auto& spec : {saves, lasts, ends}) {
+  for (const auto& spec : {checkpointing, long_running, short_running}) {
     PutJob(job_table_, spec);
     Place(job_table_, spec.id, 0, 1, "vm-1");
     report.tasks.push_back(TaskReportOf(spec.id, 0, 1, model::TaskPhase::kRunning));
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -1,4 +1,4 @@
-// Jobs that have waited beyond the operators' bound.
+// Jobs that have waited for longer than the configured bound.
 #include "plan/starvation.h"
 
 #include <gtest/gtest.h>
@@ -14,23 +14,24 @@
 
 class StarvationTest : public RoundFixture {};
 
-// Nothing starves: not the largest job behind a stream of small ones, not a class behind an urgent
-// one. Begun work waits for its turn, and the share of the processors is bounded.
-TEST_F(StarvationTest, WhatHasWaitedTooLongBeginsWhateverTheOrderSays) {
+// Guards against starvation of the largest job behind a stream of small ones, and of a job class
+// behind an urgent one. A job that has started keeps its usual place in the order until it has
+// waited for twice the bound, and the share of the processors is limited.
+TEST_F(StarvationTest, JobBeyondWaitBoundStartsRegardlessOfOrder) {
   auto large = Spec("run-1", 900), urgent = Spec("run-2", 40), small = Spec("run-3", 2);
   urgent.priority = model::Priority::kUrgent;
-  operators_.starve_s = 60;
+  operator_options_.starve_s = 60;
   PutJob(job_table_, large, 50);  // has waited 50 s
   PutJob(job_table_, urgent, 99);
   PutJob(job_table_, small, 99);
   for (const char* vm : {"vm-1", "vm-2"}) AddMachine(vm);
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U);
-  PutJob(job_table_, large, 39);  // and now 61 s
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 2U) << "a quarter of 8 processors";
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U);
+  PutJob(job_table_, large, 39);  // has waited 61 s
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 2U) << "a quarter of 8 processors";
   Place(job_table_, "run-1", 0, 1, "vm-9");
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 0U) << "it has begun";
-  PutJob(job_table_, large, -21);  // 121 s
-  EXPECT_EQ(PlacedOf(Plan(), "run-1"), 1U);
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U) << "it has started";
+  PutJob(job_table_, large, -21);  // has waited 121 s, more than twice the bound
+  EXPECT_EQ(CountPlaced(Plan(), "run-1"), 1U);
 }
 
 }  // namespace
--- a/tests/stop_requests_test.cc
+++ b/tests/stop_requests_test.cc
@@ -1,4 +1,4 @@
-// Requests to stop attempts: which grace counts, and when a request is fulfilled.
+// Requests to stop attempts: which grace period applies, and when a request is fulfilled.
 #include "fleet/stop_requests.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const model::TaskId kTask{"run-1", 0};
 
-TEST(StopRequests, CountForOneAttemptOnly) {
+TEST(StopRequests, ApplyToOneAttemptOnly) {
   StopRequests requests;
   requests.Add(kTask, 2, 5);
   EXPECT_TRUE(requests.Contains(kTask, 2));
@@ -20,10 +20,10 @@
   requests.Add(kTask, 3, 8);
   EXPECT_FALSE(requests.Contains(kTask, 2));
   EXPECT_TRUE(requests.Contains(kTask, 3));
-  EXPECT_EQ(requests.GraceSeconds(kTask), 8) << "another attempt has a grace of its own";
+  EXPECT_EQ(requests.GraceSeconds(kTask), 8) << "another attempt has a separate grace period";
 }
 
-TEST(StopRequests, GraceIsOnlyShortened) {
+TEST(StopRequests, GracePeriodCanOnlyBeShortened) {
   StopRequests requests;
   requests.Add(kTask, 2, 5);
   requests.Add(kTask, 2, 9);
@@ -32,7 +32,7 @@
   EXPECT_EQ(requests.GraceSeconds(kTask), 0);
 }
 
-TEST(StopRequests, AreFulfilledOnceTheAttemptIsNotRecordedAnyMore) {
+TEST(StopRequests, AreDroppedOnceAttemptIsNoLongerRecorded) {
   jobs::JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
   Place(job_table, "run-1", 0, 2, "vm-1");
--- a/tests/task_classes_test.cc
+++ b/tests/task_classes_test.cc
@@ -1,4 +1,4 @@
-// Where the tasks of a job may run: its own constraints and those of its zones.
+// The machines on which the tasks of a job may run: the job's constraints and those of its zones.
 #include "plan/task_classes.h"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,10 @@
 
 class TaskClassesTest : public RoundFixture {};
 
-// An array bound to one zone has lost its machines: while one of them may be alive in a zone that
-// is not known any more, nothing new may start; then all go to one zone.
-TEST_F(TaskClassesTest, AJobBoundToOneZoneWaitsForWhatMayBeAliveElsewhere) {
+// A job whose tasks must all run in one zone has lost its machines. While one of its tasks may
+// still be alive in a zone that is no longer known, no further task may start. Afterwards all tasks
+// are placed in one zone.
+TEST_F(TaskClassesTest, OneZoneJobWaitsForTaskThatMayBeAliveInUnknownZone) {
   auto spec = Spec("run-1", 6);
   spec.one_zone = true;
   PutJob(job_table_, spec);
@@ -41,13 +42,13 @@
   for (const auto& p : r.placements) zones.insert(registry_.Find(p.machine)->zone);
   EXPECT_GT(r.placements.size(), 0U);
   EXPECT_EQ(zones.size(), 1U);
-  // What runs in a zone keeps the rest there, also once a new leader takes over.
+  // A task that runs in a zone keeps the other tasks there, also after a new leader has taken over.
   Place(job_table_, "run-1", 1, 1, "vm-1");
   registry_.BeginTerm(model::FencingToken(8), 100, 100);
   for (const auto& p : Plan().placements) EXPECT_EQ(registry_.Find(p.machine)->zone, "a");
 }
 
-TEST_F(TaskClassesTest, StaysOffMachinesThatAJobDoesNotAllow) {
+TEST_F(TaskClassesTest, PlacesNoTaskOutsideZoneOfJob) {
   auto spec = Spec("run-1", 8);
   spec.zone = "b";
   PutJob(job_table_, spec);
--- a/tests/task_mapping_test.cc
+++ b/tests/task_mapping_test.cc
@@ -1,4 +1,4 @@
-// The mapping of task classes to machines: min-min, min-max and Duplex.
+// The mapping of task classes to machines with min-min, min-max and Duplex.
 #include "plan/task_mapping.h"
 
 #include <gtest/gtest.h>
@@ -25,9 +25,9 @@
   return out;
 }
 
-// One slot, tasks of 1 and 10 seconds. Min-min: 1 then 10 (delays 0 + 1); min-max: 10 then 1
-// (delays 0 + 10). Run times add up to 11 either way.
-TEST(MapTasksDuplex, PrefersMinMinWhereShortOnesGoFirst) {
+// One slot, and tasks of 1 and 10 seconds. Min-min runs 1 then 10 (delays 0 + 1), min-max runs 10
+// then 1 (delays 0 + 10). The run times add up to 11 in both orders.
+TEST(MapTasksDuplex, KeepsMinMinWhenShortTasksShouldGoFirst) {
   auto machines = Machines({1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {1}), ClassOf(1, 1, {10})};
   auto a = machines, b = machines;
@@ -38,10 +38,11 @@
   EXPECT_EQ(map.assignments[0].task_class, 0U);
 }
 
-// A fast and a slow machine. The short task takes 2 s on either; the long one 3 s on the fast and
-// 30 s on the slow. Min-min gives the fast one to the short task: 2 + (3 run + 2 delay) = 7.
-// Min-max gives it to the long one, the short one goes to the slow machine: 3 + 2 = 5.
-TEST(MapTasksDuplex, PrefersMinMaxWhereTheLongOneNeedsTheFastMachine) {
+// A fast and a slow machine. The short task takes 2 s on both; the long task takes 3 s on the fast
+// machine and 30 s on the slow one. Min-min maps the short task to the fast machine: 2 + (3 run + 2
+// delay) = 7. Min-max maps the long task to the fast machine and the short task to the slow one:
+// 3 + 2 = 5.
+TEST(MapTasksDuplex, KeepsMinMaxWhenLongTaskNeedsFastMachine) {
   auto machines = Machines({1, 1});
   std::vector<TaskClass> classes = {ClassOf(1, 1, {2, 2}), ClassOf(1, 1, {3, 30})};
   auto a = machines, b = machines;
@@ -50,7 +51,7 @@
   EXPECT_DOUBLE_EQ(MapTasksDuplex(classes, machines, 10).cost, 5);
 }
 
-TEST(MapTasksDuplex, KeepsZonesTogetherOrApart) {
+TEST(MapTasksDuplex, RespectsOneZoneAndZoneAllowance) {
   std::vector<MachineAvailability> machines = Machines({2, 2});
   machines[1].zone = 1;
   TaskClass together = ClassOf(1, 3, {5, 5});
@@ -69,8 +70,9 @@
             1);
 }
 
-// Whole machines come free only if tasks gather where others run for as long anyway.
-TEST(MapTasksDuplex, PacksOntoTheMachineThatIsInUseAnyway) {
+// Whole machines become free only if tasks are packed onto machines where other tasks run for as
+// long anyway.
+TEST(MapTasksDuplex, PacksOntoMachineThatStaysInUse) {
   auto machines = Machines({4, 4, 4});
   machines[1].timeline.Reserve(0, 10, {2, 0, 1});
   machines[2].timeline.Reserve(0, 100, {1, 0, 1});
@@ -81,13 +83,13 @@
   EXPECT_EQ(map.assignments[0].machine, 2U);
 }
 
-TEST(TimelineUndoLog, UndoesAMappingAndRedoesIt) {
+TEST(TimelineUndoLog, ExchangeUndoesAndRedoesMapping) {
   auto machines = Machines({1, 1});
   TimelineUndoLog log(machines.size());
   MapTasks(MappingOrder::kMinMin, {ClassOf(1, 2, {5, 50})}, machines, 10, &log);
   EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 10);
   log.Exchange(machines);
-  EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 0) << "as before both reservations";
+  EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 0) << "as before the mapping";
   log.Exchange(machines);
   EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 10);
 }
--- a/tests/task_outcomes_test.cc
+++ b/tests/task_outcomes_test.cc
@@ -1,4 +1,4 @@
-// What has become of recorded placements, by what their machines report of them.
+// The outcomes of recorded placements, derived from the reports of their machines.
 #include "fleet/task_outcomes.h"
 
 #include <gtest/gtest.h>
@@ -16,16 +16,17 @@
 
 class TaskOutcomesTest : public WorkerRegistryFixture {};
 
-// The lease of a machine in a partitioned zone has expired; while the requeueing is being written
-// the zone comes back. The worker, which has lost everything, must not be told to start the task
-// again: the write may be on its way, and the task would run here and elsewhere.
-TEST_F(TaskOutcomesTest, WhatIsGivenUpIsNotStartedAgainWhileThatIsWritten) {
+// Guards against running a task twice. The lease of a machine in a partitioned zone has expired,
+// and the zone recovers while the requeue is being written. The worker has lost its tasks, but must
+// not be told to start this one again: the write may be in flight, and the task would then run both
+// on this machine and elsewhere.
+TEST_F(TaskOutcomesTest, AttemptIsNotRestartedWhileItsRequeueIsBeingWritten) {
   Place(job_table_, "run-1", 0, 1, "vm-1");
-  auto given_up = CollectTaskTransitions(registry_, job_table_, 1000);
-  ASSERT_EQ(given_up.size(), 1U);
-  EXPECT_EQ(given_up[0].kind, jobs::TaskTransition::Kind::kRequeue);
+  auto requeued = CollectTaskTransitions(registry_, job_table_, 1000);
+  ASSERT_EQ(requeued.size(), 1U);
+  EXPECT_EQ(requeued[0].kind, jobs::TaskTransition::Kind::kRequeue);
   EXPECT_TRUE(Heartbeat(2, 1, kToken, 1000).empty());
-  // The write has failed: the task is requeued once more, now as one that was never started.
+  // The write has failed: the task is requeued again, this time because it was never started.
   auto again = CollectTaskTransitions(registry_, job_table_, 1001);
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again[0].reason, "never started");
@@ -35,24 +36,25 @@
   EXPECT_EQ(Reconcile(registry_, *registry_.Find("vm-1"), job_table_, false).size(), 1U);
 }
 
-// The first heartbeat that a new leader gets of a machine is a copy from an earlier epoch: an exit
-// that it reports proves nothing, since the attempt was started again in the next epoch.
-TEST_F(TaskOutcomesTest, AnOldReportOfAnEndFreesNothingInANewTerm) {
+// The first heartbeat that a new leader receives from a machine is a duplicate from an earlier
+// epoch. An exit that it reports proves nothing, since the attempt was started again in the next
+// epoch.
+TEST_F(TaskOutcomesTest, FailureReportedUnderFormerTokenDoesNotRequeue) {
   Heartbeat(1, 40, kFormerToken, 1,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   EXPECT_FALSE(IsRequeued(1));
   Heartbeat(2, 55, kFormerToken, 2, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
-  EXPECT_FALSE(IsRequeued(2)) << "it runs";
+  EXPECT_FALSE(IsRequeued(2)) << "the attempt is running";
   EXPECT_TRUE(Heartbeat(2, 56, kToken, 3, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)})
                   .empty());
   Heartbeat(2, 57, kToken, 4,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
-  EXPECT_TRUE(IsRequeued(4)) << "reported to this leader";
+  EXPECT_TRUE(IsRequeued(4)) << "the exit was reported to this leader";
 }
 
-// An attempt that has exited is over, even if that is not written for a while: in the agent's next
-// epoch it is not started again, since its room may have been given to others.
-TEST_F(TaskOutcomesTest, AnAttemptThatEndedIsNotStartedAgainInTheNextEpoch) {
+// An attempt that has exited must not be started again in the agent's next epoch, even if its end
+// has not been written yet: its resources may have been given to other tasks.
+TEST_F(TaskOutcomesTest, ExitedAttemptIsNotRestartedInNextEpoch) {
   Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
   Heartbeat(1, 2, kToken, 4,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
@@ -60,8 +62,9 @@
   EXPECT_TRUE(Heartbeat(2, 3, kToken, 50).empty());
 }
 
-// A completion counts whichever leader it was reported to: the result is kept.
-TEST_F(TaskOutcomesTest, AnOldReportOfACompletionCounts) {
+// A completion counts regardless of the leader to which it was reported, because the result is
+// kept.
+TEST_F(TaskOutcomesTest, CompletionReportedUnderFormerTokenCounts) {
   Heartbeat(1, 40, kFormerToken, 1,
             {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)});
   const auto found = CollectTaskTransitions(registry_, job_table_, 1);
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -1,4 +1,4 @@
-// Quotas and guarantees of teams in a round.
+// The quotas and guarantees of teams in a round.
 #include "plan/team_quota.h"
 
 #include <gtest/gtest.h>
@@ -18,17 +18,17 @@
 
 class TeamQuotaTest : public RoundFixture {};
 
-TEST_F(TeamQuotaTest, ATeamsLimitKeepsTasksOut) {
+TEST_F(TeamQuotaTest, TeamLimitCountsTaskOnUnknownMachine) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
   PutJob(job_table_, Spec("run-1", 4));
-  Place(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts, wherever it may be
+  Place(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts even if its machine is unknown
   AddMachine("vm-1");
   EXPECT_EQ(Plan().placements.size(), 2U);
 }
 
-// A team at its limit, whose jobs are cancelled while their machines can't be asked: what may be
-// alive counts, whoever leads.
-TEST_F(TeamQuotaTest, CancelledTasksCountUntilTheyAreProvenGone) {
+// The job of a team at its limit is cancelled while its machines are unreachable. Its tasks may
+// still be alive and count toward the limit, regardless of which controller leads.
+TEST_F(TeamQuotaTest, CancelledTasksCountUntilProvenGone) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
   PutJob(job_table_, Spec("run-1", 3));
   for (uint32_t i = 0; i < 3; ++i) Place(job_table_, "run-1", i, 1, "vm-cut-off");
@@ -41,9 +41,9 @@
   EXPECT_EQ(Plan().placements.size(), 2U);
 }
 
-// A team at its limit, one of whose tasks was stopped: until that is recorded nobody takes its part
-// of the limit, or the next leader may find both. What is done needs no room again.
-TEST_F(TeamQuotaTest, OnlyADoneTaskMakesRoomUnderItsTeamsLimitBeforeItIsRecorded) {
+// A task of a team at its limit was stopped. Until that is recorded, no other task may take its
+// part of the limit, or the next leader may find both. A done task never needs resources again.
+TEST_F(TeamQuotaTest, OnlyDoneTaskFreesQuotaBeforeItsEndIsRecorded) {
   settings_.teams = {{"team", 0, 1, 0, 0}};
   PutJob(job_table_, Spec("run-1", 1));
   PutJob(job_table_, Spec("run-2", 1));
@@ -56,10 +56,10 @@
   r.sequence = 2;
   r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)};
   registry_.OnHeartbeat(r, 100, false);
-  EXPECT_EQ(PlacedOf(Plan(), "run-2"), 1U);
+  EXPECT_EQ(CountPlaced(Plan(), "run-2"), 1U);
 }
 
-TEST_F(TeamQuotaTest, ASwarmDoesNotKeepAnotherTeamFromItsGuarantee) {
+TEST_F(TeamQuotaTest, LargeJobDoesNotKeepOtherTeamFromItsGuarantee) {
   settings_.teams = {{"swarm", 0, 0, 0, 0}, {"team", 2, 0, 0, 0}};
   auto swarm = Spec("run-1", 100);
   swarm.team = "swarm";
@@ -68,13 +68,13 @@
   PutJob(job_table_, Spec("run-2", 2), 2);
   AddMachine("vm-1");
   auto r = Plan();
-  EXPECT_EQ(PlacedOf(r, "run-2"), 2U);
-  EXPECT_EQ(PlacedOf(r, "run-1"), 2U);
+  EXPECT_EQ(CountPlaced(r, "run-2"), 2U);
+  EXPECT_EQ(CountPlaced(r, "run-1"), 2U);
 }
 
-// A job that waits for others holds no part of its team's limit or guarantee, and nobody rents for
-// it; once it may start, its age counts from then.
-TEST_F(TeamQuotaTest, ABlockedJobTakesNoPartOfQuotaOrGuarantee) {
+// A job that waits for other jobs takes no part of its team's limit or guarantee, and no machine is
+// requested for it. Once it may start, its age counts from that time.
+TEST_F(TeamQuotaTest, BlockedJobUsesNoQuotaOrGuarantee) {
   settings_.teams = {{"team", 4, 0, 0, 0}};
   model::JobSpec waits = Spec("run-1", 100);
   waits.dependencies = {"run-9"};
@@ -84,28 +84,29 @@
   AddMachine("vm-1");
   RoundResult r = Plan();
   EXPECT_EQ(r.waiting_tasks, 4U);
-  EXPECT_EQ(PlacedOf(r, "run-1"), 0U);
-  EXPECT_EQ(PlacedOf(r, "run-2"), 3U);
+  EXPECT_EQ(CountPlaced(r, "run-1"), 0U);
+  EXPECT_EQ(CountPlaced(r, "run-2"), 3U);
   EXPECT_TRUE(r.demands.empty());
   job_table_.SetFinalRecord("run-9", {model::JobPhase::kDone, 1, 90});
   job_table_.Apply(store::ParseKey(store::JobKey("run-9")), "");
   r = Plan();
-  EXPECT_EQ(PlacedOf(r, "run-2"), 3U) << "older, counted from when both might start";
-  EXPECT_EQ(PlacedOf(r, "run-1"), 1U);
+  EXPECT_EQ(CountPlaced(r, "run-2"), 3U)
+      << "older, if the ages count from when each job could start";
+  EXPECT_EQ(CountPlaced(r, "run-1"), 1U);
 }
 
-TEST(TeamQuotas, AdmitsWholeTasksUntilTheQuotaIsUsedUp) {
+TEST(TeamQuotas, AdmitsWholeTasksUntilQuotaIsUsedUp) {
   TeamQuotas quotas = TeamQuotas::FromAllowances({{"team", {1, 0, 0}}});
   const model::JobSpec spec = Spec("run-1", 100, 0.1);
   EXPECT_EQ(quotas.Admit(spec, 3), 3U);
-  EXPECT_EQ(quotas.Admit(spec, 100), 7U) << "ten times 0.1 is the whole quota";
+  EXPECT_EQ(quotas.Admit(spec, 100), 7U) << "ten tasks of 0.1 use the whole quota";
   EXPECT_EQ(quotas.Admit(spec, 1), 0U);
   model::JobSpec other = spec;
   other.team = "other";
-  EXPECT_EQ(quotas.Admit(other, 100), 100U) << "a team that is not named has no limit";
+  EXPECT_EQ(quotas.Admit(other, 100), 100U) << "a team without an allowance has no limit";
 }
 
-TEST(TeamQuotas, AJobIsWithinTheGuaranteeIfAllChargedBeforeItLeaveEnough) {
+TEST(TeamQuotas, GuaranteeCoversJobIfEarlierChargesLeaveEnough) {
   jobs::JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 3));
   PutJob(job_table, Spec("run-2", 2));
@@ -113,8 +114,8 @@
   TeamQuotas quotas = TeamQuotas::FromTeamLimits({team}, {}, {});
   EXPECT_TRUE(quotas.ChargeGuarantee(*job_table.Find("run-1"), &team));
   EXPECT_FALSE(quotas.ChargeGuarantee(*job_table.Find("run-2"), &team));
-  TeamQuotas without = TeamQuotas::FromTeamLimits({}, {}, {});
-  EXPECT_FALSE(without.ChargeGuarantee(*job_table.Find("run-1"), nullptr));
+  TeamQuotas quotas_without_team = TeamQuotas::FromTeamLimits({}, {}, {});
+  EXPECT_FALSE(quotas_without_team.ChargeGuarantee(*job_table.Find("run-1"), nullptr));
 }
 
 }  // namespace
--- a/tests/worker_registry_fixture.h
+++ b/tests/worker_registry_fixture.h
@@ -1,4 +1,4 @@
-// A leader's registry with one machine "vm-1", on which one task of a job is recorded as placed.
+// A fixture with a leader's registry, and a job with one task recorded as placed on machine "vm-1".
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,8 +23,8 @@
     registry_.BeginTerm(kToken, 0, 10);
   }
 
-  // A heartbeat of vm-1 arrives and is answered, as the leader's loop does it. Returns the commands
-  // in the answer.
+  // Processes a heartbeat of vm-1 and responds to it as the leader's loop does. Returns the
+  // commands in the response.
   std::vector<model::WorkerCommand> Heartbeat(uint64_t agent_epoch, uint64_t sequence,
                                               model::FencingToken token, double now,
                                               std::vector<model::TaskStatus> tasks = {}) {
@@ -41,7 +41,7 @@
     return commands;
   }
 
-  // True if a placement is found to be gone, so that its task is requeued.
+  // True if a placement is proven gone, so that its task is requeued.
   bool IsRequeued(double now) {
     for (const auto& transition : CollectTaskTransitions(registry_, job_table_, now)) {
       if (transition.kind == jobs::TaskTransition::Kind::kRequeue) return true;
@@ -49,11 +49,14 @@
     return false;
   }
 
-  void Cancel() { testing_support::PutJob(job_table_, testing_support::Spec("run-1", 4), 1, true); }
+  // Cancels run-1.
+  void CancelJob() {
+    testing_support::PutJob(job_table_, testing_support::Spec("run-1", 4), 1, true);
+  }
 
-  // A job of nine tasks, of which three are done in 10 s each, and three more are placed on vm-1.
-  // They are returned as running.
-  std::vector<model::TaskStatus> JobWithKnownTimes() {
+  // Adds a job of nine tasks, three of which are done after 10 s each and three of which are placed
+  // on vm-1. Returns the status of the placed tasks, reported as running.
+  std::vector<model::TaskStatus> PutJobWithKnownRunTimes() {
     store::TaskGroup task_group;
     for (uint32_t i = 0; i < 3; ++i) task_group.done.Insert(i);
     task_group.runs["c4"] = {3, 30};
--- a/tests/worker_registry_test.cc
+++ b/tests/worker_registry_test.cc
@@ -1,4 +1,4 @@
-// Which machines get tasks, which are silent, and which are marked to be terminated.
+// The state of machines: whether they accept tasks, are silent or are marked for termination.
 #include "fleet/worker_registry.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 class WorkerRegistryTest : public WorkerRegistryFixture {};
 
-TEST_F(WorkerRegistryTest, AMachineThatOnlyAnswersCommandsGetsNothingNewAndCountsAsSilent) {
+TEST_F(WorkerRegistryTest, MachineThatOnlyAnswersDirectCommandsIsSilentAndGetsNoTasks) {
   Heartbeat(1, 1, kToken, 100);
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 101));
   for (uint64_t i = 2; i < 8; ++i) {
@@ -24,14 +24,14 @@
   EXPECT_TRUE(registry_.IsSilent(*registry_.Find("vm-1"), 122));
 }
 
-TEST_F(WorkerRegistryTest, AMachineThatIsBackAfterItsTerminationIsTerminatedAgain) {
+TEST_F(WorkerRegistryTest, MachineThatReportsAfterTerminationIsTerminatedAgain) {
   registry_.OnTerminated("vm-1");
   Heartbeat(1, 1, kToken, 5);
   EXPECT_TRUE(registry_.Find("vm-1")->cloud.terminating);
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 5));
 }
 
-TEST_F(WorkerRegistryTest, AJobThatFailsEverywhereCondemnsNoMachine) {
+TEST_F(WorkerRegistryTest, JobThatFailsEverywhereTerminatesNoMachine) {
   for (int i = 0; i < 5; ++i) {
     model::Heartbeat report = ReportOf("vm-" + std::to_string(i), 1, 1, kToken);
     report.tasks = {TaskReportOf("run-2", 0, 1, model::TaskPhase::kRunning)};
@@ -45,9 +45,9 @@
     EXPECT_FALSE(machine.cloud.terminating) << name;
 }
 
-// Seen on a recorded day: a machine failed four tasks a second, each before a heartbeat showed it
-// running.
-TEST_F(WorkerRegistryTest, FailuresCountEvenIfTheTaskWasNeverSeenAlive) {
+// Guards against missing the failures of a faulty machine: on a recorded day a machine failed four
+// tasks per second, each before a heartbeat reported it as running.
+TEST_F(WorkerRegistryTest, CountsFailureOfTaskThatWasNeverReportedRunning) {
   Heartbeat(1, 1, kToken, 1,
             {TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   ASSERT_NE(registry_.failure_tracker().FailedOn("run-2"), nullptr);
@@ -58,9 +58,9 @@
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 2));
 }
 
-// Both jobs may be faulty themselves: the machine gets no new tasks at once, and is terminated once
-// both have succeeded elsewhere.
-TEST_F(WorkerRegistryTest, AMachineOnWhichSeveralJobsFailIsTerminatedOnceTheySucceedElsewhere) {
+// Either job may be the cause of its failures. The machine therefore gets no new tasks from the
+// first suspicion on, and is terminated only once both jobs have succeeded elsewhere.
+TEST_F(WorkerRegistryTest, TerminatesMachineOnceItsFailedJobsSucceedElsewhere) {
   uint64_t sequence = 0;
   for (const char* job : {"run-2", "run-3"}) {
     PutJob(job_table_, Spec(job, 4));
@@ -73,7 +73,7 @@
   for (const char* job : {"run-2", "run-3"}) {
     registry_.UpdateObservations(job_table_);
     EXPECT_FALSE(registry_.Find("vm-1")->cloud.terminating)
-        << "nothing shows yet that " << job << " is sound";
+        << "no success has shown yet that " << job << " is sound";
     ++other.sequence;
     other.tasks.push_back(
         TaskReportOf(job, 1, 1, model::TaskPhase::kExited, model::ExitCause::kDone));
