--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -1,5 +1,5 @@
-// Team limits of several controllers in fake time, failure by failure. docs/team-limits.md names
-// the guard behind each.
+// Tests the team limits of several controllers in simulated time, one failure per test.
+// docs/team-limits.md names the safeguard against each failure.
 #include "simulation/blocks_cluster.h"
 
 #include <gtest/gtest.h>
@@ -26,9 +26,9 @@
   }
   void Start() { Start(Options()); }
   bool Settled(const Options& options) const {
-    const auto holders = cluster_->Division().owners;
-    return holders.size() == static_cast<size_t>(options.nodes) &&
-           std::all_of(holders.begin(), holders.end(),
+    const auto owners = cluster_->Division().owners;
+    return owners.size() == static_cast<size_t>(options.nodes) &&
+           std::all_of(owners.begin(), owners.end(),
                        [&](const auto& h) { return cluster_->ShareCpus(h.node) > 0; });
   }
   void Submit(int jobs, uint32_t tasks, double cpus = 1) {
@@ -36,15 +36,15 @@
       cluster_->Submit(Spec("run-" + std::to_string(++submitted_), tasks, cpus));
     }
   }
-  void ExpectNoHarm() {
+  void ExpectNoViolations() {
     EXPECT_EQ(cluster_->starts_over_limit(), 0) << "peak " << cluster_->peak().used;
     EXPECT_EQ(cluster_->duplicate_starts(), 0);
     EXPECT_EQ(cluster_->starts_after_cancel(), 0);
   }
-  void ExpectAllEnds(double limit_s = 240) {
+  void ExpectAllJobsEnd(double limit_s = 240) {
     EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->AllFinished(); }, limit_s))
-        << cluster_->UnfinishedJobs() << " are left";
-    ExpectNoHarm();
+        << cluster_->UnfinishedJobs() << " jobs are unfinished";
+    ExpectNoViolations();
   }
 
   std::optional<BlocksCluster> cluster_;
@@ -52,17 +52,17 @@
   int submitted_ = 0;
 };
 
-TEST_F(BlocksClusterTest, AllPlaceAtATimeAndTheLimitIsUsedAndHolds) {
+TEST_F(BlocksClusterTest, AllNodesPlaceConcurrentlyUpToTheLimit) {
   Start();
   Submit(30, 4);
   cluster_->RunFor(20);
   for (const std::string& name : cluster_->names()) EXPECT_GT(cluster_->TakePlacements(name), 0);
   EXPECT_EQ(cluster_->peak().used, 12);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-// The limit leaves room for one task more, and three holders see an urgent job each.
-TEST_F(BlocksClusterTest, ThreeAdmitForOneTeamInTheSameInstantWithOneSlotLeft) {
+// The limit has room for one more task, and each of three block owners sees an urgent job.
+TEST_F(BlocksClusterTest, OnlyOneOfThreeConcurrentPlacementsTakesTheLastSlot) {
   Options options;
   options.limit = 4;
   options.run_s = 20;
@@ -75,15 +75,17 @@
     cluster_->Submit(spec);
   }
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() == 4; }, 10));
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
   EXPECT_EQ(cluster_->peak().used, 4);
 }
 
-class DyingHolderTest : public BlocksClusterTest,
-                        public testing::WithParamInterface<DeliveryFault> {};
+class BlockOwnerFailureTest : public BlocksClusterTest,
+                              public testing::WithParamInterface<DeliveryFault> {};
 
-// Before, within and after the transaction; the answer lost; carried out late, after the recall.
-TEST_P(DyingHolderTest, ItsBlockAndSharePassOnOnceAndNothingRunsTwice) {
+// The block owner dies before, during or after its placement transaction. The transaction is never
+// sent, carried out, carried out with its answer lost, or carried out late, after the block has
+// been revoked.
+TEST_P(BlockOwnerFailureTest, TheBlockPassesOnAndNoTaskRunsTwice) {
   for (const bool restarts : {false, true}) {
     Start();
     Submit(12, 4);
@@ -91,17 +93,17 @@
         other_, GetParam(), [&] { cluster_->At(0.001, [this] { cluster_->Kill(other_); }); });
     ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
     if (restarts) cluster_->Restart(other_);
-    ExpectAllEnds();
+    ExpectAllJobsEnd();
     EXPECT_EQ(cluster_->HoldsBlock(other_), restarts);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Fates, DyingHolderTest,
+INSTANTIATE_TEST_SUITE_P(DeliveryFaults, BlockOwnerFailureTest,
                          testing::Values(DeliveryFault::kNotSent, DeliveryFault::kNone,
                                          DeliveryFault::kAnswerLost, DeliveryFault::kLate));
 
-// What it sent before it froze is carried out after its block has passed on.
-TEST_F(BlocksClusterTest, AFrozenHolderThatWakesAfterTheRecallPlacesNothing) {
+// A transaction that the owner sent before it froze is carried out after its block has passed on.
+TEST_F(BlocksClusterTest, ABlockOwnerThatResumesAfterRevocationPlacesNothing) {
   Start();
   cluster_->RunFor(2);
   cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
@@ -112,25 +114,26 @@
   cluster_->Resume(other_);
   cluster_->RunFor(1);
   EXPECT_EQ(cluster_->TakePlacements(other_), 0);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->HoldsBlock(other_)) << "well again, it gets a block";
+  EXPECT_TRUE(cluster_->HoldsBlock(other_)) << "it must get a block again after it has recovered";
 }
 
-// A placement of `other_` that is carried out long after it froze, while urgent work that holds the
-// whole limit by then leaves its job alone: neither the job nor its tasks have changed.
-class LateHolderTest : public BlocksClusterTest {
+// A placement of `other_` is carried out long after the node froze. By then urgent work takes the
+// whole limit, but the placed job and its tasks have not changed, so that a precondition on the job
+// alone would let the placement exceed the limit.
+class DelayedPlacementTest : public BlocksClusterTest {
  protected:
-  void FreezeWithinAPlacement() {
+  void FreezeDuringPlacement() {
     Options options;
     options.run_s = 40;
     options.min_late_s = 10;
     options.max_late_s = 12;
     Start(options);
     const blocks::BlockAssignment division(cluster_->Division());
-    const size_t holder = *division.IndexOf(other_);
+    const size_t owner = *division.IndexOf(other_);
     model::JobSpec spec = Spec("run-900", 4);
-    for (int i = 901; !division.MayPlace(holder, spec, spec.priority, 0, 1); ++i) {
+    for (int i = 901; !division.MayPlace(owner, spec, spec.priority, 0, 1); ++i) {
       spec.id = "run-" + std::to_string(i);
     }
     bool sent = false;
@@ -141,7 +144,7 @@
     cluster_->Submit(spec);
     ASSERT_TRUE(cluster_->RunUntil([&] { return sent; }, 5));
   }
-  void FillTheLimit() {
+  void FillLimitWithUrgentJobs() {
     for (int i = 0; i < 6; ++i) {
       model::JobSpec spec = Spec("run-80" + std::to_string(i), 4);
       spec.priority = model::Priority::kUrgent;
@@ -149,24 +152,25 @@
     }
     ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() >= 12; }, 9));
     cluster_->RunFor(12);
-    ExpectNoHarm();
+    ExpectNoViolations();
   }
 };
 
-TEST_F(LateHolderTest, ItLosesByTheDivisionOnceTheBlockHasPassedOn) {
-  FreezeWithinAPlacement();
-  FillTheLimit();
+TEST_F(DelayedPlacementTest, FailsOnTheBlockAssignmentAfterTheBlockHasPassedOn) {
+  FreezeDuringPlacement();
+  FillLimitWithUrgentJobs();
 }
 
-// The division and the shares are as they were: an older leader knows none of them.
-TEST_F(LateHolderTest, ItLosesByTheTokenOnceAnOlderLeaderPlaces) {
-  FreezeWithinAPlacement();
+// The block assignment and the allocations are unchanged, since a leader without blocks does not
+// write them. Only the fencing token can reject the placement.
+TEST_F(DelayedPlacementTest, FailsOnTheFencingTokenAfterALeaderWithoutBlocksTakesOver) {
+  FreezeDuringPlacement();
   cluster_->SetNewLeadersUseBlocks(false);
   cluster_->Kill(leader_);
-  FillTheLimit();
+  FillLimitWithUrgentJobs();
 }
 
-TEST_F(BlocksClusterTest, AHolderCutFromTheStateServiceAloneLosesItsBlockAndPlacesNothing) {
+TEST_F(BlocksClusterTest, ABlockOwnerCutFromTheStateServiceLosesItsBlockAndPlacesNothing) {
   Start();
   Submit(20, 4);
   cluster_->RunFor(2);
@@ -177,26 +181,28 @@
   cluster_->CutFromState(other_, false);
   cluster_->RunFor(0.5);
   EXPECT_EQ(cluster_->TakePlacements(other_), 0);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, LeaderAndHolderDieTogether) {
+TEST_F(BlocksClusterTest, RecoversWhenTheLeaderAndABlockOwnerDieTogether) {
   Start();
   Submit(20, 4);
   cluster_->RunFor(3);
   cluster_->Kill(leader_);
   cluster_->Kill(other_);
   cluster_->RunFor(5);
-  EXPECT_TRUE(cluster_->Division().owners.empty()) << "one that is left holds no block";
+  EXPECT_TRUE(cluster_->Division().owners.empty()) << "a single remaining node owns no block";
   cluster_->Restart(leader_);
   cluster_->Restart(other_);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-class DyingLeaderTest : public BlocksClusterTest, public testing::WithParamInterface<bool> {};
+class LeaderFailureDuringWriteTest : public BlocksClusterTest,
+                                     public testing::WithParamInterface<bool> {};
 
-// Right after a share or the division was written, before its answer came.
-TEST_P(DyingLeaderTest, WithinLendingAndWithinRecallingItLeavesNoShareTwice) {
+// The leader dies right after an allocation or the block assignment was written, before it receives
+// the answer. The parameter is true for the block assignment.
+TEST_P(LeaderFailureDuringWriteTest, AllocatesNoAmountTwice) {
   Start();
   const std::string key = GetParam() ? store::DivisionKey() : store::ShareKey("");
   bool killed = false;
@@ -213,13 +219,13 @@
   EXPECT_TRUE(killed);
   cluster_->Restart(leader_);
   cluster_->Restart(other_);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-INSTANTIATE_TEST_SUITE_P(Division, DyingLeaderTest, testing::Bool());
+INSTANTIATE_TEST_SUITE_P(RecordKinds, LeaderFailureDuringWriteTest, testing::Bool());
 
-// The machine goes on unheard: its tasks count until its lease has run out.
-TEST_F(BlocksClusterTest, ATaskWhoseEndIsUnprovenKeepsItsRoom) {
+// The machine keeps running but is unreachable. Its tasks count until its lease has expired.
+TEST_F(BlocksClusterTest, ATaskOnAnUnreachableMachineStillCountsTowardTheLimit) {
   Options options;
   options.run_s = 60;
   Start(options);
@@ -230,10 +236,10 @@
   Submit(6, 4);
   cluster_->RunFor(60);
   cluster_->CutMachine(machine, false);
-  ExpectAllEnds(400);
+  ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ALimitLoweredBelowWhatRunsStopsNewStartsOnly) {
+TEST_F(BlocksClusterTest, ALimitLoweredBelowTheUsageStopsOnlyNewStarts) {
   Options options;
   options.run_s = 15;
   Start(options);
@@ -242,25 +248,26 @@
   const int starts = cluster_->starts();
   cluster_->SetLimit(5);
   cluster_->RunFor(2.5);
-  const int just_then = cluster_->starts() - starts;
-  EXPECT_GE(cluster_->UsedCpus(), 10) << "what runs goes on";
-  EXPECT_LE(just_then, 3);
+  const int new_starts = cluster_->starts() - starts;
+  EXPECT_GE(cluster_->UsedCpus(), 10) << "running tasks must continue";
+  EXPECT_LE(new_starts, 3);
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() <= 5; }, 60));
-  ExpectAllEnds(400);
+  ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ATaskLargerThanAnyShareGetsItsRoomByRecall) {
+TEST_F(BlocksClusterTest, ATaskLargerThanAnyAllocationIsPlacedAfterReclaiming) {
   Options options;
   options.nodes = 9;
   options.machines = 18;
   Start(options);
   Submit(4, 2, 4);
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->UsedCpus() >= 4; }, 20));
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-// The team's smaller tasks could take each freed processor for ever.
-TEST_F(BlocksClusterTest, AnOlderLargeTaskIsNotPassedOverByOtherHolders) {
+// The team's smaller tasks could otherwise take every processor that becomes free and starve the
+// large task.
+TEST_F(BlocksClusterTest, OtherBlockOwnersDoNotStarveAnOlderLargeTask) {
   Options options;
   options.limit = 4;
   Start(options);
@@ -268,19 +275,19 @@
   Submit(40, 2);
   cluster_->RunFor(40);
   EXPECT_LT(cluster_->UnfinishedJobs(), 41);
-  ExpectAllEnds(400);
+  ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ACancellationBeatsAPlacementThatIsUnderWay) {
+TEST_F(BlocksClusterTest, ACancellationPreventsAPlacementInFlight) {
   Start();
   cluster_->Submit(Spec("run-900", 6));
   cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate,
                                   [&] { cluster_->Cancel("run-900"); });
   Submit(6, 4);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, ACancellationInTheMomentOfARecall) {
+TEST_F(BlocksClusterTest, ACancellationDuringARevocationStartsNothing) {
   Start();
   Submit(10, 4);
   cluster_->OnBlockRecordWrite([&](const std::string& key) {
@@ -288,10 +295,10 @@
   });
   cluster_->RunFor(1);
   cluster_->Kill(other_);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, ACutThatComesAndGoes) {
+TEST_F(BlocksClusterTest, AnIntermittentPartitionLosesNoJob) {
   Start();
   Submit(40, 4);
   for (int i = 0; i < 20; ++i) {
@@ -299,10 +306,10 @@
     cluster_->RunFor(2.5);
   }
   cluster_->CutFromState(other_, false);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, AnOutageFromARecallOn) {
+TEST_F(BlocksClusterTest, AStateServiceOutageDuringARevocationLosesNoJob) {
   Start();
   Submit(30, 4);
   cluster_->RunFor(2);
@@ -315,12 +322,13 @@
   EXPECT_TRUE(out);
   cluster_->SetOutage(false);
   cluster_->Restart(other_);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
-// It places on all machines under its token alone; holders lose by that token, and what it placed
-// is counted before anything is lent again.
-TEST_F(BlocksClusterTest, AnOlderLeaderJoinsAndLeavesAgain) {
+// The leader without blocks places on all machines, with only its fencing token as precondition.
+// The placements of block owners fail on that token, and the placements of that leader are counted
+// before anything is allocated again.
+TEST_F(BlocksClusterTest, ALeaderWithoutBlocksCanTakeOverAndHandBack) {
   Start();
   Submit(30, 4);
   cluster_->RunFor(3);
@@ -342,17 +350,17 @@
   cluster_->Restart(leader_);
   cluster_->RunFor(10);
   cluster_->Restart(old_leader);
-  ExpectAllEnds();
+  ExpectAllJobsEnd();
 }
 
 class BlocksRandomFaultsTest : public BlocksClusterTest, public testing::WithParamInterface<int> {
  protected:
-  static constexpr double kStormS = 25;
+  static constexpr double kFaultPhaseS = 25;
   static constexpr double kSettleS = 20;
-  static constexpr double kSteps = 6;
-  static constexpr double kStepS = 1;
+  static constexpr double kWriteSteps = 6;
+  static constexpr double kWriteStepS = 1;
 
-  void Strike() {
+  void InjectRandomFault() {
     const auto any = [&] {
       return cluster_->names()[static_cast<size_t>(
           cluster_->Uniform(0, static_cast<double>(cluster_->names().size())))];
@@ -374,10 +382,10 @@
       case 6:
         return cluster_->SetNewLeadersUseBlocks(cluster_->Uniform(0, 1) < 0.8);
       default:
-        return Mend(name);
+        return RemoveFaults(name);
     }
   }
-  void Mend(const std::string& name) {
+  void RemoveFaults(const std::string& name) {
     cluster_->Resume(name);
     cluster_->CutFromState(name, false);
     cluster_->CutFromPeers(name, false);
@@ -385,7 +393,7 @@
   }
 };
 
-TEST_P(BlocksRandomFaultsTest, NoTeamIsAboveItsLimitNothingRunsTwiceAndNothingIsLost) {
+TEST_P(BlocksRandomFaultsTest, KeepsTheLimitRunsNothingTwiceAndLosesNoJob) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   Options options;
   options.seed = static_cast<uint64_t>(GetParam());
@@ -400,25 +408,25 @@
   options.late_rate = uniform(0, 0.1);
   options.watch_lag_s = uniform(0.02, 0.8);
   cluster_.emplace(options);
-  for (double end = cluster_->now() + kStormS; cluster_->now() < end;) {
+  for (double end = cluster_->now() + kFaultPhaseS; cluster_->now() < end;) {
     Submit(1, 1 + static_cast<uint32_t>(cluster_->Uniform(0, 4)),
            cluster_->Uniform(0, 1) < 0.2 ? 3 : 1);
     if (cluster_->Uniform(0, 1) < 0.1) cluster_->Cancel("run-" + std::to_string(submitted_));
-    Strike();
+    InjectRandomFault();
     cluster_->RunFor(cluster_->Uniform(0.1, 1.5));
   }
   cluster_->SetNewLeadersUseBlocks(true);
   for (const std::string& name : cluster_->names()) {
-    Mend(name);
+    RemoveFaults(name);
     cluster_->Restart(name);
   }
   cluster_->RunFor(kSettleS);
   cluster_->TakeLongestStall();
-  ExpectAllEnds(300);
-  // A job is open to all by then, its share lent after a recall, and each of these steps takes one
-  // or two writes that the copies have to pass.
+  ExpectAllJobsEnd(300);
+  // By then every node may place the job, and its allocation has been granted after a reclaim. Each
+  // of these steps takes one or two writes that must reach the cached copies.
   const double bound_s =
-      options.nodes * cluster_->widen_s() + kSteps * (options.watch_lag_s + kStepS);
+      options.nodes * cluster_->widen_s() + kWriteSteps * (options.watch_lag_s + kWriteStepS);
   EXPECT_LE(cluster_->TakeLongestStall(), bound_s);
 }
 
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -1,5 +1,6 @@
-// Team limits on whole nodes against fakes, with blocks on: several controllers place at the
-// same time, and some of them end, are cut off or are of an older version.
+// Tests team limits on complete nodes with a fake cloud and state service and with blocks on.
+// Several controllers place at the same time, and some of them end, are cut off or run an older
+// version.
 #include <algorithm>
 
 #include "blocks/block_assignment.h"
@@ -25,47 +26,47 @@
 
   void StartWithRecorder(int count) {
     StartServices(count);
-    Record();
+    RecordPeakAndWrites();
     StartNodes(0, count, count);
   }
-  // Reads only what the fake workers run; each task takes one processor.
-  void Record() {
+  // Measures the peak from the tasks on the fake workers only; each task takes one processor.
+  void RecordPeakAndWrites() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
     });
     state_->Watch([this](const std::string& key, const std::string& value) {
-      if (key == store::DivisionKey()) ++divisions_;
-      if (store::IsKeyOfKind<store::ShareKeyName>(key) && !value.empty()) ++lendings_;
+      if (key == store::DivisionKey()) ++assignment_writes_;
+      if (store::IsKeyOfKind<store::ShareKeyName>(key) && !value.empty()) ++allocation_writes_;
     });
   }
   blocks::BlockAssignmentRecord Division() const {
     return blocks::ReadBlockAssignment(state_->Value(store::DivisionKey()))
         .value_or(blocks::BlockAssignmentRecord());
   }
-  bool Holds(int node) const {
+  bool OwnsBlock(int node) const {
     const auto record = Division();
-    return std::any_of(record.owners.begin(), record.owners.end(), [&](const auto& holder) {
-      return holder.node == "node-" + std::to_string(node);
+    return std::any_of(record.owners.begin(), record.owners.end(), [&](const auto& owner) {
+      return owner.node == "node-" + std::to_string(node);
     });
   }
-  async::Task<bool> Divided(size_t holders) {
-    bool ok = co_await Within(10, [&] { return Division().owners.size() == holders; });
+  async::Task<bool> WaitForBlockOwners(size_t count) {
+    bool ok = co_await Within(10, [&] { return Division().owners.size() == count; });
     EXPECT_TRUE(ok) << state_->Value(store::DivisionKey());
     co_return ok;
   }
-  static std::string Name(int i) { return "run-" + std::to_string(100 + i); }
+  static std::string JobId(int i) { return "run-" + std::to_string(100 + i); }
   async::Task<> SubmitAll(int jobs, uint32_t tasks, int nodes) {
     for (int i = 0; i < jobs; ++i) {
-      bool ok = co_await Until(i % nodes, "POST", "/submissions", Body(Spec(Name(i), tasks)), 201,
+      bool ok = co_await Until(i % nodes, "POST", "/submissions", Body(Spec(JobId(i), tasks)), 201,
                                "", 10);
       EXPECT_TRUE(ok);
     }
   }
-  async::Task<> AllDone(int jobs, int node, double limit_s) {
+  async::Task<> WaitUntilAllDone(int jobs, int node, double limit_s) {
     for (int i = 0; i < jobs; ++i) {
-      bool ok = co_await Until(node, "GET", "/submissions/" + Name(i), "", 200, R"("phase":"done")",
-                               limit_s);
-      EXPECT_TRUE(ok) << Name(i);
+      bool ok = co_await Until(node, "GET", "/submissions/" + JobId(i), "", 200,
+                               R"("phase":"done")", limit_s);
+      EXPECT_TRUE(ok) << JobId(i);
     }
   }
   int Leader() const {
@@ -73,114 +74,115 @@
     return record ? record->node.back() - '0' : -1;
   }
 
-  async::Task<> ManySubmissions() {
-    co_await Divided(3);
+  async::Task<> SubmitManyJobs() {
+    co_await WaitForBlockOwners(3);
     co_await SubmitAll(30, 4, 3);
-    co_await AllDone(30, 0, 40);
+    co_await WaitUntilAllDone(30, 0, 40);
     EXPECT_LE(peak_, kLimit);
-    EXPECT_GE(peak_, kLimit - 1) << "the limit is used";
-    EXPECT_GT(lendings_, 2);
+    EXPECT_GE(peak_, kLimit - 1) << "the limit must be used";
+    EXPECT_GT(allocation_writes_, 2);
   }
 
-  async::Task<> AHolderAndThenTheLeaderEnd() {
-    co_await Divided(3);
+  async::Task<> EndABlockOwnerAndThenTheLeader() {
+    co_await WaitForBlockOwners(3);
     co_await SubmitAll(20, 4, 3);
     const int leader = Leader();
     const int other = (leader + 1) % 3;
     End(other);
-    co_await Divided(2);
-    EXPECT_FALSE(Holds(other));
+    co_await WaitForBlockOwners(2);
+    EXPECT_FALSE(OwnsBlock(other));
     StartNodes(other, other + 1, 3);
-    co_await Divided(3);
+    co_await WaitForBlockOwners(3);
     End(leader);
     bool ok =
         co_await Within(10, [&] { return Leader() != leader && Division().owners.size() == 2; });
     EXPECT_TRUE(ok);
-    co_await AllDone(20, other, 40);
+    co_await WaitUntilAllDone(20, other, 40);
     EXPECT_LE(peak_, kLimit);
   }
 
-  // A node is put back to a version, or to settings, without blocks, and then forward again.
-  async::Task<> OneGoesBackAndForth() {
-    co_await Divided(3);
+  // A node returns to a version or to settings without blocks and is then updated again.
+  async::Task<> TurnBlocksOffAndOnOnOneNode() {
+    co_await WaitForBlockOwners(3);
     co_await SubmitAll(10, 4, 3);
     const int other = (Leader() + 1) % 3;
     co_await EndInOrder(other);
     operators_.blocks.enabled = false;
     StartNodes(other, other + 1, 3);
-    co_await Divided(0);
-    co_await AllDone(10, other, 40);
+    co_await WaitForBlockOwners(0);
+    co_await WaitUntilAllDone(10, other, 40);
     co_await EndInOrder(other);
     operators_.blocks.enabled = true;
     StartNodes(other, other + 1, 3);
-    co_await Divided(3);
+    co_await WaitForBlockOwners(3);
     EXPECT_LE(peak_, kLimit);
   }
 
-  // Somebody's hand, or a fault, has left records that can't be so.
-  async::Task<> RecordsContradict() {
-    co_await Divided(3);
-    bool ok = co_await Within(5, [&] { return lendings_ >= 3; });
+  // A manual edit or a fault has left an allocation above the limit and an unreadable block
+  // assignment.
+  async::Task<> WriteContradictoryRecords() {
+    co_await WaitForBlockOwners(3);
+    bool ok = co_await Within(5, [&] { return allocation_writes_ >= 3; });
     EXPECT_TRUE(ok);
-    const blocks::BlockOwner holder = Division().owners.back();
-    quota::AllocationRecord beyond;
-    beyond.allocation_epoch = holder.allocation_epoch;
-    beyond.allocated["team"].cpus = 10.0 * kLimit;
-    co_await WriteRecord(store::ShareKey(holder.node), quota::WriteAllocation(beyond));
+    const blocks::BlockOwner owner = Division().owners.back();
+    quota::AllocationRecord excessive;
+    excessive.allocation_epoch = owner.allocation_epoch;
+    excessive.allocated["team"].cpus = 10.0 * kLimit;
+    co_await WriteRecord(store::ShareKey(owner.node), quota::WriteAllocation(excessive));
     ok = co_await Within(5, [&] {
-      const auto share = quota::ReadAllocation(state_->Value(store::ShareKey(holder.node)));
-      return share && share->allocated.contains("team") &&
-             share->allocated.at("team").cpus <= kLimit;
+      const auto allocation = quota::ReadAllocation(state_->Value(store::ShareKey(owner.node)));
+      return allocation && allocation->allocated.contains("team") &&
+             allocation->allocated.at("team").cpus <= kLimit;
     });
-    EXPECT_TRUE(ok) << state_->Value(store::ShareKey(holder.node));
+    EXPECT_TRUE(ok) << state_->Value(store::ShareKey(owner.node));
     co_await WriteRecord(store::DivisionKey(), R"({"odd":1})");
-    co_await Divided(3);
+    co_await WaitForBlockOwners(3);
     co_await SubmitAll(6, 4, 3);
-    co_await AllDone(6, 0, 30);
+    co_await WaitUntilAllDone(6, 0, 30);
   }
 
-  async::Task<> Off() {
+  async::Task<> RunWithBlocksOff() {
     co_await SubmitAll(4, 4, 3);
-    co_await AllDone(4, 0, 30);
+    co_await WaitUntilAllDone(4, 0, 30);
     co_await Pause(5 * kReport);
-    EXPECT_EQ(divisions_ + lendings_, 0);
+    EXPECT_EQ(assignment_writes_ + allocation_writes_, 0);
     EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-0"))).value_or(0),
               store::kMembershipFormat);
   }
 
  protected:
   int peak_ = 0;
-  int divisions_ = 0;
-  int lendings_ = 0;
+  int assignment_writes_ = 0;
+  int allocation_writes_ = 0;
 };
 
-TEST_F(BlocksNodesTest, ThreePlaceAtATimeAndTheLimitHolds) {
+TEST_F(BlocksNodesTest, ThreeNodesPlaceConcurrentlyWithinTheLimit) {
   StartWithRecorder(3);
-  Run(ManySubmissions());
+  Run(SubmitManyJobs());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(BlocksNodesTest, TheBlocksOfAHolderAndOfALeaderThatEndPassOn) {
+TEST_F(BlocksNodesTest, BlocksPassOnWhenABlockOwnerAndTheLeaderEnd) {
   StartWithRecorder(3);
-  Run(AHolderAndThenTheLeaderEnd());
+  Run(EndABlockOwnerAndThenTheLeader());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(BlocksNodesTest, WithANodeThatKnowsNoBlocksNobodyHoldsOne) {
+TEST_F(BlocksNodesTest, NoNodeOwnsABlockWhileOneHasBlocksOff) {
   StartWithRecorder(3);
-  Run(OneGoesBackAndForth());
+  Run(TurnBlocksOffAndOnOnOneNode());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(BlocksNodesTest, RecordsThatContradictEachOtherAreSetRight) {
+TEST_F(BlocksNodesTest, ReplacesContradictoryRecords) {
   StartWithRecorder(3);
-  Run(RecordsContradict());
+  Run(WriteContradictoryRecords());
 }
 
-TEST_F(BlocksNodesTest, OffNothingOfItIsWritten) {
+TEST_F(BlocksNodesTest, WritesNoBlockRecordsWhenOff) {
   operators_.blocks.enabled = false;
   StartWithRecorder(3);
-  Run(Off());
+  Run(RunWithBlocksOff());
 }
 
 }  // namespace
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -1,5 +1,5 @@
-// Membership on whole nodes against fakes: joining, leaving, verdicts, old versions and what
-// the command line shows of it.
+// Tests membership on complete nodes with a fake cloud and state service: joining, leaving, failure
+// declarations, nodes with membership off, and the output of `hallpier members`.
 #include <rapidjson/document.h>
 
 #include <fstream>
@@ -26,8 +26,8 @@
 using membership::MemberRecord;
 using model::MemberState;
 
-// What is wrong with a document by the published schema; empty: nothing.
-std::string SchemaFaults(const std::string& json) {
+// Returns how a document violates the published schema; empty if it is valid.
+std::string SchemaErrors(const std::string& json) {
   std::ifstream file(HALLPIER_SOURCE_DIR "/docs/schemas/members.schema.json");
   const std::string schema_text((std::istreambuf_iterator<char>(file)),
                                 std::istreambuf_iterator<char>());
@@ -43,10 +43,10 @@
   if (validator.validate(schema, valijson::adapters::RapidJsonAdapter(document), &results)) {
     return "";
   }
-  std::string faults = "invalid";
+  std::string errors = "invalid";
   valijson::ValidationResults::Error error;
-  while (results.popError(error)) faults += "; " + error.description;
-  return faults;
+  while (results.popError(error)) errors += "; " + error.description;
+  return errors;
 }
 
 class MembershipNodesTest : public EndToEnd {
@@ -59,14 +59,14 @@
   std::optional<MemberRecord> Record(int node) const {
     return membership::ReadMember(state_->Value(store::MemberKey("node-" + std::to_string(node))));
   }
-  bool Is(int node, MemberState state) const {
+  bool HasState(int node, MemberState state) const {
     auto record = Record(node);
     return record && record->state == state;
   }
-  async::Task<bool> AllJoined(int count) {
+  async::Task<bool> WaitUntilAllJoined(int count) {
     bool ok = co_await Within(10, [&] {
       for (int i = 0; i < count; ++i) {
-        if (!Is(i, MemberState::kAlive)) return false;
+        if (!HasState(i, MemberState::kAlive)) return false;
       }
       return true;
     });
@@ -77,14 +77,14 @@
     auto record = store::ReadLeader(state_->Value(store::LeaderKey()));
     return record ? record->node : std::string();
   }
-  async::Task<> RunsAJob(int node) {
+  async::Task<> RunJob(int node) {
     bool ok = co_await Until(node, "POST", "/submissions", Body(Spec("run-1", 6)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Within(10, [&] { return cloud_->Running("run-1") == 6; });
     EXPECT_TRUE(ok);
   }
-  // The command has a loop of its own and blocks, as on a console.
-  async::Task<std::vector<cli::MembersAnswer>> Command(config::Settings settings) {
+  // Runs the query in a thread, since it blocks and has a separate event loop, as in the CLI.
+  async::Task<std::vector<cli::MembersAnswer>> RunMembersQuery(config::Settings settings) {
     std::vector<cli::MembersAnswer> answers;
     std::atomic<bool> done = false;
     std::thread console([&] {
@@ -96,33 +96,36 @@
     co_return answers;
   }
 
-  // Its lease would stand for 4 s more.
-  async::Task<> LeavesInOrder() {
+  // Without a handover, the lease would remain valid for 4 s after the leader has ended.
+  async::Task<> LeaderShutsDown() {
     co_await StartOthersOnceItLeads();
-    co_await AllJoined(3);
-    co_await RunsAJob(1);
+    co_await WaitUntilAllJoined(3);
+    co_await RunJob(1);
     co_await Pause(2 * kReport);
-    const double began = loop_.Now();
+    const double started_at = loop_.Now();
     co_await EndInOrder(0);
-    EXPECT_NE(Leader(), "node-0") << "given up before the process ends, not for its refused port";
+    EXPECT_NE(Leader(), "node-0")
+        << "the lease must be released before the process ends, not because "
+           "its port refuses connections";
     bool ok = co_await Within(1.5, [&] { return !Leader().empty() && Leader() != "node-0"; });
-    EXPECT_TRUE(ok) << "handed over at once, after " << loop_.Now() - began << " s";
-    EXPECT_TRUE(Is(0, MemberState::kLeft));
+    EXPECT_TRUE(ok) << "no new leader " << loop_.Now() - started_at
+                    << " s after the shutdown began";
+    EXPECT_TRUE(HasState(0, MemberState::kLeft));
     co_await Pause(1);
     EXPECT_EQ(cloud_->Running("run-1"), 6);
     EXPECT_EQ(cloud_->starts(), 6);
     const uint64_t session = Record(0)->incarnation.session;
     StartNodes(0, 1, 3);
-    co_await AllJoined(3);
+    co_await WaitUntilAllJoined(3);
     EXPECT_EQ(Record(0)->incarnation.session, session + 1);
   }
 
-  // A leader that reads a verdict on itself gives up, joins as a new session, and nothing that runs
-  // is started twice.
-  async::Task<> IsJudged() {
+  // A leader that reads its own record as failed resigns and joins with a new session. No running
+  // task is started a second time.
+  async::Task<> LeaderIsDeclaredFailed() {
     co_await StartOthersOnceItLeads();
-    co_await AllJoined(3);
-    co_await RunsAJob(1);
+    co_await WaitUntilAllJoined(3);
+    co_await RunJob(1);
     MemberRecord record = *Record(0);
     const uint64_t session = record.incarnation.session;
     record.state = MemberState::kFailed;
@@ -130,7 +133,7 @@
     const std::string token_before = state_->Value(store::FencingTokenKey());
     co_await WriteRecord(store::MemberKey("node-0"), membership::WriteMember(record));
     bool ok = co_await Within(5, [&] {
-      return Is(0, MemberState::kAlive) && Record(0)->incarnation.session == session + 1;
+      return HasState(0, MemberState::kAlive) && Record(0)->incarnation.session == session + 1;
     });
     EXPECT_TRUE(ok);
     ok = co_await Within(5, [&] { return !Leader().empty(); });
@@ -140,31 +143,31 @@
     EXPECT_EQ(cloud_->starts(), 6);
   }
 
-  // Nobody else is there to end its lease.
-  async::Task<> IsJudgedAlone() {
-    co_await AllJoined(1);
-    co_await RunsAJob(0);
+  // No other node can end the lease, so the leader must give it up without help.
+  async::Task<> SingleNodeIsDeclaredFailed() {
+    co_await WaitUntilAllJoined(1);
+    co_await RunJob(0);
     MemberRecord record = *Record(0);
     record.state = MemberState::kFailed;
     record.by = "node-2";
     const std::string lease_before = state_->Value(store::LeaderKey());
     co_await WriteRecord(store::MemberKey("node-0"), membership::WriteMember(record));
     bool ok = co_await Within(5, [&] {
-      return Is(0, MemberState::kAlive) && !Leader().empty() &&
+      return HasState(0, MemberState::kAlive) && !Leader().empty() &&
              state_->Value(store::LeaderKey()) != lease_before;
     });
-    EXPECT_TRUE(ok) << "it leads by a lease from before the verdict";
+    EXPECT_TRUE(ok) << "it still leads by the lease from before it was declared failed";
     co_await Pause(1);
     EXPECT_EQ(cloud_->Running("run-1"), 6);
   }
 
-  async::Task<> Commands() {
-    co_await AllJoined(3);
+  async::Task<> QueryMembers() {
+    co_await WaitUntilAllJoined(3);
     bool ok = co_await Within(5, [&] { return !Leader().empty(); });
     EXPECT_TRUE(ok);
     co_await Pause(2 * kReport);
-    auto answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
+    auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
     for (const cli::MembersAnswer& answer : answers) {
       EXPECT_TRUE(answer.report && answer.report->enabled) << answer.error;
       if (!answer.report) continue;
@@ -176,38 +179,39 @@
       }
     }
     co_await EndInOrder(2);
-    answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
+    answers = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
     EXPECT_FALSE(answers.at(2).report);
     EXPECT_NE(cli::MembersText(answers).find("node-2: can't be reached"), std::string::npos);
     EXPECT_NE(cli::MembersText(answers).find("left"), std::string::npos);
-    EXPECT_NE(SchemaFaults(R"({"controllers":[{"node":"a"}]})"), "") << "the schema does check";
+    EXPECT_NE(SchemaErrors(R"({"controllers":[{"node":"a"}]})"), "")
+        << "the schema check must reject an invalid document";
   }
 
-  // One node has membership off, as after its settings were changed back, or as an older version.
-  async::Task<> OneIsOff() {
+  // One node has membership off, as after a change of its settings or with an older version.
+  async::Task<> OneNodeHasMembershipOff() {
     operators_.membership.enabled = false;
     StartNodes(2, 3, 3);
     operators_.membership.enabled = true;
     StartNodes(0, 2, 3);
-    co_await AllJoined(2);
+    co_await WaitUntilAllJoined(2);
     co_await Pause(10 * kReport);
     EXPECT_EQ(state_->Value(store::MemberKey("node-2")), "");
     EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-2"))).value_or(0),
               store::kCancellationReportFormat);
-    EXPECT_TRUE(Is(0, MemberState::kAlive));
-    auto answers = co_await Command(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
+    EXPECT_TRUE(HasState(0, MemberState::kAlive));
+    auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
     EXPECT_FALSE(answers.at(0).report->rows.at(2).has_record)
-        << "never failed for answering no probe";
+        << "a node that answers no probe must not be declared failed";
     EXPECT_FALSE(answers.at(2).report->enabled);
-    co_await RunsAJob(2);
+    co_await RunJob(2);
   }
 
   static constexpr char kUnknownType = 99;
-  // Whoever sends what no node would is cut off, or ignored, and nothing else happens.
-  async::Task<> BadFrames() {
-    co_await AllJoined(3);
+  // Frames that no node would send must be ignored or close the connection, without other effects.
+  async::Task<> SendMalformedFrames() {
+    co_await WaitUntilAllJoined(3);
     wire::MemberStatus stranger;
     stranger.node = "node-77";
     stranger.incarnation = {99, 0};
@@ -225,16 +229,16 @@
       co_await Pause(0.1);
     }
     co_await Pause(5 * kReport);
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(Is(i, MemberState::kAlive)) << i;
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(HasState(i, MemberState::kAlive)) << i;
     EXPECT_EQ(state_->Value(store::MemberKey("node-77")), "");
   }
 
-  async::Task<> Off() {
+  async::Task<> RunWithMembershipOff() {
     co_await StartOthersOnceItLeads();
     state_->Watch([this](const std::string& key, const std::string& /*value*/) {
       if (store::IsKeyOfKind<store::MemberKeyName>(key)) ++member_writes_;
     });
-    co_await RunsAJob(1);
+    co_await RunJob(1);
     co_await EndInOrder(0);
     co_await Pause(5 * kReport);
     EXPECT_EQ(member_writes_, 0);
@@ -250,56 +254,56 @@
   int member_writes_ = 0;
 };
 
-TEST_F(MembershipNodesTest, AnOrderlyEndHandsOverAtOnce) {
+TEST_F(MembershipNodesTest, ALeaderThatShutsDownHandsOverAtOnce) {
   operators_.leader_ttl_ratio = 20;
   StartServices(3);
   StartNodes(0, 1, 3);
-  Run(LeavesInOrder());
+  Run(LeaderShutsDown());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, AJudgedLeaderJoinsAgainAndStartsNothingTwice) {
+TEST_F(MembershipNodesTest, ALeaderDeclaredFailedRejoinsAndStartsNoTaskTwice) {
   StartServices(3);
   StartNodes(0, 1, 3);
-  Run(IsJudged());
+  Run(LeaderIsDeclaredFailed());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, AJudgedLeaderGivesUpByItself) {
+TEST_F(MembershipNodesTest, ASingleNodeDeclaredFailedReplacesItsLease) {
   Start(1);
-  Run(IsJudgedAlone());
+  Run(SingleNodeIsDeclaredFailed());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, TheCommandShowsWhatEachNodeSees) {
+TEST_F(MembershipNodesTest, TheMembersCommandShowsTheTableOfEachNode) {
   Start(3);
-  Run(Commands());
+  Run(QueryMembers());
 }
 
-TEST_F(MembershipNodesTest, ANodeWithoutItIsServedAndNeverCalledFailed) {
+TEST_F(MembershipNodesTest, ANodeWithMembershipOffStaysInUseAndIsNeverDeclaredFailed) {
   StartServices(3);
-  Run(OneIsOff());
+  Run(OneNodeHasMembershipOff());
 }
 
-TEST_F(MembershipNodesTest, BadFramesChangeNothing) {
+TEST_F(MembershipNodesTest, MalformedOrForeignFramesChangeNoRecord) {
   Start(3);
-  Run(BadFrames());
+  Run(SendMalformedFrames());
 }
 
-TEST_F(MembershipNodesTest, OffNothingOfItIsWritten) {
+TEST_F(MembershipNodesTest, WritesNoMemberRecordsWhenOff) {
   operators_.membership.enabled = false;
   StartServices(3);
   StartNodes(0, 1, 3);
-  Run(Off());
+  Run(RunWithMembershipOff());
 }
 
-TEST(MembersCommand, SaysSoWhereNobodyCanBeReached) {
+TEST(MembersCommand, ExitsWithStatus1WhenNoNodeIsReachable) {
   config::Settings settings = SettingsOf();
   settings.peer_bind = "127.0.0.1:1";
   settings.seeds = {{"node-1", "a", "127.0.0.1:1"}};
   EXPECT_EQ(cli::RunMembersCommand(settings, false), 1);
   const auto answers = cli::AskMembers(settings, 1);
-  EXPECT_EQ(SchemaFaults(cli::MembersJson(answers)), "");
+  EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
   EXPECT_EQ(answers.size(), 2U);
 }
 
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -1,5 +1,5 @@
-// The parts of the membership, one by one: evidence, local health, when a leader yields, records,
-// messages and their bad forms.
+// Unit tests of membership: LivenessTracker, LocalHealth, ReportCounter, HandoverPolicy,
+// MemberTable, and the encoding of records and messages with their invalid forms.
 #include <gtest/gtest.h>
 
 #include "membership/handover_policy.h"
@@ -24,10 +24,10 @@
 using model::LeadershipFitness;
 using model::MemberState;
 
-constexpr membership::ProbeOptions kSilence{.probe_s = 0.25, .missed_probes = 3};
+constexpr membership::ProbeOptions kProbeOptions{.probe_s = 0.25, .missed_probes = 3};
 
-TEST(LivenessTracker, ThresholdFollowsWhatAnswersUsuallyTake) {
-  LivenessTracker quick(kSilence, 0), slow(kSilence, 0);
+TEST(LivenessTracker, SilenceThresholdFollowsTheUsualRoundTrip) {
+  LivenessTracker quick(kProbeOptions, 0), slow(kProbeOptions, 0);
   for (int i = 0; i < 50; ++i) {
     quick.OnAnswer(i, i + 0.002);
     slow.OnAnswer(i, i + 0.5);
@@ -36,28 +36,29 @@
   EXPECT_GT(slow.SilenceThresholdS(1, 50), 1.2);
   EXPECT_FALSE(slow.Silent(1, 50.1));
   EXPECT_TRUE(quick.Silent(1, 50.1));
-  EXPECT_FALSE(quick.Silent(2, 50.1)) << "a node that distrusts itself waits for longer";
+  EXPECT_FALSE(quick.Silent(2, 50.1)) << "a node with poor local health waits longer";
 }
 
-TEST(LivenessTracker, AnAnswerThatWasHeldUpProvesNoMoreThanItsProbe) {
-  LivenessTracker evidence(kSilence, 0);
-  evidence.OnAnswer(1, 60);
-  EXPECT_EQ(*evidence.last_alive_at(), 1);
-  EXPECT_TRUE(evidence.Silent(1, 60));
-  evidence.ResetSilence(60);
-  EXPECT_FALSE(evidence.Silent(1, 60));
-  EXPECT_EQ(*evidence.last_alive_at(), 1) << "and is told to nobody as a sign of life";
+TEST(LivenessTracker, ADelayedAnswerProvesLivenessOnlyAtTheTimeOfItsProbe) {
+  LivenessTracker tracker(kProbeOptions, 0);
+  tracker.OnAnswer(1, 60);
+  EXPECT_EQ(*tracker.last_alive_at(), 1);
+  EXPECT_TRUE(tracker.Silent(1, 60));
+  tracker.ResetSilence(60);
+  EXPECT_FALSE(tracker.Silent(1, 60));
+  EXPECT_EQ(*tracker.last_alive_at(), 1)
+      << "resetting the silence must not count as proof of life for other nodes";
 }
 
-TEST(LivenessTracker, WrongSuspicionsMakeTheNextOnesLaterForAWhile) {
-  LivenessTracker evidence(kSilence, 0);
-  const double before = evidence.SilenceThresholdS(1, 0);
-  for (int i = 0; i < 20; ++i) evidence.OnRefuted(1);
-  EXPECT_EQ(evidence.SilenceThresholdS(1, 1), 64 * before);
-  EXPECT_EQ(evidence.SilenceThresholdS(1, 10000), before);
+TEST(LivenessTracker, RefutedSuspicionsRaiseTheThresholdTemporarily) {
+  LivenessTracker tracker(kProbeOptions, 0);
+  const double before = tracker.SilenceThresholdS(1, 0);
+  for (int i = 0; i < 20; ++i) tracker.OnRefuted(1);
+  EXPECT_EQ(tracker.SilenceThresholdS(1, 1), 64 * before);
+  EXPECT_EQ(tracker.SilenceThresholdS(1, 10000), before);
 }
 
-TEST(LocalHealth, GetsWorseAtOnceAndBetterByAndBy) {
+TEST(LocalHealth, DegradesAtOnceAndRecoversGradually) {
   membership::LocalHealth health;
   health.OnPause();
   EXPECT_EQ(health.score(), 2);
@@ -69,7 +70,7 @@
   EXPECT_EQ(health.score(), 0);
 }
 
-TEST(ReportCounter, CountsTheLastWholeInterval) {
+TEST(ReportCounter, ReturnsTheCountOfTheLastCompleteInterval) {
   membership::ReportCounter counter(2, 0);
   for (int i = 0; i < 5; ++i) counter.Add(1);
   EXPECT_EQ(counter.Last(1), 0U);
@@ -78,24 +79,27 @@
   EXPECT_TRUE(counter.Complete(2.5));
   EXPECT_EQ(counter.Last(4.5), 0U);
   counter.Add(5);
-  EXPECT_EQ(counter.Last(60), 0U) << "too long ago";
+  EXPECT_EQ(counter.Last(60), 0U) << "the report is older than the last interval";
 }
 
-class YieldTest : public testing::Test {
+class HandoverPolicyTest : public testing::Test {
  protected:
   static constexpr size_t kMachines = 100;
-  YieldTest() { policy_.OnLeaderChanged(0); }
-  static LeadershipFitness Well(uint64_t reports) {
+  HandoverPolicyTest() { policy_.OnLeaderChanged(0); }
+  static LeadershipFitness HealthyVitals(uint64_t reports) {
     return {.leading = false,
             .reaches_state_service = true,
             .event_loop_lag_ms = 0,
             .recent_heartbeats = reports};
   }
-  // Asks again and again, from a time on which the hold is over; when it yields, and to whom.
-  std::optional<std::string> Within(double s, const LeadershipFitness& own,
-                                    const std::map<std::string, LeadershipFitness>& others) {
+  // Calls Decide() every 0.5 s and returns the successor that it names; std::nullopt if there is
+  // none within `s` seconds. Initially, the minimum interval since the change of the leader at time
+  // 0 has passed.
+  std::optional<std::string> FindHandoverWithin(
+      double s, const LeadershipFitness& own,
+      const std::map<std::string, LeadershipFitness>& others) {
     for (double end = now_ + s; now_ < end; now_ += 0.5) {
-      if (auto yield = policy_.Decide(own, kMachines, others, now_)) return yield->to;
+      if (auto handover = policy_.Decide(own, kMachines, others, now_)) return handover->to;
     }
     return std::nullopt;
   }
@@ -106,47 +110,52 @@
   double now_ = 100;
 };
 
-// The counts are those of half a report period, in which half of the machines report.
-TEST_F(YieldTest, WorkersThatReachOthersMakeTheOneThatMostReachTheLeader) {
-  EXPECT_EQ(Within(20, Well(5), {{"b", Well(11)}, {"c", Well(15)}}), "c");
+// The counts cover half a heartbeat period, in which half of the machines report.
+TEST_F(HandoverPolicyTest, HandsOverToTheNodeThatMostWorkersReach) {
+  EXPECT_EQ(FindHandoverWithin(20, HealthyVitals(5),
+                               {{"b", HealthyVitals(11)}, {"c", HealthyVitals(15)}}),
+            "c");
 }
 
-TEST_F(YieldTest, WorkersThatReachNobodyAreNoReason) {
-  EXPECT_EQ(Within(60, Well(5), {{"b", Well(5)}}), std::nullopt);
+TEST_F(HandoverPolicyTest, DoesNotHandOverWhenTheWorkersReachNoOtherNode) {
+  EXPECT_EQ(FindHandoverWithin(60, HealthyVitals(5), {{"b", HealthyVitals(5)}}), std::nullopt);
 }
 
-TEST_F(YieldTest, ADipOfHalfAPeriodIsNoReason) {
-  EXPECT_EQ(Within(2.5, Well(5), {{"b", Well(45)}}), std::nullopt);
-  EXPECT_EQ(Within(2.5, Well(50), {{"b", Well(0)}}), std::nullopt);
-  EXPECT_EQ(Within(2.5, Well(5), {{"b", Well(45)}}), std::nullopt);
+TEST_F(HandoverPolicyTest, DoesNotHandOverForADipOfHalfAPeriod) {
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(5), {{"b", HealthyVitals(45)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(50), {{"b", HealthyVitals(0)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(5), {{"b", HealthyVitals(45)}}), std::nullopt);
 }
 
-TEST_F(YieldTest, AStarvedLeaderYieldsToOneThatGetsItsTurns) {
-  LeadershipFitness starved = Well(100);
-  starved.event_loop_lag_ms = 2000;
-  LeadershipFitness as_late = Well(0);
-  as_late.event_loop_lag_ms = 1500;
-  EXPECT_EQ(Within(60, starved, {{"b", as_late}}), std::nullopt) << "nothing would be gained";
-  EXPECT_EQ(Within(60, starved, {{"b", Well(0)}}), "b");
+TEST_F(HandoverPolicyTest, ALeaderWithALateEventLoopHandsOverToANodeThatRunsOnTime) {
+  LeadershipFitness delayed = HealthyVitals(100);
+  delayed.event_loop_lag_ms = 2000;
+  LeadershipFitness equally_late = HealthyVitals(0);
+  equally_late.event_loop_lag_ms = 1500;
+  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", equally_late}}), std::nullopt)
+      << "the other node is delayed as well";
+  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", HealthyVitals(0)}}), "b");
 }
 
-TEST_F(YieldTest, WithoutTheStateServiceOnlyANodeThatHasItTakesOver) {
-  LeadershipFitness refused = Well(100);
-  refused.reaches_state_service = false;
-  EXPECT_EQ(Within(60, refused, {{"b", refused}}), std::nullopt) << "an outage for all";
-  EXPECT_EQ(Within(4, refused, {{"b", Well(0)}}), std::nullopt);
-  EXPECT_EQ(Within(4, refused, {{"b", Well(0)}}), "b");
+TEST_F(HandoverPolicyTest, WithoutTheStateServiceHandsOverOnlyToANodeThatReachesIt) {
+  LeadershipFitness disconnected = HealthyVitals(100);
+  disconnected.reaches_state_service = false;
+  EXPECT_EQ(FindHandoverWithin(60, disconnected, {{"b", disconnected}}), std::nullopt)
+      << "no node reaches the state service";
+  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyVitals(0)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyVitals(0)}}), "b");
 }
 
-TEST_F(YieldTest, EachRecentChangeDoublesTheTimeToTheNext) {
-  const std::map<std::string, LeadershipFitness> others = {{"b", Well(90)}};
+TEST_F(HandoverPolicyTest, EachRecentChangeDoublesTheMinimumInterval) {
+  const std::map<std::string, LeadershipFitness> others = {{"b", HealthyVitals(90)}};
   for (double at : {100.0, 101.0, 102.0}) policy_.OnLeaderChanged(at);
   now_ = 102;
-  EXPECT_EQ(Within(79, Well(5), others), std::nullopt) << "two doublings of 20 s";
-  EXPECT_EQ(Within(10, Well(5), others), "b");
+  EXPECT_EQ(FindHandoverWithin(79, HealthyVitals(5), others), std::nullopt)
+      << "20 s, doubled twice";
+  EXPECT_EQ(FindHandoverWithin(10, HealthyVitals(5), others), "b");
 }
 
-TEST(MemberRecords, AreReadAsWrittenAndBadOnesCountAsNone) {
+TEST(MemberRecordFormat, RoundTripsAndReadsInvalidRecordsAsAbsent) {
   const MemberRecord record{MemberState::kFailed, {7, 2}, UINT64_MAX, "node-1", "does not answer"};
   EXPECT_EQ(membership::ReadMember(membership::WriteMember(record)), record);
   for (const char* bad : {"", "[]", "{}", R"({"state":"odd","session":1})", R"({"state":"alive"})",
@@ -166,7 +175,7 @@
   return status;
 }
 
-TEST(MemberMessages, AreReadAsWrittenAndShortOnesRefused) {
+TEST(MemberMessageCodec, RoundTripsAndRejectsTruncatedMessages) {
   wire::MemberStatus status = StatusOf("node-0", {3, 1});
   status.vitals = {true, false, 250, 4000};
   status.yields_to = "node-2";
@@ -191,7 +200,7 @@
   EXPECT_EQ(std::get<wire::MembersReport>(*read), report);
 }
 
-TEST(MemberMessages, ACountThatNoFrameCouldHoldIsRefused) {
+TEST(MemberMessageCodec, RejectsACountLargerThanAnyFrame) {
   wire::MemberStatus status = StatusOf("n", {1, 0});
   std::string payload = wire::WritePeerMessage(wire::MemberProbe{1, status});
   payload.pop_back();  // the count of observations, 0
@@ -199,14 +208,14 @@
   EXPECT_FALSE(wire::ReadPeerMessage(payload));
 }
 
-// One table by itself, fed by hand.
-class TableTest : public testing::Test {
+// Tests a single table whose records and answers come from the test.
+class MemberTableTest : public testing::Test {
  protected:
   static constexpr uint64_t kInstance = 42;
-  TableTest()
+  MemberTableTest()
       : table_({.node = "node-0",
                 .others = {"node-0", "node-1", "node-2"},
-                .probes = kSilence,
+                .probes = kProbeOptions,
                 .confirm_probes = 3,
                 .instance = kInstance},
                0) {
@@ -217,9 +226,9 @@
   void Record(const std::string& node, const MemberRecord& record, uint64_t version) {
     table_.OnRecord(node, record, version, now_);
   }
-  void Pass(double s, const std::vector<std::string>& answering = {}) {
+  void Advance(double s, const std::vector<std::string>& answering = {}) {
     for (double end = now_ + s; now_ < end;) {
-      now_ += kSilence.probe_s;
+      now_ += kProbeOptions.probe_s;
       for (const std::string& node : answering) {
         table_.OnAnswer(StatusOf(node, {node == "node-1" ? 5U : 8U, 0}), now_ - 0.01, now_);
       }
@@ -231,7 +240,7 @@
   std::vector<membership::Proposal> proposals_;
 };
 
-TEST_F(TableTest, WhatIsSaidOfOrByUnknownNodesIsIgnored) {
+TEST_F(MemberTableTest, IgnoresStatusesFromAndObservationsOfUnknownNodes) {
   wire::MemberStatus status = StatusOf("node-9", {1, 0});
   status.observations = {{"node-0", {1, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
@@ -243,24 +252,26 @@
   EXPECT_EQ(table_.Rows(0).size(), 3U);
 }
 
-TEST_F(TableTest, ASuspicionOfThisSessionIsRefutedAndOneFromTheFutureIsNot) {
+TEST_F(MemberTableTest, RefutesASuspicionOfTheCurrentIncarnationOnly) {
   wire::MemberStatus status = StatusOf("node-1", {5, 0});
   status.observations = {{"node-0", {2, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0})) << "no session of this process";
+  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0}))
+      << "the session does not belong to this process";
   status.observations = {{"node-0", {1, 3}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0})) << "never said so";
+  EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 0}))
+      << "this process has never reached that refutation";
   status.observations = {{"node-0", {1, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
   EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 1}));
 }
 
-TEST_F(TableTest, AFailedNodesFormerProcessKeepsNobodyAlive) {
-  Pass(5, {"node-1", "node-2"});
+TEST_F(MemberTableTest, AnswersOfAnEarlierSessionDoNotKeepANodeAlive) {
+  Advance(5, {"node-1", "node-2"});
   EXPECT_TRUE(proposals_.empty());
   for (int i = 0; i < 20; ++i) {
-    now_ += kSilence.probe_s;
+    now_ += kProbeOptions.probe_s;
     table_.OnAnswer(StatusOf("node-1", {4, 9}), now_ - 0.01, now_);
     table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     table_.Tick(now_, true);
@@ -268,35 +279,35 @@
   EXPECT_EQ(table_.Rows(now_)[1].state, MemberState::kSuspect);
 }
 
-TEST_F(TableTest, AnswersOfTheOlderStatusAreASignOfLifeToo) {
+TEST_F(MemberTableTest, AnswersInTheOlderStatusFormatProveLiveness) {
   for (int i = 0; i < 40; ++i) {
-    now_ += kSilence.probe_s;
+    now_ += kProbeOptions.probe_s;
     table_.OnStatusAnswered("node-1", now_ - 0.01);
     table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     EXPECT_TRUE(table_.Tick(now_, true).empty());
   }
 }
 
-TEST_F(TableTest, ANodeWithoutARecordIsNeverSuspect) {
+TEST_F(MemberTableTest, ANodeWithoutARecordIsNeverSuspected) {
   table_.OnRecord("node-1", std::nullopt, 0, now_);
-  Pass(60, {"node-2"});
+  Advance(60, {"node-2"});
   EXPECT_EQ(table_.Rows(now_)[1].state, MemberState::kAlive);
   EXPECT_TRUE(proposals_.empty());
 }
 
-TEST_F(TableTest, ANewerProcessOfTheSameNameMakesThisOnePassive) {
+TEST_F(MemberTableTest, ANewerProcessOfTheSameNameSupersedesThisOne) {
   EXPECT_TRUE(table_.IsActiveMember());
   Record("node-0", {MemberState::kAlive, {2, 0}, kInstance + 1, "", ""}, 20);
   EXPECT_TRUE(table_.Superseded());
   EXPECT_FALSE(table_.IsActiveMember());
-  Pass(10, {"node-1", "node-2"});
-  EXPECT_TRUE(proposals_.empty()) << "it does not join again and again against the other";
+  Advance(10, {"node-1", "node-2"});
+  EXPECT_TRUE(proposals_.empty()) << "a superseded process must not compete for the record";
 }
 
-TEST_F(TableTest, ALeftOverRecordOfTheFormerProcessIsReplaced) {
+TEST_F(MemberTableTest, ReplacesTheRecordOfAnEarlierProcessWithANewSession) {
   MemberTable fresh({.node = "node-0",
                      .others = {"node-1"},
-                     .probes = kSilence,
+                     .probes = kProbeOptions,
                      .confirm_probes = 3,
                      .instance = kInstance + 5},
                     0);
@@ -307,31 +318,33 @@
   EXPECT_EQ(proposals[0].record.incarnation, (model::Incarnation{7, 0}));
   ASSERT_EQ(proposals[0].preconditions.size(), 1U);
   EXPECT_EQ(proposals[0].preconditions[0].version, 30U);
-  EXPECT_TRUE(fresh.Tick(0.2, true).empty()) << "one at a time";
+  EXPECT_TRUE(fresh.Tick(0.2, true).empty()) << "only one proposal may be outstanding";
 }
 
-// node-2 answers, and says of node-1 what is given; node-1 is silent.
-class SilentNodeTest : public TableTest {
+// node-1 is silent; node-2 answers with a given observation of node-1.
+class MemberTableSilentNodeTest : public MemberTableTest {
  protected:
-  void PassWith(double s, const model::MemberObservation& observation, double answer_age_s = 0.01) {
+  void AdvanceWithObservation(double s, const model::MemberObservation& observation,
+                              double answer_age_s = 0.01) {
     for (double end = now_ + s; now_ < end;) {
-      now_ += kSilence.probe_s;
+      now_ += kProbeOptions.probe_s;
       wire::MemberStatus status = StatusOf("node-2", {8, 0});
       status.observations = {observation};
       table_.OnAnswer(status, now_ - 0.01, now_);
-      if (held_up_) table_.OnAnswer(StatusOf("node-1", {5, 0}), now_ - answer_age_s, now_);
+      if (delayed_answers_) table_.OnAnswer(StatusOf("node-1", {5, 0}), now_ - answer_age_s, now_);
       for (auto& proposal : table_.Tick(now_, true)) proposals_.push_back(std::move(proposal));
     }
   }
-  MemberState Seen() const { return table_.Rows(now_)[1].state; }
+  MemberState StateOfSilentNode() const { return table_.Rows(now_)[1].state; }
   const model::MemberObservation suspects_{"node-1", {5, 0}, MemberState::kSuspect, std::nullopt};
-  bool held_up_ = false;
+  bool delayed_answers_ = false;
 };
 
-// Either guard missing, a refutation or a new session in between would be overruled, or two that
-// suspect each other would both be judged.
-TEST_F(SilentNodeTest, EachStepIsGuardedByTheSubjectsAndTheWritersRecord) {
-  auto expect_guards = [&](membership::Proposal::Kind kind, uint64_t subject_version) {
+// Without the precondition on the subject's record, a refutation or a new session that was written
+// in between would be overruled. Without the one on the writer's record, two nodes that suspect
+// each other could both be declared failed.
+TEST_F(MemberTableSilentNodeTest, SuspicionAndFailureArePreconditionedOnBothRecords) {
+  auto expect_preconditions = [&](membership::Proposal::Kind kind, uint64_t subject_version) {
     ASSERT_EQ(proposals_.size(), 1U);
     EXPECT_EQ(proposals_[0].kind, kind);
     ASSERT_EQ(proposals_[0].preconditions.size(), 2U);
@@ -340,41 +353,41 @@
     EXPECT_EQ(proposals_[0].preconditions[1].key, store::MemberKey("node-0"));
     EXPECT_EQ(proposals_[0].preconditions[1].version, 10U);
   };
-  PassWith(3, suspects_);
-  expect_guards(membership::Proposal::Kind::kSuspect, 11);
+  AdvanceWithObservation(3, suspects_);
+  expect_preconditions(membership::Proposal::Kind::kSuspect, 11);
   table_.OnProposalDone("node-1", now_);
   Record("node-1", {MemberState::kSuspect, {5, 0}, 7, "node-0", "does not answer"}, 30);
   proposals_.clear();
-  PassWith(0.5, suspects_);
-  EXPECT_TRUE(proposals_.empty()) << "three intervals are left to refute";
-  PassWith(3, suspects_);
-  expect_guards(membership::Proposal::Kind::kDeclareFailed, 30);
+  AdvanceWithObservation(0.5, suspects_);
+  EXPECT_TRUE(proposals_.empty()) << "the suspected node has three intervals to refute";
+  AdvanceWithObservation(3, suspects_);
+  expect_preconditions(membership::Proposal::Kind::kDeclareFailed, 30);
 }
 
-TEST_F(SilentNodeTest, WithoutTheOtherObserverNobodyIsAccusedAtFirst) {
-  PassWith(3, {"node-1", {5, 0}, MemberState::kAlive, std::nullopt});
-  EXPECT_EQ(Seen(), MemberState::kSuspect);
+TEST_F(MemberTableSilentNodeTest, ProposesNothingUntilTheOtherObserverSuspectsToo) {
+  AdvanceWithObservation(3, {"node-1", {5, 0}, MemberState::kAlive, std::nullopt});
+  EXPECT_EQ(StateOfSilentNode(), MemberState::kSuspect);
   EXPECT_TRUE(proposals_.empty());
 }
 
-TEST_F(SilentNodeTest, WhatIsSaidOfAFormerSessionIsNoSignOfLife) {
-  PassWith(3, {"node-1", {4, 0}, MemberState::kAlive, 10});
-  EXPECT_EQ(Seen(), MemberState::kSuspect);
-  PassWith(3, {"node-1", {5, 0}, MemberState::kAlive, 10});
-  EXPECT_EQ(Seen(), MemberState::kAlive);
+TEST_F(MemberTableSilentNodeTest, AnObservationOfAnEarlierSessionDoesNotProveLiveness) {
+  AdvanceWithObservation(3, {"node-1", {4, 0}, MemberState::kAlive, 10});
+  EXPECT_EQ(StateOfSilentNode(), MemberState::kSuspect);
+  AdvanceWithObservation(3, {"node-1", {5, 0}, MemberState::kAlive, 10});
+  EXPECT_EQ(StateOfSilentNode(), MemberState::kAlive);
 }
 
-TEST_F(SilentNodeTest, AnswersThatWereHeldUpAreNoSignOfLife) {
-  held_up_ = true;
-  PassWith(40, suspects_, 20);
-  EXPECT_EQ(Seen(), MemberState::kSuspect);
+TEST_F(MemberTableSilentNodeTest, DelayedAnswersDoNotProveLiveness) {
+  delayed_answers_ = true;
+  AdvanceWithObservation(40, suspects_, 20);
+  EXPECT_EQ(StateOfSilentNode(), MemberState::kSuspect);
 }
 
-TEST_F(TableTest, WhoeverIsSuspectItselfAccusesNobody) {
+TEST_F(MemberTableTest, ASuspectedNodeProposesNothing) {
   Record("node-0", {MemberState::kSuspect, {1, 0}, kInstance, "node-2", ""}, 21);
-  table_.Tick(0.1, true);  // its refutation, never carried out
+  table_.Tick(0.1, true);  // proposes a refutation, which is never carried out
   for (int i = 0; i < 40; ++i) {
-    now_ += kSilence.probe_s;
+    now_ += kProbeOptions.probe_s;
     table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     EXPECT_TRUE(table_.Tick(now_, true).empty());
   }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,5 +1,5 @@
-// Membership of several nodes in fake time, failure by failure. docs/membership.md names the guard
-// behind each.
+// Tests the membership of several nodes in simulated time, one failure per test. docs/membership.md
+// names the safeguard against each failure.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,59 +21,59 @@
   ASSERT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, kSettleS));
 }
 
-size_t VerdictsOn(const MembershipCluster& cluster, const std::string& node) {
+size_t CountVerdicts(const MembershipCluster& cluster, const std::string& node) {
   const auto& all = cluster.verdicts();
   return static_cast<size_t>(
       std::count_if(all.begin(), all.end(), [&](const auto& v) { return v.node == node; }));
 }
 
-std::string AnotherThan(const MembershipCluster& cluster, const std::string& node) {
+std::string AnyNodeExcept(const MembershipCluster& cluster, const std::string& node) {
   for (const std::string& name : cluster.names()) {
     if (name != node) return name;
   }
   return "";
 }
 
-class ClusterTest : public testing::Test {
+class MembershipClusterTest : public testing::Test {
  protected:
   void Start(Options options) {
     cluster_.emplace(options);
     Settle(*cluster_);
     leader_ = cluster_->Leader();
-    other_ = AnotherThan(*cluster_, leader_);
+    other_ = AnyNodeExcept(*cluster_, leader_);
   }
   void Start() { Start(Options()); }
-  // Until its first verdict; the time that it took.
-  double UntilVerdict(const std::string& node, double limit_s) {
-    const double began = cluster_->now();
-    EXPECT_TRUE(cluster_->RunUntil([&] { return VerdictsOn(*cluster_, node) > 0; }, limit_s));
-    return cluster_->now() - began;
+  // Runs until the node is first declared failed and returns the simulated time that this took.
+  double TimeUntilDeclaredFailed(const std::string& node, double limit_s) {
+    const double started_at = cluster_->now();
+    EXPECT_TRUE(cluster_->RunUntil([&] { return CountVerdicts(*cluster_, node) > 0; }, limit_s));
+    return cluster_->now() - started_at;
   }
 
   std::optional<MembershipCluster> cluster_;
   std::string leader_, other_;
 };
 
-TEST_F(ClusterTest, NobodyIsSuspectWhileAllAreWell) {
+TEST_F(MembershipClusterTest, SuspectsNoNodeWithoutFaults) {
   Start();
   cluster_->RunFor(300);
   EXPECT_EQ(cluster_->suspicions(), 0U);
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(ClusterTest, AKilledNodeIsJudgedOnceAndALeaderIsFollowedOnce) {
+TEST_F(MembershipClusterTest, AKilledLeaderIsDeclaredFailedAndReplacedOnce) {
   Start();
   cluster_->Kill(leader_);
-  UntilVerdict(leader_, 5);
+  TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(60);
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U);
-  EXPECT_EQ(cluster_->ObservedState(AnotherThan(*cluster_, leader_), leader_),
+  EXPECT_EQ(cluster_->ObservedState(AnyNodeExcept(*cluster_, leader_), leader_),
             MemberState::kFailed);
 }
 
-// Where the leader's own lease is long, the verdict is what hands over.
-TEST_F(ClusterTest, AVerdictEndsTheLeaseOfAFrozenLeader) {
+// The leader lease is long here, so only the declared failure can cause the handover.
+TEST_F(MembershipClusterTest, DeclaringAFrozenLeaderFailedEndsItsLease) {
   Options options;
   options.leader_ttl_s = 30;
   Start(options);
@@ -82,7 +82,7 @@
   EXPECT_NE(cluster_->Leader(), leader_);
 }
 
-TEST_F(ClusterTest, AFreezeThatEndsBeforeTheVerdictIsForgiven) {
+TEST_F(MembershipClusterTest, AFreezeThatEndsDuringSuspicionCausesNoFailure) {
   Start();
   cluster_->Freeze(other_);
   ASSERT_TRUE(cluster_->RunUntil(
@@ -93,7 +93,7 @@
   EXPECT_TRUE(cluster_->Converged());
 }
 
-TEST_F(ClusterTest, ASuspectThatWakesInTheTimeOfConfirmationRefutes) {
+TEST_F(MembershipClusterTest, ASuspectedNodeThatResumesBeforeConfirmationRefutes) {
   Start();
   cluster_->Freeze(other_);
   ASSERT_TRUE(cluster_->RunUntil(
@@ -108,9 +108,9 @@
   EXPECT_GT(refuted.incarnation.refutation, suspected.incarnation.refutation);
 }
 
-// The verdict was sent, and the frozen node is back before it is carried out: whichever is first
-// decides, and the other loses by its guard.
-TEST_F(ClusterTest, AWakingAtTheMomentOfTheVerdictLeavesOneOutcome) {
+// The frozen node resumes after the failure was sent and before it is carried out. Whichever write
+// comes first takes effect; the other one fails on its precondition.
+TEST_F(MembershipClusterTest, ResumingWhileTheFailureIsWrittenLeavesOneOutcome) {
   Start();
   const uint64_t session = cluster_->Record(other_)->incarnation.session;
   cluster_->OnVerdictSent([&](const std::string& /*by*/) { cluster_->Resume(other_); });
@@ -122,11 +122,11 @@
   EXPECT_EQ(now, session + cluster_->verdicts().size());
 }
 
-TEST_F(ClusterTest, AJudgedNodeThatWakesJoinsAsANewSession) {
+TEST_F(MembershipClusterTest, AFailedNodeThatResumesJoinsWithANewSession) {
   Start();
   const uint64_t session = cluster_->Record(leader_)->incarnation.session;
   cluster_->Freeze(leader_);
-  UntilVerdict(leader_, 5);
+  TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(1);
   cluster_->Resume(leader_);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
@@ -135,7 +135,7 @@
   EXPECT_EQ(cluster_->handovers().size(), 2U);
 }
 
-TEST_F(ClusterTest, TwoThatSuspectEachOtherBothLiveWhileBothReachTheStateService) {
+TEST_F(MembershipClusterTest, TwoNodesThatSuspectEachOtherBothStayWhileTheStateServiceIsReachable) {
   Options options;
   options.nodes = 2;
   Start(options);
@@ -143,28 +143,29 @@
   cluster_->RunFor(120);
   EXPECT_TRUE(cluster_->verdicts().empty());
   EXPECT_GT(cluster_->suspicions(), 0U);
-  EXPECT_LT(cluster_->suspicions(), 30U) << "each wrong one makes the next later";
+  EXPECT_LT(cluster_->suspicions(), 30U) << "each refuted suspicion must delay the next one";
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-// Two recorded suspicions of each other can't both lead to a verdict: each is guarded by the
-// writer's own record.
-TEST_F(ClusterTest, OfTwoThatAreFrozenApartAndSuspectEachOtherOnlyOneIsJudged) {
+// If two nodes have recorded suspicions of each other, at most one can be declared failed: each
+// write has a precondition on the record of its writer.
+TEST_F(MembershipClusterTest,
+       OfTwoPartitionedNodesOnlyTheOneWithoutTheStateServiceIsDeclaredFailed) {
   Options options;
   options.nodes = 2;
   Start(options);
   cluster_->Cut("node-0", "node-1", true);
   cluster_->CutFromState("node-1", true);
-  UntilVerdict("node-1", 10);
+  TimeUntilDeclaredFailed("node-1", 10);
   cluster_->RunFor(10);
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
   cluster_->Cut("node-0", "node-1", false);
   cluster_->CutFromState("node-1", false);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
-  EXPECT_EQ(VerdictsOn(*cluster_, "node-0"), 0U);
+  EXPECT_EQ(CountVerdicts(*cluster_, "node-0"), 0U);
 }
 
-TEST_F(ClusterTest, APauseOfTheWholeMachineIsNobodysFailure) {
+TEST_F(MembershipClusterTest, APauseOfAllNodesCausesNoSuspicion) {
   Start();
   for (const std::string& name : cluster_->names()) cluster_->Freeze(name);
   cluster_->RunFor(20);
@@ -175,7 +176,7 @@
   EXPECT_TRUE(cluster_->Converged());
 }
 
-TEST_F(ClusterTest, ANodeThatOneOtherStillHearsIsNotJudged) {
+TEST_F(MembershipClusterTest, ANodeThatAnotherNodeHearsIsNotDeclaredFailed) {
   Start();
   const std::string third = cluster_->Name(3 - (leader_.back() - '0') - (other_.back() - '0'));
   cluster_->CutOneWay(leader_, other_, true);
@@ -186,9 +187,9 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(ClusterTest, ASlowLinkNearTheThresholdRaisesIt) {
+TEST_F(MembershipClusterTest, ASlowLinkNearTheSilenceThresholdRaisesTheThreshold) {
   Options options;
-  options.probe_s = 0.25;  // suspect after 0.75 s and what answers usually take
+  options.probe_s = 0.25;  // suspected after 0.75 s plus the usual round trip
   Start(options);
   for (const std::string& name : cluster_->names()) {
     if (name != leader_) cluster_->SetDelay(leader_, name, 0.3);
@@ -198,7 +199,7 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(ClusterTest, ACutThatComesAndGoesMovesNothing) {
+TEST_F(MembershipClusterTest, AnIntermittentPartitionCausesNoHandover) {
   Start();
   for (int i = 0; i < 40; ++i) {
     for (const std::string& name : cluster_->names()) {
@@ -211,7 +212,7 @@
   EXPECT_LT(cluster_->suspicions(), 20U);
 }
 
-TEST_F(ClusterTest, AnAccuserFrozenInTheMidstOfItsVerdictChangesNothing) {
+TEST_F(MembershipClusterTest, AnAccuserFrozenWhileWritingTheFailureDoesNotPreventTheHandover) {
   Options options;
   options.leader_ttl_s = 30;
   Start(options);
@@ -221,26 +222,26 @@
     cluster_->Freeze(by);
   });
   cluster_->Kill(leader_);
-  UntilVerdict(leader_, 5);
+  TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(10);
   ASSERT_FALSE(accuser.empty());
-  EXPECT_EQ(VerdictsOn(*cluster_, leader_), 1U);
-  EXPECT_EQ(cluster_->handovers().size(), 2U) << "the third node takes over";
+  EXPECT_EQ(CountVerdicts(*cluster_, leader_), 1U);
+  EXPECT_EQ(cluster_->handovers().size(), 2U) << "the third node must take over";
   cluster_->Resume(accuser);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
-  EXPECT_EQ(VerdictsOn(*cluster_, leader_), 1U);
+  EXPECT_EQ(CountVerdicts(*cluster_, leader_), 1U);
 }
 
-TEST_F(ClusterTest, AVerdictWhoseAnswerIsLostStandsOnce) {
+TEST_F(MembershipClusterTest, ALostAnswerToTheFailureWriteCausesNoSecondFailure) {
   Start();
   cluster_->LoseVerdictAnswers(3);
   cluster_->Kill(leader_);
-  UntilVerdict(leader_, 5);
+  TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(30);
   EXPECT_EQ(cluster_->verdicts().size(), 1U);
 }
 
-TEST_F(ClusterTest, AnotherNodeGoesOnWhereTheAccuserDied) {
+TEST_F(MembershipClusterTest, AnotherNodeDeclaresTheFailureWhenTheAccuserDies) {
   Options options;
   options.nodes = 4;
   Start(options);
@@ -248,23 +249,23 @@
   ASSERT_TRUE(cluster_->RunUntil(
       [&] { return cluster_->Record(leader_)->state == MemberState::kSuspect; }, 5));
   cluster_->Kill(cluster_->Record(leader_)->by);
-  UntilVerdict(leader_, 20);
+  TimeUntilDeclaredFailed(leader_, 20);
 }
 
-// The process is back before anybody has noticed, and answers of the former one are still on their
-// way: they prove nothing of the new one.
-TEST_F(ClusterTest, LateAnswersOfAFormerProcessKeepNobodyAlive) {
+// The process restarts before any node has noticed, and answers of the earlier process are still in
+// flight. They must not count as proof that the new process is alive.
+TEST_F(MembershipClusterTest, LateAnswersOfAnEarlierProcessDoNotKeepANodeAlive) {
   Start();
   for (int i = 0; i < 100; ++i) cluster_->DelayAnswer(other_, leader_, 1 + 0.1 * i);
   cluster_->Restart(other_);
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_TRUE(cluster_->verdicts().empty());
   cluster_->Kill(other_);
-  const double took_s = UntilVerdict(other_, 8);
+  const double took_s = TimeUntilDeclaredFailed(other_, 8);
   EXPECT_LT(took_s, 3);
 }
 
-TEST_F(ClusterTest, ARollingRestartIsNoFailure) {
+TEST_F(MembershipClusterTest, ARollingRestartCausesNoFailure) {
   Start();
   for (const std::string& name : cluster_->names()) {
     cluster_->Restart(name);
@@ -275,17 +276,17 @@
   EXPECT_LE(cluster_->handovers().size(), 4U);
 }
 
-TEST_F(ClusterTest, ClocksThatRunFastOrSlowSuspectNobody) {
+TEST_F(MembershipClusterTest, ClockDriftCausesNoSuspicion) {
   Start();
   cluster_->SetClockRate("node-0", 1.05);
   cluster_->SetClockRate("node-1", 0.95);
   cluster_->RunFor(300);
   EXPECT_EQ(cluster_->suspicions(), 0U);
   cluster_->Kill("node-2");
-  UntilVerdict("node-2", 5);
+  TimeUntilDeclaredFailed("node-2", 5);
 }
 
-TEST_F(ClusterTest, WithoutTheStateServiceNobodyIsJudged) {
+TEST_F(MembershipClusterTest, NoNodeIsDeclaredFailedDuringAStateServiceOutage) {
   Start();
   cluster_->Kill(other_);
   ASSERT_TRUE(cluster_->RunUntil(
@@ -295,10 +296,10 @@
   EXPECT_TRUE(cluster_->verdicts().empty());
   EXPECT_EQ(cluster_->ObservedState(leader_, other_), MemberState::kSuspect);
   cluster_->SetStateOutage(false);
-  UntilVerdict(other_, 5);
+  TimeUntilDeclaredFailed(other_, 5);
 }
 
-TEST_F(ClusterTest, ANodeAloneNeitherSuspectsNorWaits) {
+TEST_F(MembershipClusterTest, ASingleNodeLeadsWithoutSuspicion) {
   Options options;
   options.nodes = 1;
   Start(options);
@@ -307,9 +308,9 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-// Whoever is cut from all others, and not from the state service, learns from the refutations that
-// the fault may be its own.
-TEST_F(ClusterTest, AnIsolatedNodeJudgesNobody) {
+// A node that is cut off from all other nodes, but not from the state service, learns from the
+// refutations that it may be at fault itself.
+TEST_F(MembershipClusterTest, AnIsolatedNodeDeclaresNoOtherNodeFailed) {
   Start();
   for (const std::string& name : cluster_->names()) {
     if (name != other_) cluster_->Cut(other_, name, true);
@@ -319,12 +320,12 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-// Random freezes, kills, restarts, cuts and outages over many seeds. Whatever happens: one verdict
-// at the most for a session, none without the state service; and once all is mended, every node is
-// a member again and one leads.
-class RandomFaultsTest : public testing::TestWithParam<int> {
+// Random freezes, kills, restarts, partitions and outages over many seeds. In every run, a session
+// is declared failed at most once, and never without the state service. After all faults are
+// removed, every node becomes a member again and one of them leads.
+class MembershipRandomFaultsTest : public testing::TestWithParam<int> {
  protected:
-  void Strike(MembershipCluster& cluster, std::mt19937_64& random) {
+  void InjectRandomFault(MembershipCluster& cluster, std::mt19937_64& random) {
     std::uniform_int_distribution<size_t> any(0, cluster.names().size() - 1);
     const std::string a = cluster.names()[any(random)];
     const std::string b = cluster.names()[any(random)];
@@ -361,7 +362,7 @@
         break;
     }
   }
-  void Mend(MembershipCluster& cluster) {
+  void RemoveFaults(MembershipCluster& cluster) {
     if (outage_) cluster.SetStateOutage(false);
     for (const std::string& a : cluster.names()) {
       cluster.CutFromState(a, false);
@@ -377,7 +378,7 @@
   bool outage_ = false;
 };
 
-TEST_P(RandomFaultsTest, GiveOneVerdictForASessionAndEndWell) {
+TEST_P(MembershipRandomFaultsTest, DeclaresEachSessionFailedAtMostOnceAndRecovers) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   Options options;
   options.seed = static_cast<uint64_t>(GetParam());
@@ -387,23 +388,24 @@
   std::mt19937_64 random(options.seed);
   std::exponential_distribution<double> pause(1.0);
   for (int i = 0; i < 120; ++i) {
-    Strike(cluster, random);
+    InjectRandomFault(cluster, random);
     cluster.RunFor(pause(random));
   }
-  Mend(cluster);
+  RemoveFaults(cluster);
   EXPECT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, 120));
-  std::set<std::pair<std::string, uint64_t>> judged;
+  std::set<std::pair<std::string, uint64_t>> failed_sessions;
   for (const auto& verdict : cluster.verdicts()) {
-    EXPECT_TRUE(judged.insert({verdict.node, verdict.session}).second)
-        << verdict.node << " session " << verdict.session << " was judged twice";
+    EXPECT_TRUE(failed_sessions.insert({verdict.node, verdict.session}).second)
+        << verdict.node << " session " << verdict.session << " was declared failed twice";
   }
-  EXPECT_EQ(cluster.FalseVerdicts(), 0U) << "of nodes that could have refuted";
+  EXPECT_EQ(cluster.FalseVerdicts(), 0U) << "nodes were declared failed that could have refuted";
   const size_t handovers = cluster.handovers().size();
   cluster.RunFor(60);
-  EXPECT_EQ(cluster.handovers().size(), handovers) << "all is well, and the lead moves";
+  EXPECT_EQ(cluster.handovers().size(), handovers)
+      << "leadership must not move after the faults are removed";
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaultsTest, testing::Range(1, 61));
+INSTANTIATE_TEST_SUITE_P(Seeds, MembershipRandomFaultsTest, testing::Range(1, 61));
 
 }  // namespace
 }  // namespace hallpier
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,4 +1,5 @@
-// Shares of team limits: what is lent never goes beyond a limit, and nothing lies idle for long.
+// Tests the allocation of team limits to block owners: the sum never exceeds a limit, and idle
+// amounts are reclaimed for work that needs them.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -21,31 +22,33 @@
   return TeamAccount(limit, outside, positions).Rebalance();
 }
 
-TEST(TeamAccount, ANewDivisionLendsEvenly) {
+TEST(TeamAccount, ANewBlockAssignmentAllocatesEvenly) {
   EXPECT_EQ(Rebalanced(kLimit, {{}, {}, {}}), (std::vector<double>{4, 4, 4}));
   EXPECT_EQ(Rebalanced(10, {{}, {}, {}})[0], 10.0 / 3) << "limits need not be divisible";
 }
 
-TEST(TeamAccount, WhatNoTaskCouldUseIsNotLentEvenly) {
+TEST(TeamAccount, DoesNotAllocateEvenPartsSmallerThanAnyTask) {
   const TeamAccount account(1.5, 0, {{}, {}, {}}, 1);
   EXPECT_EQ(account.Rebalance(), (std::vector<double>{0, 0, 0}));
   const TeamAccount needed(1.5, 0, {{}, {0, 0, 1, 0}, {}}, 1);
-  EXPECT_EQ(needed.Rebalance(), (std::vector<double>{0, 1, 0})) << "without a recall";
+  EXPECT_EQ(needed.Rebalance(), (std::vector<double>{0, 1, 0}))
+      << "the amount must be available without a reclaim";
 }
 
-TEST(TeamAccount, AShareCountsAsTheLargerOfLentAndPlaced) {
+TEST(TeamAccount, CommitsTheLargerOfAllocatedAndPlaced) {
   EXPECT_EQ(TeamAccount(kLimit, 1, {{4, 6, 0, 0}, {5, 2, 0, 0}}).Committed(), 12);
 }
 
-// The other may still start what was lent to it: only the review after the recall lends it.
-TEST(TeamAccount, WhatIsRecalledIsNotLentInTheSameReview) {
+// The other block owner may still start tasks under its old allocation, so that the amount is
+// allocated only by the review after the reclaim.
+TEST(TeamAccount, DoesNotReallocateAReclaimedAmountInTheSameReview) {
   const auto allocated = Rebalanced(kLimit, {{2, 2, 3, 0}, {10, 4, 0, 0}});
   EXPECT_EQ(allocated[0], 2);
   EXPECT_EQ(allocated[1], 7);
   EXPECT_EQ(Rebalanced(kLimit, {{2, 2, 3, 0}, {7, 4, 0, 0}})[0], 5);
 }
 
-TEST(TeamAccount, ATaskLargerThanAnEvenShareGetsItsRoomByRecall) {
+TEST(TeamAccount, ReclaimsForATaskLargerThanAnEvenAllocation) {
   std::vector<OwnerAmounts> positions = {{4, 0, 0, 0}, {4, 0, 9, 0}, {4, 0, 0, 0}};
   for (int review = 0; review < 2; ++review) {
     const auto allocated = Rebalanced(kLimit, positions);
@@ -54,54 +57,54 @@
   EXPECT_GE(positions[1].allocated, 9);
 }
 
-TEST(TeamAccount, ALimitBelowWhatRunsStopsNewStartsAndNothingElse) {
+TEST(TeamAccount, ALimitBelowTheUsageStopsOnlyNewStarts) {
   std::vector<OwnerAmounts> positions = {{8, 8, 0, 0}, {4, 4, 2, 0}};
   auto allocated = Rebalanced(6, positions);
   EXPECT_LE(allocated[0] + allocated[1], 6);
-  // As tasks end, no start follows until the whole is within the limit.
+  // As tasks end, no new task may start until the total usage is within the limit.
   positions = {{allocated[0], 7, 0, 0}, {allocated[1], 3, 2, 0}};
   allocated = Rebalanced(6, positions);
   EXPECT_LT(allocated[0], 7);
   EXPECT_LT(allocated[1], 3);
 }
 
-TEST(TeamAccount, WithheldRoomIsLeftAsTasksEnd) {
+TEST(TeamAccount, ReducesAnAllocationByTheWithheldAmount) {
   const auto allocated = Rebalanced(kLimit, {{12, 12, 0, 3}, {0, 0, 0, 0}});
   EXPECT_EQ(allocated, (std::vector<double>{9, 0}));
 }
 
-TEST(TeamAccount, SharesThatContradictTheLimitShrinkToIt) {
+TEST(TeamAccount, ShrinksAllocationsAboveTheLimit) {
   const auto allocated = Rebalanced(kLimit, {{10, 1, 0, 0}, {10, 2, 0, 0}});
   EXPECT_LE(allocated[0] + allocated[1], kLimit);
 }
 
-// Any holder may place up to its old or its new share, whichever is in force when it does. From any
-// state within the limit, no mixture of old and new shares goes beyond it.
-TEST(TeamAccount, NoMixtureOfOldAndNewSharesGoesBeyondTheLimit) {
+// A block owner may place up to its old or its new allocation, whichever is in effect at that time.
+// From any state within the limit, no mixture of old and new allocations may exceed the limit.
+TEST(TeamAccount, NoMixtureOfOldAndNewAllocationsExceedsTheLimit) {
   for (uint64_t seed = 0; seed < 3000; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 8);
-    std::bernoulli_distribution often(0.5);
+    std::bernoulli_distribution coin_flip(0.5);
     std::vector<OwnerAmounts> positions(std::uniform_int_distribution<size_t>(1, 9)(random));
     for (OwnerAmounts& p : positions) {
-      p = {amount(random), often(random) ? amount(random) : 0, often(random) ? amount(random) : 0,
-           often(random) ? 0 : amount(random)};
+      p = {amount(random), coin_flip(random) ? amount(random) : 0,
+           coin_flip(random) ? amount(random) : 0, coin_flip(random) ? 0 : amount(random)};
     }
-    const double outside = often(random) ? amount(random) : 0;
+    const double outside = coin_flip(random) ? amount(random) : 0;
     const double committed = TeamAccount(0, outside, positions).Committed();
-    const double limit = committed + (often(random) ? amount(random) : 0);
+    const double limit = committed + (coin_flip(random) ? amount(random) : 0);
     const auto allocated = Rebalanced(limit, positions, outside);
-    double worst = outside;
+    double worst_total = outside;
     for (size_t i = 0; i < positions.size(); ++i) {
-      worst += std::max({positions[i].allocated, positions[i].placed, allocated[i]});
+      worst_total += std::max({positions[i].allocated, positions[i].placed, allocated[i]});
     }
-    ASSERT_LE(worst, limit + 1e-6) << "seed " << seed;
+    ASSERT_LE(worst_total, limit + 1e-6) << "seed " << seed;
   }
 }
 
-// What the plan needs, which is within the limit, is lent within a few reviews, and then nothing
-// moves any more.
-TEST(TeamAccount, NeedsAreMetAndReviewsComeToRest) {
+// Needs of the plan that are within the limit must be allocated within a few reviews. After that, a
+// review must change nothing.
+TEST(TeamAccount, MeetsNeedsWithinTheLimitAndConverges) {
   for (uint64_t seed = 0; seed < 1000; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 4);
@@ -111,7 +114,7 @@
       p = {0, amount(random), amount(random), 0};
       needs += p.placed + p.planned;
     }
-    // All the rest lies idle with one holder.
+    // The rest of the limit is allocated to one block owner and idle.
     positions[0].allocated = positions[0].placed + amount(random);
     const double limit = std::max(needs, TeamAccount(0, 0, positions).Committed());
     std::vector<double> allocated;
@@ -126,7 +129,7 @@
   }
 }
 
-TEST(AllocationRecords, AreReadAsWrittenAndBadOnesCountAsNone) {
+TEST(AllocationRecordFormat, RoundTripsAndReadsInvalidRecordsAsAbsent) {
   const AllocationRecord record{77, {{"team", {4.5, 1}}, {"other", {0, 2}}}};
   EXPECT_EQ(ReadAllocation(WriteAllocation(record)), record);
   for (const char* bad :
@@ -136,7 +139,7 @@
   }
 }
 
-TEST(AllocationRecords, WhatDoesNotFitAValueLosesTheSmallestAmounts) {
+TEST(AllocationRecordFormat, DropsTheSmallestAmountsToFitTheValueLimit) {
   AllocationRecord record{1, {}};
   for (int i = 0; i < 100; ++i) record.allocated["team-" + std::to_string(i)] = {1.0 + i, 0};
   const AllocationRecord trimmed = TrimToSize(record, 1024);
@@ -148,40 +151,40 @@
 class AllocationPlannerTest : public testing::Test {
  protected:
   std::vector<AllocationChange> Review() const {
-    return PlanAllocationChanges(teams_, {}, holders_, 8192);
+    return PlanAllocationChanges(teams_, {}, owners_, 8192);
   }
   std::vector<config::Team> teams_ = {{"free", 0, 0, 0, 0}, {"team", 0, 8, 0, 2}};
-  std::vector<OwnerAccount> holders_ = {{"a", 5, {}, {}, {}, {}}, {"b", 6, {}, {}, {}, {}}};
+  std::vector<OwnerAccount> owners_ = {{"a", 5, {}, {}, {}, {}}, {"b", 6, {}, {}, {}, {}}};
 };
 
-TEST_F(AllocationPlannerTest, OnlyTeamsWithALimitAreLentAnything) {
+TEST_F(AllocationPlannerTest, AllocatesOnlyToTeamsWithALimit) {
   const auto changes = Review();
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(changes[0].record, (AllocationRecord{5, {{"team", {4, 1}}}}));
   EXPECT_EQ(changes[1].record.allocation_epoch, 6U);
-  for (size_t i = 0; i < 2; ++i) holders_[i].allocation = changes[i].record;
-  EXPECT_TRUE(Review().empty()) << "nothing is written again";
+  for (size_t i = 0; i < 2; ++i) owners_[i].allocation = changes[i].record;
+  EXPECT_TRUE(Review().empty()) << "an unchanged allocation must not be written again";
 }
 
-TEST_F(AllocationPlannerTest, AShareOfAnEarlierGrantLendsNothing) {
-  holders_[0].allocation = {4, {{"team", {8, 2}}}};
+TEST_F(AllocationPlannerTest, AnAllocationOfAnEarlierEpochCountsAsZero) {
+  owners_[0].allocation = {4, {{"team", {8, 2}}}};
   EXPECT_EQ(Review()[0].record.allocated.at("team").cpus, 4);
-  EXPECT_EQ(RemainingQuota(teams_[1], holders_[0].allocation, 5, {}).cpus, 0);
-  EXPECT_EQ(RemainingQuota(teams_[1], holders_[0].allocation, 4, {{"team", {3, 0}}}).cpus, 5);
-  EXPECT_GT(RemainingQuota(teams_[0], holders_[0].allocation, 5, {}).cpus, 1e9) << "no limit";
+  EXPECT_EQ(RemainingQuota(teams_[1], owners_[0].allocation, 5, {}).cpus, 0);
+  EXPECT_EQ(RemainingQuota(teams_[1], owners_[0].allocation, 4, {{"team", {3, 0}}}).cpus, 5);
+  EXPECT_GT(RemainingQuota(teams_[0], owners_[0].allocation, 5, {}).cpus, 1e9) << "no limit";
 }
 
-TEST(Usage, CountsWhatIsRecordedByTheHolderOfItsMachine) {
+TEST(Usage, CountsPlacedTasksByTheBlockOwnerOfTheirMachine) {
   jobs::JobTable job_table(335);
   PutJob(job_table, Spec("run-1", 4, 2));
   Place(job_table, "run-1", 0, 1, "vm-1");
   Place(job_table, "run-1", 1, 1, "vm-2");
   Place(job_table, "run-1", 2, 3, "vm-9");
-  const auto holder_of = [](const std::string& machine) -> std::optional<size_t> {
+  const auto owner_of = [](const std::string& machine) -> std::optional<size_t> {
     if (machine == "vm-9") return std::nullopt;
     return machine == "vm-1" ? 0 : 1;
   };
-  const Usage usage = CountPlaced(job_table, 2, holder_of);
+  const Usage usage = CountPlaced(job_table, 2, owner_of);
   EXPECT_EQ(usage.by_owner[0].at("team").cpus, 2);
   EXPECT_EQ(usage.by_owner[1].at("team").cpus, 2);
   EXPECT_EQ(usage.unowned.at("team").cpus, 2);
