--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -17,13 +17,13 @@
 
 class AutoscalerTest : public testing::Test {
  protected:
-  AutoscalerTest() : settings_(SettingsOf()), job_table_(64), registry_({3, 30, 3, 3}) {
+  AutoscalerTest() : settings_(TestSettings()), job_table_(64), registry_({3, 30, 3, 3}) {
     context_.settings = &settings_;
     context_.operators = &operator_options_;
-    context_.machine_types = {MachineTypeOf("c4", 4)};
+    context_.machine_types = {MakeMachineType("c4", 4)};
   }
   void Heartbeat(int vm, uint64_t sequence, double now) {
-    registry_.OnHeartbeat(ReportOf("vm-" + std::to_string(vm), 1, sequence, kTestToken), now,
+    registry_.OnHeartbeat(MakeHeartbeat("vm-" + std::to_string(vm), 1, sequence, kTestToken), now,
                           false);
   }
   bool MarkForTermination(double now) {
@@ -86,7 +86,7 @@
 TEST_F(AutoscalerTest, WaitsLongerBeforeTerminatingSilentZone) {
   registry_.BeginTerm(kTestToken, 0, 0);
   auto heartbeat = [&](int vm, uint64_t sequence, double now) {
-    model::Heartbeat report = ReportOf("vm-" + std::to_string(vm), 1, sequence, kTestToken);
+    model::Heartbeat report = MakeHeartbeat("vm-" + std::to_string(vm), 1, sequence, kTestToken);
     report.zone = vm < 4 ? "a" : "b";
     registry_.OnHeartbeat(report, now, false);
   };
@@ -181,7 +181,7 @@
   Heartbeat(1, 1, decided_at + 1);
   Machine& machine = *registry_.Find("vm-1");
   EXPECT_FALSE(registry_.AcceptsTasks(machine, decided_at + 1));
-  Place(job_table_, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
   EXPECT_TRUE(Reconcile(registry_, machine, job_table_, false).empty());
   EXPECT_TRUE(machine.cloud.terminating) << "a heartbeat does not revoke the termination";
   registry_.OnTerminated("vm-1");
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -256,10 +256,10 @@
   int placed = 0;
   for (uint32_t i = 0; placed < 3; ++i) {
     if (division.OwnerOf(MachineName(static_cast<int>(i))) != 1U) continue;
-    Place(job_table, "run-1", i, 1, MachineName(static_cast<int>(i)));
+    PutOpenTask(job_table, "run-1", i, 1, MachineName(static_cast<int>(i)));
     ++placed;
   }
-  config::Settings settings = SettingsOf();
+  config::Settings settings = TestSettings();
   settings.teams = {{"team", 0, 12, 0, 0}};
   const plan::PlacementScope scope = records_.OwnerScope(1, 1, 0, settings, job_table);
   EXPECT_EQ(scope.team_allowances.at("team").cpus, 1);
@@ -272,8 +272,8 @@
     for (int i = 0; i < 30; ++i) ReportHeartbeat(i, 1);
   }
   void ReportHeartbeat(int i, uint64_t sequence, bool busy = false) {
-    model::Heartbeat report = ReportOf(MachineName(i), 1, sequence, {});
-    if (busy) report.tasks.push_back(TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning));
+    model::Heartbeat report = MakeHeartbeat(MachineName(i), 1, sequence, {});
+    if (busy) report.tasks.push_back(MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning));
     leader_registry_.OnHeartbeat(report, 1, false);
   }
   std::vector<wire::BlockView> NextViews(uint64_t token = 5) {
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -34,8 +34,8 @@
         registry_({kReport, kLease, 3, 3}) {
     PutJob(job_table_, Spec("run-1", 2));
     PutJob(job_table_, Spec("run-2", 1));
-    Place(job_table_, "run-1", 0, 1, "vm-1");
-    Place(job_table_, "run-2", 0, 1, "vm-1");
+    PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
+    PutOpenTask(job_table_, "run-2", 0, 1, "vm-1");
     registry_.BeginTerm(kToken, -100, -100);
     on_machine_ = {{"run-1", true}, {"run-2", true}};
     watermark_.OnCacheConfirmed(kRefused);
@@ -79,9 +79,9 @@
       if (now >= next && watermark_.MayRenewLeases(now)) {
         next = now + kReport;
         renewed = now;
-        model::Heartbeat r = ReportOf("vm-1", session, ++sequence, kToken);
+        model::Heartbeat r = MakeHeartbeat("vm-1", session, ++sequence, kToken);
         for (const auto& [job, there] : on_machine_) {
-          if (there) r.tasks.push_back(TaskReportOf(job, 0, 1, model::TaskPhase::kRunning));
+          if (there) r.tasks.push_back(MakeTaskStatus(job, 0, 1, model::TaskPhase::kRunning));
         }
         registry_.OnHeartbeat(r, now, false);
         for (const model::WorkerCommand& o :
--- a/tests/capacity_demand_test.cc
+++ b/tests/capacity_demand_test.cc
@@ -16,8 +16,8 @@
 using namespace testing_support;
 
 TEST(CapacityDemand, SortsSuitableTypesByPricePerTask) {
-  std::vector<model::MachineType> types = {MachineTypeOf("c2", 2), MachineTypeOf("c8", 8),
-                                           MachineTypeOf("c16", 16)};
+  std::vector<model::MachineType> types = {MakeMachineType("c2", 2), MakeMachineType("c8", 8),
+                                           MakeMachineType("c16", 16)};
   types[0].spot_price = 0.1;
   types[1].spot_price = 0.3;
   types[2].spot_price = 1.0;
@@ -38,10 +38,10 @@
 }
 
 TEST(CapacityDemand, UnmappedJobsDemandOnlyWorkThatMachinesCannotCompleteInTime) {
-  const config::Settings settings = SettingsOf();
+  const config::Settings settings = TestSettings();
   PlanningContext context;
   context.settings = &settings;
-  context.machine_types = {MachineTypeOf("c4", 4)};
+  context.machine_types = {MakeMachineType("c4", 4)};
   jobs::JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 5));
   PutJob(job_table, Spec("run-2", 24));
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -131,7 +131,7 @@
   Cancel("run-1");
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2", "run-1"}));
   // A job that was cancelled while its tasks run takes its time; those after it are final already.
-  Place(job_table_, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
   EXPECT_EQ(Ends(), (std::vector<std::string>{"run-3", "run-2"}));
   // Halfway along, with another leader: the rest of the way is not lost.
   Drop("run-3");
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -61,7 +61,7 @@
   static std::string At(int n) { return PortBlock::OfProcess().At(n); }
 
   config::Settings NodeSettings(int i, int count) {
-    config::Settings s = SettingsOf();
+    config::Settings s = TestSettings();
     s.node = "node-" + std::to_string(i);
     s.listen = At(2 * i);
     s.peer_bind = At(2 * i + 1);
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -49,7 +49,8 @@
 // A sound job whose tasks were spread over many machines must not be throttled because a few of
 // these machines are faulty.
 TEST_F(FailureTrackerTest, DoesNotSuspectJobThatRunsOnMoreMachinesThanItFailedOn) {
-  for (uint32_t i = 0; i < 4; ++i) Place(job_table_, "run-1", i, 1, "vm-" + std::to_string(5 + i));
+  for (uint32_t i = 0; i < 4; ++i)
+    PutOpenTask(job_table_, "run-1", i, 1, "vm-" + std::to_string(5 + i));
   FailOnMachines("run-1", 3, 1);
   EXPECT_FALSE(tracker_.IsSuspected("run-1"));
   for (int i = 5; i < 9; ++i) tracker_.OnFailure("run-1", "vm-" + std::to_string(i), 2);
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -46,8 +46,8 @@
                   store::WriteTaskGroup(task_group));
 }
 
-inline void Place(jobs::JobTable& job_table, const std::string& id, uint32_t index,
-                  uint64_t attempt, const std::string& machine) {
+inline void PutOpenTask(jobs::JobTable& job_table, const std::string& id, uint32_t index,
+                        uint64_t attempt, const std::string& machine) {
   const jobs::Job* job = job_table.Find(id);
   const uint32_t number = job->groups.layout().GroupOf(index);
   store::TaskGroup task_group;
@@ -57,8 +57,8 @@
   PutTaskGroup(job_table, id, number, task_group);
 }
 
-inline model::Heartbeat ReportOf(const std::string& machine, uint64_t agent_epoch,
-                                 uint64_t sequence, model::FencingToken token) {
+inline model::Heartbeat MakeHeartbeat(const std::string& machine, uint64_t agent_epoch,
+                                      uint64_t sequence, model::FencingToken token) {
   model::Heartbeat r;
   r.machine = machine;
   r.endpoint = "127.0.0.1:1";
@@ -70,9 +70,9 @@
   return r;
 }
 
-inline model::TaskStatus TaskReportOf(const std::string& job, uint32_t index, uint64_t attempt,
-                                      model::TaskPhase state,
-                                      model::ExitCause cause = model::ExitCause::kNone) {
+inline model::TaskStatus MakeTaskStatus(const std::string& job, uint32_t index, uint64_t attempt,
+                                        model::TaskPhase state,
+                                        model::ExitCause cause = model::ExitCause::kNone) {
   model::TaskStatus p;
   p.task = {job, index};
   p.attempt = attempt;
@@ -81,7 +81,7 @@
   return p;
 }
 
-inline config::Settings SettingsOf() {
+inline config::Settings TestSettings() {
   config::Settings s;
   s.node = "node-0";
   s.teams = {{"team", 0, 0, 0, 0}};
@@ -99,7 +99,7 @@
   return s;
 }
 
-inline model::MachineType MachineTypeOf(const std::string& name, double cpus) {
+inline model::MachineType MakeMachineType(const std::string& name, double cpus) {
   model::MachineType f;
   f.name = name;
   f.cpus = cpus;
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -17,10 +17,10 @@
 
 class JobOrderTest : public testing::Test {
  protected:
-  JobOrderTest() : settings_(SettingsOf()), job_table_(64) {
+  JobOrderTest() : settings_(TestSettings()), job_table_(64) {
     context_.settings = &settings_;
     context_.operators = &operator_options_;
-    context_.machine_types = {MachineTypeOf("c4", 4)};
+    context_.machine_types = {MakeMachineType("c4", 4)};
   }
   const jobs::Job& Put(const std::string& id, model::Priority priority, double age) {
     model::JobSpec spec = Spec(id, 4);
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -18,7 +18,7 @@
 TEST(JobTable, TaskGroupsWithoutTheirJobAreObsolete) {
   JobTable job_table(4);
   PutJob(job_table, Spec("run-1", 40));
-  Place(job_table, "run-1", 9, 1, "");
+  PutOpenTask(job_table, "run-1", 9, 1, "");
   job_table.Apply(store::ParseKey(store::JobKey("run-1")), "");
   auto obsolete = job_table.ObsoleteKeys();
   ASSERT_EQ(obsolete.size(), 1U);
@@ -150,8 +150,8 @@
   record.spec = Spec("run-2", 100);
   record.tasks_per_group = 70;
   job_table.Apply(store::ParseKey(store::JobKey("run-2")), store::WriteJob(record));
-  Place(job_table, "run-2", 69, 1, "vm-1");
-  Place(job_table, "run-2", 70, 1, "vm-1");
+  PutOpenTask(job_table, "run-2", 69, 1, "vm-1");
+  PutOpenTask(job_table, "run-2", 70, 1, "vm-1");
   const Job& job = *job_table.Find("run-2");
   EXPECT_EQ(job.task_groups().size(), 2U);
   EXPECT_EQ(job.groups.layout().EndTask(0), 70U);
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -24,14 +24,14 @@
   static constexpr size_t kTasksPerJob = 1000;
 
   explicit LargeFleet(size_t machines)
-      : settings_(SettingsOf()),
+      : settings_(TestSettings()),
         job_table_(64),
         registry_(RegistryOptions(settings_)),
         machine_count_(machines) {
     settings_.lease_s = 22;
     context_.settings = &settings_;
     context_.operators = &operator_options_;
-    context_.machine_types = {MachineTypeOf("c4", kCpusPerMachine)};
+    context_.machine_types = {MakeMachineType("c4", kCpusPerMachine)};
   }
 
   static std::string MachineName(size_t i) { return fmt::format("vm-{:06}", i); }
@@ -52,11 +52,11 @@
   void TakeOver(double now) {
     registry_.BeginTerm(kToken, now, now);
     for (size_t i = 0; i < machine_count_; ++i) {
-      model::Heartbeat report = ReportOf(MachineName(i), 1, 1, kToken);
+      model::Heartbeat report = MakeHeartbeat(MachineName(i), 1, 1, kToken);
       report.zone = i % 2 == 0 ? "a" : "b";
       for (const auto& [task, attempt] : job_table_.PlacementsOn(MachineName(i))) {
         report.tasks.push_back(
-            TaskReportOf(task.job, task.index, attempt, model::TaskPhase::kRunning));
+            MakeTaskStatus(task.job, task.index, attempt, model::TaskPhase::kRunning));
       }
       registry_.OnHeartbeat(report, now, false);
       fleet::Machine* machine = registry_.Find(report.machine);
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -53,7 +53,7 @@
 constexpr double kShortLease = 8;
 
 config::Settings LeaderSettings(double heartbeat_interval_s, double lease_s) {
-  config::Settings s = SettingsOf();
+  config::Settings s = TestSettings();
   s.heartbeat_interval_s = heartbeat_interval_s;
   s.lease_s = lease_s;
   return s;
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -298,7 +298,7 @@
 }
 
 TEST(MembersCommand, ExitsWithStatus1WhenNoNodeIsReachable) {
-  config::Settings settings = SettingsOf();
+  config::Settings settings = TestSettings();
   settings.peer_bind = "127.0.0.1:1";
   settings.seeds = {{"node-1", "a", "127.0.0.1:1"}};
   EXPECT_EQ(cli::RunMembersCommand(settings, false), 1);
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -210,7 +210,7 @@
     std::string error;
     auto listener = net::Listener::Open(*net::ParseAddress(At(1)), &error);
     RequireStarted(listener.has_value(), "a listener", error);
-    config::Settings s = SettingsOf();
+    config::Settings s = TestSettings();
     s.node = "node-0";
     s.heartbeat_interval_s = 4;  // a beat of 0.5 s
     s.peer_bind = At(2);
@@ -246,7 +246,7 @@
  public:
   static constexpr double kBeat = 0.1;
   std::unique_ptr<net::PeerMesh> Mesh(int node, config::Settings& s) {
-    s = SettingsOf();
+    s = TestSettings();
     s.node = "node-" + std::to_string(node);
     s.heartbeat_interval_s = 8 * kBeat;
     s.peer_bind = At(1 + node);
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -232,40 +232,41 @@
   EXPECT_TRUE(std::get<MemberProbe>(*back).status.observations.at(0).last_heard_ms_ago);
 }
 
-std::string FaultOf(const std::string& payload) {
+std::string DecodeErrorOf(const std::string& payload) {
   const auto message = ReadPeerMessage(payload);
   EXPECT_FALSE(message);
   return message ? std::string() : message.error().reason;
 }
 
 TEST(PeerMessages, AFaultNamesTheMessageAndTheField) {
-  EXPECT_EQ(FaultOf("\x63"), "a message of an unknown type: message type has the invalid value 99");
-  EXPECT_EQ(FaultOf(WritePeerMessage(MembersRequest{}) + "x"),
+  EXPECT_EQ(DecodeErrorOf("\x63"),
+            "a message of an unknown type: message type has the invalid value 99");
+  EXPECT_EQ(DecodeErrorOf(WritePeerMessage(MembersRequest{}) + "x"),
             "a members request: unexpected bytes after the message");
   std::string report = WritePeerMessage(MembersReport{});
-  EXPECT_EQ(FaultOf(report.substr(0, report.size() - 1)), "a members report: truncated");
+  EXPECT_EQ(DecodeErrorOf(report.substr(0, report.size() - 1)), "a members report: truncated");
   constexpr size_t kRowCount = 3;  // behind the type, an empty name and a flag
   std::string rows = report.substr(0, kRowCount);
   PutVarint(rows, 10001);
-  EXPECT_EQ(FaultOf(rows), "a members report: member count has the invalid value 10001");
+  EXPECT_EQ(DecodeErrorOf(rows), "a members report: member count has the invalid value 10001");
   MembersReport one;
   one.rows.push_back({"", {0, 0}, model::MemberState::kLeft, true, false, 0, {}, ""});
   std::string state = WritePeerMessage(one);
   constexpr size_t kState = kRowCount + 1 + 3;  // behind the count, a name and an incarnation
   ASSERT_EQ(state[kState], static_cast<char>(model::MemberState::kLeft));
   state[kState] = 4;
-  EXPECT_EQ(FaultOf(state), "a members report: member state has the invalid value 4");
+  EXPECT_EQ(DecodeErrorOf(state), "a members report: member state has the invalid value 4");
   BlockView machine;
   machine.changed.push_back(
       {.machine = "", .machine_type = "", .zone = "", .images = {}, .tasks = {{}}});
   std::string phase = WritePeerMessage(machine);
   constexpr size_t kPhase = 14;  // behind the view's head, the machine's and the task's name
   phase[kPhase] = 9;
-  EXPECT_EQ(FaultOf(phase), "a block view: task phase has the invalid value 9");
+  EXPECT_EQ(DecodeErrorOf(phase), "a block view: task phase has the invalid value 9");
   std::string answer = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
   answer.resize(3);  // the type, an id and a flag
   PutVarint(answer, 1000);
-  EXPECT_EQ(FaultOf(answer), "a relay response: HTTP status has the invalid value 1000");
+  EXPECT_EQ(DecodeErrorOf(answer), "a relay response: HTTP status has the invalid value 1000");
 }
 
 TEST(PeerMessages, EachHasAName) {
--- a/tests/placement_proof_test.cc
+++ b/tests/placement_proof_test.cc
@@ -29,7 +29,7 @@
   Heartbeat(1, 5, kToken, 1);  // the response contains the start command
   CancelJob();
   EXPECT_FALSE(IsRequeued(1));
-  model::Heartbeat direct = ReportOf("vm-1", 1, 6, kToken);
+  model::Heartbeat direct = MakeHeartbeat("vm-1", 1, 6, kToken);
   registry_.OnHeartbeat(direct, 1.5, true);
   EXPECT_FALSE(IsRequeued(1.5))
       << "a response to /commands may overtake the response to a heartbeat";
@@ -38,7 +38,7 @@
 }
 
 TEST_F(PlacementProofTest, IgnoresStaleReport) {
-  Heartbeat(1, 9, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(1, 9, kToken, 1, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   CancelJob();
   Heartbeat(1, 4, kToken, 60);  // delayed by a minute
   EXPECT_FALSE(IsRequeued(20));
@@ -46,8 +46,8 @@
 
 TEST_F(PlacementProofTest, LostDirectStartCountsAsAliveUntilEpochEnds) {
   Heartbeat(1, 1, kToken, 1,
-            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
-  Place(job_table_, "run-1", 0, 2, "vm-1");
+            {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
+  PutOpenTask(job_table_, "run-1", 0, 2, "vm-1");
   auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
   CancelJob();
@@ -72,7 +72,7 @@
 }
 
 TEST_F(PlacementProofTest, SilentMachineKeepsPlacementUntilLeaseOfLastPossibleResponseExpires) {
-  Heartbeat(1, 1, kToken, 50, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(1, 1, kToken, 50, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   EXPECT_FALSE(IsRequeued(80)) << "the lease counts from the response, by the worker's clock";
   EXPECT_TRUE(IsRequeued(82));
 }
@@ -80,7 +80,7 @@
 // Duplicates of a heartbeat that keep arriving for longer than a lease must not renew the lease:
 // the worker that sent the heartbeat may be long gone.
 TEST_F(PlacementProofTest, DuplicateHeartbeatsNeitherRenewLeaseNorRestoreState) {
-  const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
+  const auto runs = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
   Heartbeat(1, 5, kToken, 50, {runs});
   for (double t = 52; t < 81; t += 2) Heartbeat(1, 4, kToken, t, {runs});
   EXPECT_FALSE(IsRequeued(80));
@@ -89,7 +89,7 @@
       << "a silent machine gets no new tasks";
   // The task now runs elsewhere, and the agent has begun a new epoch. A duplicate from before must
   // not undo either.
-  Place(job_table_, "run-1", 0, 2, "vm-2");
+  PutOpenTask(job_table_, "run-1", 0, 2, "vm-2");
   Heartbeat(2, 9, kToken, 83);
   auto commands = Heartbeat(1, 6, kToken, 140, {runs});
   EXPECT_TRUE(commands.empty());
@@ -104,7 +104,7 @@
   CancelJob();
   Heartbeat(1, 40, kFormerToken, 20);
   EXPECT_FALSE(IsRequeued(21));
-  Heartbeat(3, 90, kFormerToken, 22, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(3, 90, kFormerToken, 22, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   EXPECT_FALSE(IsRequeued(23)) << "it runs in the newer epoch";
   Heartbeat(1, 41, kFormerToken, 24);
   EXPECT_EQ(registry_.Find("vm-1")->reported_tasks.size(), 1U);
@@ -114,14 +114,14 @@
 // agent's next epoch a direct command starts the recorded attempt again. The new epoch has a
 // separate lease, so the expiry of the first lease does not prove that the attempt is gone.
 TEST_F(PlacementProofTest, AttemptStartedByDirectCommandLivesUntilLeaseOfItsEpochExpires) {
-  Heartbeat(1, 1, kToken, 0, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
-  registry_.OnHeartbeat(ReportOf("vm-1", 2, 9, kToken), 30.5,
+  Heartbeat(1, 1, kToken, 0, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
+  registry_.OnHeartbeat(MakeHeartbeat("vm-1", 2, 9, kToken), 30.5,
                         true);  // the response to a direct command
   auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].kind, model::CommandKind::kRun);
-  model::Heartbeat started = ReportOf("vm-1", 2, 10, kToken);
-  started.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)};
+  model::Heartbeat started = MakeHeartbeat("vm-1", 2, 10, kToken);
+  started.tasks = {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)};
   registry_.OnHeartbeat(started, 31, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, true);
   EXPECT_FALSE(IsRequeued(45)) << "it runs in the second epoch until the lease of that one expires";
@@ -135,13 +135,13 @@
 }
 
 TEST_F(PlacementProofTest, ConfirmedTerminationFreesPlacementAtOnce) {
-  Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(1, 1, kToken, 1, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   registry_.OnTerminated("vm-1");
   EXPECT_TRUE(IsRequeued(1));
 }
 
 TEST_F(PlacementProofTest, UnlistedMachineIsGoneOnlyAfterListLag) {
-  Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(1, 1, kToken, 1, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   model::CloudMachine listed{
       "vm-1", "127.0.0.1:1", "c4", "a", false, model::CloudMachineState::kRunning, 5};
   registry_.OnCloudList({listed}, 1, 2);
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -21,10 +21,10 @@
   low.priority = model::Priority::kBestEffort;
   low.estimated_run_s = 500;
   PutJob(job_table_, low);
-  model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
+  model::Heartbeat report = MakeHeartbeat("vm-1", 1, 1, kTestToken);
   for (uint32_t i = 0; i < 4; ++i) {
-    Place(job_table_, "run-1", i, 1, "vm-1");
-    report.tasks.push_back(TaskReportOf("run-1", i, 1, model::TaskPhase::kRunning));
+    PutOpenTask(job_table_, "run-1", i, 1, "vm-1");
+    report.tasks.push_back(MakeTaskStatus("run-1", i, 1, model::TaskPhase::kRunning));
     report.sequence = i + 1;
     registry_.OnHeartbeat(report, 60 + i, false);
   }
@@ -50,13 +50,13 @@
   shorter.estimated_run_s = 100;
   PutJob(job_table_, longer);
   PutJob(job_table_, shorter);
-  Place(job_table_, "run-1", 0, 1, "vm-1");
-  Place(job_table_, "run-3", 0, 1, "vm-1");
-  model::Heartbeat r = ReportOf("vm-1", 1, 1, kTestToken);
-  r.tasks = {TaskReportOf("run-3", 0, 1, model::TaskPhase::kRunning)};
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table_, "run-3", 0, 1, "vm-1");
+  model::Heartbeat r = MakeHeartbeat("vm-1", 1, 1, kTestToken);
+  r.tasks = {MakeTaskStatus("run-3", 0, 1, model::TaskPhase::kRunning)};
   registry_.OnHeartbeat(r, 96, false);
   r.sequence = 2;
-  r.tasks.push_back(TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning));
+  r.tasks.push_back(MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning));
   registry_.OnHeartbeat(r, 99, false);
   auto urgent = Spec("run-2", 1, 2);
   urgent.priority = model::Priority::kUrgent;
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -177,9 +177,9 @@
 TEST(Usage, CountsPlacedTasksByTheBlockOwnerOfTheirMachine) {
   jobs::JobTable job_table(335);
   PutJob(job_table, Spec("run-1", 4, 2));
-  Place(job_table, "run-1", 0, 1, "vm-1");
-  Place(job_table, "run-1", 1, 1, "vm-2");
-  Place(job_table, "run-1", 2, 3, "vm-9");
+  PutOpenTask(job_table, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table, "run-1", 1, 1, "vm-2");
+  PutOpenTask(job_table, "run-1", 2, 3, "vm-9");
   const auto owner_of = [](const std::string& machine) -> std::optional<size_t> {
     if (machine == "vm-9") return std::nullopt;
     return machine == "vm-1" ? 0 : 1;
--- a/tests/reconciliation_test.cc
+++ b/tests/reconciliation_test.cc
@@ -28,16 +28,16 @@
   Heartbeat(1, 1, kToken, 1);
   auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
-  Place(job_table_, "run-1", 0, 1, "");  // the end of the attempt is recorded
+  PutOpenTask(job_table_, "run-1", 0, 1, "");  // the end of the attempt is recorded
   auto answer = Heartbeat(
       1, 2, kToken, 2,
-      {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
+      {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
   EXPECT_TRUE(answer.empty())
       << "after a forget command, a late start command would run the attempt again";
 }
 
 TEST_F(ReconciliationTest, SendsForgetOnlyOnceCompletionIsRecorded) {
-  auto done = TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone);
+  auto done = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone);
   auto commands = Heartbeat(1, 1, kToken, 1, {done});
   EXPECT_TRUE(commands.empty());
   auto outcomes = CollectTaskTransitions(registry_, job_table_, 1);
@@ -53,8 +53,8 @@
 
 TEST_F(ReconciliationTest, StopsTasksThatAreNotRecorded) {
   auto commands = Heartbeat(1, 1, kToken, 1,
-                            {TaskReportOf("run-9", 3, 2, model::TaskPhase::kRunning),
-                             TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+                            {MakeTaskStatus("run-9", 3, 2, model::TaskPhase::kRunning),
+                             MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].kind, model::CommandKind::kStop);
   EXPECT_EQ(commands[0].task.job, "run-9");
@@ -63,7 +63,7 @@
 TEST_F(ReconciliationTest, StopsCancelledTasksWithoutGracePeriod) {
   CancelJob();
   auto commands =
-      Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+      Heartbeat(1, 1, kToken, 1, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].kind, model::CommandKind::kStop);
   EXPECT_EQ(commands[0].grace_s, 0);
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -143,7 +143,7 @@
   std::vector<model::MachineType> machine_types;
   machine_types.reserve(40);
   for (int i = 0; i < 40; ++i)
-    machine_types.push_back(MachineTypeOf("c" + std::to_string(i), i + 1));
+    machine_types.push_back(MakeMachineType("c" + std::to_string(i), i + 1));
   EXPECT_EQ(WriteMachineTypePages({machine_types[0]}, 2048).at(0),
             wire::WriteMachineTypes({machine_types[0]}));
   const auto pages = WriteMachineTypePages(machine_types, 2048);
--- a/tests/response_acknowledgement_test.cc
+++ b/tests/response_acknowledgement_test.cc
@@ -31,12 +31,12 @@
   for (int i = 2; i <= 6; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i);
   EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 18));
   // A late report of the commanded task shows that the responses do arrive.
-  Heartbeat(1, 7, kToken, 21, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kFetching)});
+  Heartbeat(1, 7, kToken, 21, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kFetching)});
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 21));
 }
 
 TEST_F(ResponseAcknowledgementTest, MachineThatStartsNewEpochDespiteResponsesGetsNoTasks) {
-  const auto runs = TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning);
+  const auto runs = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
   for (int i = 1; i <= 10; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {runs});
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 30));
   Heartbeat(2, 11, kToken, 33);
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -53,7 +53,7 @@
 TEST_F(RetryBudgetTest, RetriesJobThatFailedOnAllSuitableMachines) {
   AddMachine("vm-1");
   for (int i = 2; i < 6; ++i) {
-    model::Heartbeat other = ReportOf("vm-" + std::to_string(i), 1, 1, kTestToken);
+    model::Heartbeat other = MakeHeartbeat("vm-" + std::to_string(i), 1, 1, kTestToken);
     other.zone = "b";
     registry_.OnHeartbeat(other, 100, false);
   }
--- a/tests/round_fixture.h
+++ b/tests/round_fixture.h
@@ -21,21 +21,21 @@
 // One machine type with four processors, a leader whose term has begun, and rounds at time 100.
 class RoundFixture : public testing::Test {
  protected:
-  RoundFixture() : settings_(SettingsOf()), job_table_(64), registry_({3, 30, 3, 4}) {
+  RoundFixture() : settings_(TestSettings()), job_table_(64), registry_({3, 30, 3, 4}) {
     context_.settings = &settings_;
     context_.operators = &operator_options_;
-    context_.machine_types = {MachineTypeOf("c4", 4)};
+    context_.machine_types = {MakeMachineType("c4", 4)};
     registry_.BeginTerm(kTestToken, 0, 0);
   }
   void AddMachine(const std::string& name) {
-    registry_.OnHeartbeat(ReportOf(name, 1, 1, kTestToken), 100, false);
+    registry_.OnHeartbeat(MakeHeartbeat(name, 1, 1, kTestToken), 100, false);
   }
   // Places tasks 0 to count - 1 of run-1 on vm-1 and reports them as running.
   void RunOnVm1(uint32_t count) {
-    model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
+    model::Heartbeat report = MakeHeartbeat("vm-1", 1, 1, kTestToken);
     for (uint32_t i = 0; i < count; ++i) {
-      Place(job_table_, "run-1", i, 1, "vm-1");
-      report.tasks.push_back(TaskReportOf("run-1", i, 1, model::TaskPhase::kRunning));
+      PutOpenTask(job_table_, "run-1", i, 1, "vm-1");
+      report.tasks.push_back(MakeTaskStatus("run-1", i, 1, model::TaskPhase::kRunning));
     }
     registry_.OnHeartbeat(report, 100, false);
   }
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -18,7 +18,7 @@
 constexpr int kFirstMachineNumber = 100000;
 
 config::Settings MakeSettings(double limit) {
-  config::Settings settings = SettingsOf();
+  config::Settings settings = TestSettings();
   settings.heartbeat_interval_s = kHeartbeatIntervalS;
   settings.lease_s = kLeaseS;
   settings.node = "node-0";
@@ -176,7 +176,7 @@
   node->mirror = std::make_unique<blocks::MachineStateReplica>(RegistryOptions());
   node->context.settings = &settings_;
   node->context.operators = &operators_;
-  node->context.machine_types = {MachineTypeOf("c4", kMachineCpus)};
+  node->context.machine_types = {MakeMachineType("c4", kMachineCpus)};
   nodes_[name] = std::move(node);
   Tick(name, process.generation());
 }
--- a/tests/simulation/simulated_workers.cc
+++ b/tests/simulation/simulated_workers.cc
@@ -42,10 +42,10 @@
   ExpireLeases();
   if (!hooks_.has_leader() || worker.cut) return;
   model::Heartbeat heartbeat =
-      ReportOf(machine, worker.agent_epoch, ++worker.sequence, worker.token);
+      MakeHeartbeat(machine, worker.agent_epoch, ++worker.sequence, worker.token);
   for (const auto& [task, run] : worker.tasks) {
     const auto phase = run.ended ? model::TaskPhase::kExited : model::TaskPhase::kRunning;
-    heartbeat.tasks.push_back(TaskReportOf(task.job, task.index, run.attempt, phase, run.cause));
+    heartbeat.tasks.push_back(MakeTaskStatus(task.job, task.index, run.attempt, phase, run.cause));
   }
   hooks_.send(heartbeat);
 }
--- a/tests/slowness_estimate_test.cc
+++ b/tests/slowness_estimate_test.cc
@@ -33,7 +33,7 @@
 TEST_F(SlownessEstimateTest, MuchSlowerMachineGetsNoNewTasks) {
   std::vector<model::TaskStatus> tasks = PutJobWithKnownRunTimes();
   Heartbeat(1, 1, kToken, 0);
-  tasks.push_back(TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning));
+  tasks.push_back(MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning));
   Heartbeat(1, 2, kToken, 1, tasks);
   Heartbeat(1, 3, kToken, 15, tasks);
   registry_.UpdateObservations(job_table_);
--- a/tests/spot_eviction_test.cc
+++ b/tests/spot_eviction_test.cc
@@ -25,12 +25,12 @@
   checkpointing.checkpoint_s = 4;
   checkpointing.estimated_run_s = long_running.estimated_run_s = 100;
   short_running.estimated_run_s = 3;
-  model::Heartbeat report = ReportOf("vm-1", 1, 1, kTestToken);
+  model::Heartbeat report = MakeHeartbeat("vm-1", 1, 1, kTestToken);
   report.spot_notice_s = 8;
   for (const auto& spec : {checkpointing, long_running, short_running}) {
     PutJob(job_table_, spec);
-    Place(job_table_, spec.id, 0, 1, "vm-1");
-    report.tasks.push_back(TaskReportOf(spec.id, 0, 1, model::TaskPhase::kRunning));
+    PutOpenTask(job_table_, spec.id, 0, 1, "vm-1");
+    report.tasks.push_back(MakeTaskStatus(spec.id, 0, 1, model::TaskPhase::kRunning));
   }
   registry_.OnHeartbeat(report, 100, false);
   std::map<std::string, double> grace;
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U);
   PutJob(job_table_, large, 39);  // has waited 61 s
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 2U) << "a quarter of 8 processors";
-  Place(job_table_, "run-1", 0, 1, "vm-9");
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-9");
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U) << "it has started";
   PutJob(job_table_, large, -21);  // has waited 121 s, more than twice the bound
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 1U);
--- a/tests/stop_requests_test.cc
+++ b/tests/stop_requests_test.cc
@@ -35,12 +35,12 @@
 TEST(StopRequests, AreDroppedOnceAttemptIsNoLongerRecorded) {
   jobs::JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
-  Place(job_table, "run-1", 0, 2, "vm-1");
+  PutOpenTask(job_table, "run-1", 0, 2, "vm-1");
   StopRequests requests;
   requests.Add(kTask, 2, 5);
   requests.DropFulfilled(job_table);
   EXPECT_TRUE(requests.Contains(kTask, 2)) << "it is still recorded as placed";
-  Place(job_table, "run-1", 0, 2, "");
+  PutOpenTask(job_table, "run-1", 0, 2, "");
   requests.DropFulfilled(job_table);
   EXPECT_FALSE(requests.Contains(kTask, 2));
   requests.Add({"run-9", 0}, 1, 5);
--- a/tests/task_classes_test.cc
+++ b/tests/task_classes_test.cc
@@ -27,10 +27,10 @@
   auto spec = Spec("run-1", 6);
   spec.one_zone = true;
   PutJob(job_table_, spec);
-  Place(job_table_, "run-1", 0, 1, "vm-unknown");
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-unknown");
   AddMachine("vm-1");
   for (const char* name : {"vm-2", "vm-3"}) {
-    model::Heartbeat r = ReportOf(name, 1, 1, kTestToken);
+    model::Heartbeat r = MakeHeartbeat(name, 1, 1, kTestToken);
     r.zone = "b";
     registry_.OnHeartbeat(r, 100, false);
   }
@@ -43,7 +43,7 @@
   EXPECT_GT(r.placements.size(), 0U);
   EXPECT_EQ(zones.size(), 1U);
   // A task that runs in a zone keeps the other tasks there, also after a new leader has taken over.
-  Place(job_table_, "run-1", 1, 1, "vm-1");
+  PutOpenTask(job_table_, "run-1", 1, 1, "vm-1");
   registry_.BeginTerm(model::FencingToken(8), 100, 100);
   for (const auto& p : Plan().placements) EXPECT_EQ(registry_.Find(p.machine)->zone, "a");
 }
--- a/tests/task_outcomes_test.cc
+++ b/tests/task_outcomes_test.cc
@@ -21,7 +21,7 @@
 // not be told to start this one again: the write may be in flight, and the task would then run both
 // on this machine and elsewhere.
 TEST_F(TaskOutcomesTest, AttemptIsNotRestartedWhileItsRequeueIsBeingWritten) {
-  Place(job_table_, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
   auto requeued = CollectTaskTransitions(registry_, job_table_, 1000);
   ASSERT_EQ(requeued.size(), 1U);
   EXPECT_EQ(requeued[0].kind, jobs::TaskTransition::Kind::kRequeue);
@@ -31,7 +31,7 @@
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again[0].reason, "never started");
   // The write has succeeded: the next attempt may start on the same machine.
-  Place(job_table_, "run-1", 0, 2, "vm-1");
+  PutOpenTask(job_table_, "run-1", 0, 2, "vm-1");
   CollectTaskTransitions(registry_, job_table_, 1002);
   EXPECT_EQ(Reconcile(registry_, *registry_.Find("vm-1"), job_table_, false).size(), 1U);
 }
@@ -41,23 +41,24 @@
 // epoch.
 TEST_F(TaskOutcomesTest, FailureReportedUnderFormerTokenDoesNotRequeue) {
   Heartbeat(1, 40, kFormerToken, 1,
-            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
+            {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   EXPECT_FALSE(IsRequeued(1));
-  Heartbeat(2, 55, kFormerToken, 2, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(2, 55, kFormerToken, 2, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   EXPECT_FALSE(IsRequeued(2)) << "the attempt is running";
-  EXPECT_TRUE(Heartbeat(2, 56, kToken, 3, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)})
-                  .empty());
+  EXPECT_TRUE(
+      Heartbeat(2, 56, kToken, 3, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)})
+          .empty());
   Heartbeat(2, 57, kToken, 4,
-            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
+            {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   EXPECT_TRUE(IsRequeued(4)) << "the exit was reported to this leader";
 }
 
 // An attempt that has exited must not be started again in the agent's next epoch, even if its end
 // has not been written yet: its resources may have been given to other tasks.
 TEST_F(TaskOutcomesTest, ExitedAttemptIsNotRestartedInNextEpoch) {
-  Heartbeat(1, 1, kToken, 1, {TaskReportOf("run-1", 0, 1, model::TaskPhase::kRunning)});
+  Heartbeat(1, 1, kToken, 1, {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)});
   Heartbeat(1, 2, kToken, 4,
-            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
+            {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
   EXPECT_TRUE(IsRequeued(4));
   EXPECT_TRUE(Heartbeat(2, 3, kToken, 50).empty());
 }
@@ -66,7 +67,7 @@
 // kept.
 TEST_F(TaskOutcomesTest, CompletionReportedUnderFormerTokenCounts) {
   Heartbeat(1, 40, kFormerToken, 1,
-            {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)});
+            {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)});
   const auto found = CollectTaskTransitions(registry_, job_table_, 1);
   ASSERT_EQ(found.size(), 1U);
   EXPECT_EQ(found[0].kind, Kind::kDone);
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -21,7 +21,7 @@
 TEST_F(TeamQuotaTest, TeamLimitCountsTaskOnUnknownMachine) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
   PutJob(job_table_, Spec("run-1", 4));
-  Place(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts even if its machine is unknown
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-elsewhere");  // counts even if its machine is unknown
   AddMachine("vm-1");
   EXPECT_EQ(Plan().placements.size(), 2U);
 }
@@ -31,7 +31,7 @@
 TEST_F(TeamQuotaTest, CancelledTasksCountUntilProvenGone) {
   settings_.teams = {{"team", 0, 3, 0, 0}};
   PutJob(job_table_, Spec("run-1", 3));
-  for (uint32_t i = 0; i < 3; ++i) Place(job_table_, "run-1", i, 1, "vm-cut-off");
+  for (uint32_t i = 0; i < 3; ++i) PutOpenTask(job_table_, "run-1", i, 1, "vm-cut-off");
   PutJob(job_table_, Spec("run-1", 3), 1, true);
   PutJob(job_table_, Spec("run-2", 2));
   AddMachine("vm-1");
@@ -47,14 +47,14 @@
   settings_.teams = {{"team", 0, 1, 0, 0}};
   PutJob(job_table_, Spec("run-1", 1));
   PutJob(job_table_, Spec("run-2", 1));
-  Place(job_table_, "run-1", 0, 1, "vm-1");
-  model::Heartbeat r = ReportOf("vm-1", 1, 1, kTestToken);
-  r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)};
+  PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
+  model::Heartbeat r = MakeHeartbeat("vm-1", 1, 1, kTestToken);
+  r.tasks = {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)};
   registry_.OnHeartbeat(r, 100, false);
   EXPECT_EQ(Plan().placements.size(), 0U);
   r.agent_epoch = model::AgentEpoch(2);
   r.sequence = 2;
-  r.tasks = {TaskReportOf("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)};
+  r.tasks = {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kDone)};
   registry_.OnHeartbeat(r, 100, false);
   EXPECT_EQ(CountPlaced(Plan(), "run-2"), 1U);
 }
--- a/tests/transaction_builder_test.cc
+++ b/tests/transaction_builder_test.cc
@@ -75,7 +75,7 @@
   for (const auto& spec : {Spec("run-1", 4), Spec("run-2", 1), Spec("run-3", 4), urgent}) {
     PutJob(job_table, spec);
   }
-  for (const char* id : {"run-1", "run-2"}) Place(job_table, id, 0, 1, "vm-1");
+  for (const char* id : {"run-1", "run-2"}) PutOpenTask(job_table, id, 0, 1, "vm-1");
   auto of = [](const char* job, TaskTransition m) {
     m.task.job = job;
     return m;
@@ -117,7 +117,7 @@
 TEST(BuildTransactions, CancelledJobsGetNoPlacement) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4), 1, true);
-  Place(job_table, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table, "run-1", 0, 1, "vm-1");
   EXPECT_TRUE(
       BuildTransactions(job_table, {Make(Kind::kPlace, 2, 1, "vm-1")}, kLimits, NoVersion).empty());
 }
@@ -125,7 +125,7 @@
 TEST(BuildTransactions, AnOutcomeOfAnotherAttemptIsLeftOut) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
-  Place(job_table, "run-1", 0, 2, "vm-1");
+  PutOpenTask(job_table, "run-1", 0, 2, "vm-1");
   EXPECT_TRUE(
       BuildTransactions(job_table, {Make(Kind::kDone, 0, 1, "vm-1")}, kLimits, NoVersion).empty());
   EXPECT_TRUE(
@@ -156,7 +156,7 @@
 TEST(BuildTransactions, ACancelledJobIsFinalOnlyOnceNothingIsPlaced) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2), 1, true);
-  Place(job_table, "run-1", 0, 1, "vm-1");
+  PutOpenTask(job_table, "run-1", 0, 1, "vm-1");
   EXPECT_TRUE(BuildTransactions(job_table, {}, kLimits, NoVersion).empty());
   auto transactions =
       BuildTransactions(job_table, {Make(Kind::kRequeue, 0, 1, "vm-1")}, kLimits, NoVersion);
--- a/tests/worker_registry_fixture.h
+++ b/tests/worker_registry_fixture.h
@@ -19,7 +19,7 @@
  protected:
   WorkerRegistryFixture() : job_table_(64), registry_({3, 30, 3, 4}) {
     testing_support::PutJob(job_table_, testing_support::Spec("run-1", 4));
-    testing_support::Place(job_table_, "run-1", 0, 1, "vm-1");
+    testing_support::PutOpenTask(job_table_, "run-1", 0, 1, "vm-1");
     registry_.BeginTerm(kToken, 0, 10);
   }
 
@@ -28,7 +28,7 @@
   std::vector<model::WorkerCommand> Heartbeat(uint64_t agent_epoch, uint64_t sequence,
                                               model::FencingToken token, double now,
                                               std::vector<model::TaskStatus> tasks = {}) {
-    model::Heartbeat report = testing_support::ReportOf("vm-1", agent_epoch, sequence, token);
+    model::Heartbeat report = testing_support::MakeHeartbeat("vm-1", agent_epoch, sequence, token);
     report.tasks = std::move(tasks);
     registry_.OnHeartbeat(report, now, false);
     const Machine& machine = *registry_.Find("vm-1");
@@ -64,8 +64,8 @@
     testing_support::PutTaskGroup(job_table_, "run-2", 0, task_group);
     std::vector<model::TaskStatus> tasks;
     for (uint32_t i : {3U, 4U, 5U}) {
-      testing_support::Place(job_table_, "run-2", i, 1, "vm-1");
-      tasks.push_back(testing_support::TaskReportOf("run-2", i, 1, model::TaskPhase::kRunning));
+      testing_support::PutOpenTask(job_table_, "run-2", i, 1, "vm-1");
+      tasks.push_back(testing_support::MakeTaskStatus("run-2", i, 1, model::TaskPhase::kRunning));
     }
     return tasks;
   }
--- a/tests/worker_registry_test.cc
+++ b/tests/worker_registry_test.cc
@@ -18,7 +18,8 @@
   Heartbeat(1, 1, kToken, 100);
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 101));
   for (uint64_t i = 2; i < 8; ++i) {
-    registry_.OnHeartbeat(ReportOf("vm-1", 1, i, kToken), 100 + 3.0 * static_cast<double>(i), true);
+    registry_.OnHeartbeat(MakeHeartbeat("vm-1", 1, i, kToken), 100 + 3.0 * static_cast<double>(i),
+                          true);
   }
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 122));
   EXPECT_TRUE(registry_.IsSilent(*registry_.Find("vm-1"), 122));
@@ -33,12 +34,12 @@
 
 TEST_F(WorkerRegistryTest, JobThatFailsEverywhereTerminatesNoMachine) {
   for (int i = 0; i < 5; ++i) {
-    model::Heartbeat report = ReportOf("vm-" + std::to_string(i), 1, 1, kToken);
-    report.tasks = {TaskReportOf("run-2", 0, 1, model::TaskPhase::kRunning)};
+    model::Heartbeat report = MakeHeartbeat("vm-" + std::to_string(i), 1, 1, kToken);
+    report.tasks = {MakeTaskStatus("run-2", 0, 1, model::TaskPhase::kRunning)};
     registry_.OnHeartbeat(report, 1, false);
     report.sequence = 2;
     report.tasks = {
-        TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)};
+        MakeTaskStatus("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)};
     registry_.OnHeartbeat(report, 2, false);
   }
   for (const auto& [name, machine] : registry_.machines())
@@ -49,12 +50,12 @@
 // tasks per second, each before a heartbeat reported it as running.
 TEST_F(WorkerRegistryTest, CountsFailureOfTaskThatWasNeverReportedRunning) {
   Heartbeat(1, 1, kToken, 1,
-            {TaskReportOf("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
+            {MakeTaskStatus("run-2", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   ASSERT_NE(registry_.failure_tracker().FailedOn("run-2"), nullptr);
   EXPECT_TRUE(registry_.failure_tracker().FailedOn("run-2")->contains("vm-1"));
   EXPECT_TRUE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 1));
   Heartbeat(1, 2, kToken, 2,
-            {TaskReportOf("run-3", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
+            {MakeTaskStatus("run-3", 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 2));
 }
 
@@ -64,19 +65,19 @@
   uint64_t sequence = 0;
   for (const char* job : {"run-2", "run-3"}) {
     PutJob(job_table_, Spec(job, 4));
-    Heartbeat(1, ++sequence, kToken, 1, {TaskReportOf(job, 0, 1, model::TaskPhase::kRunning)});
+    Heartbeat(1, ++sequence, kToken, 1, {MakeTaskStatus(job, 0, 1, model::TaskPhase::kRunning)});
     Heartbeat(1, ++sequence, kToken, 2,
-              {TaskReportOf(job, 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
+              {MakeTaskStatus(job, 0, 1, model::TaskPhase::kExited, model::ExitCause::kError)});
   }
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 2));
-  model::Heartbeat other = ReportOf("vm-2", 1, 1, kToken);
+  model::Heartbeat other = MakeHeartbeat("vm-2", 1, 1, kToken);
   for (const char* job : {"run-2", "run-3"}) {
     registry_.UpdateObservations(job_table_);
     EXPECT_FALSE(registry_.Find("vm-1")->cloud.terminating)
         << "no success has shown yet that " << job << " is sound";
     ++other.sequence;
     other.tasks.push_back(
-        TaskReportOf(job, 1, 1, model::TaskPhase::kExited, model::ExitCause::kDone));
+        MakeTaskStatus(job, 1, 1, model::TaskPhase::kExited, model::ExitCause::kDone));
     registry_.OnHeartbeat(other, 3, false);
   }
   registry_.UpdateObservations(job_table_);
