--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -7,7 +7,7 @@
 namespace hallpier {
 namespace {
 
-const char* const kGoodSettings = R"(
+const char* const kValidSettings = R"(
 node = "n-0"
 area = "a"
 listen = "127.0.0.1:1"
@@ -39,16 +39,16 @@
 list_lag_s = 3.0
 )";
 
-// The lines that a person is shown.
+// Returns the lines that are printed for the faults.
 template <class T>
-std::vector<std::string> FaultsOf(const config::ParseResult<T>& parsed) {
+std::vector<std::string> FaultLines(const config::ParseResult<T>& parsed) {
   std::vector<std::string> lines;
   for (const config::ConfigError& fault : parsed.errors) lines.push_back(fault.Text());
   return lines;
 }
 
-TEST(Settings, AreReadAndUnknownFieldsIgnored) {
-  const auto parsed = config::ParseSettings(kGoodSettings);
+TEST(ParseSettings, ReadsFieldsAndIgnoresUnknownOnes) {
+  const auto parsed = config::ParseSettings(kValidSettings);
   EXPECT_TRUE(parsed.ok()) << parsed.errors[0].Text();
   const config::Settings& s = parsed.value;
   EXPECT_EQ(s.seeds.at(0).endpoint, "127.0.0.1:3");
@@ -57,29 +57,29 @@
   EXPECT_EQ(s.FindTeam("x"), nullptr);
 }
 
-TEST(Settings, EveryFaultGetsALineWithItsField) {
-  std::string text = kGoodSettings;
+TEST(ParseSettings, EveryFaultGetsALineWithItsField) {
+  std::string text = kValidSettings;
   text.replace(text.find("lease_s = 45"), 12, "lease_s = -1");
   text.replace(text.find("127.0.0.1:5"), 11, "state.local");
-  const auto faults = FaultsOf(config::ParseSettings(text));
+  const auto faults = FaultLines(config::ParseSettings(text));
   ASSERT_EQ(faults.size(), 2U);
   EXPECT_EQ(faults[0], "services.state: not an IPv4 address with a port: state.local");
   EXPECT_EQ(faults[1], "params.workers.lease_s: -1 is not between 0.1 and 1e+15");
 }
 
-TEST(Operator, OverridesRatiosAndNamesFaults) {
+TEST(ParseOperatorOptions, OverridesDefaultsAndNamesFaults) {
   const auto parsed = config::ParseOperatorOptions("round_s = 1.5 # seconds\nheadroom = 0.5\n");
   EXPECT_TRUE(parsed.ok());
   EXPECT_EQ(parsed.value.round_s, 1.5);
   EXPECT_EQ(parsed.value.headroom, 0.5);
   EXPECT_EQ(parsed.value.silent_ratio, config::OperatorOptions().silent_ratio);
-  const auto faults = FaultsOf(config::ParseOperatorOptions("silent_ratio = 0.1\n"));
+  const auto faults = FaultLines(config::ParseOperatorOptions("silent_ratio = 0.1\n"));
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(faults[0], "silent_ratio: 0.1 is not between 2 and 100");
   EXPECT_EQ(config::ParseOperatorOptions("no_such = 1\n").errors.size(), 1U);
 }
 
-TEST(Operator, MembershipIsOffUnlessSwitchedOnAndItsRangesAreChecked) {
+TEST(ParseOperatorOptions, MembershipIsOffByDefaultAndItsRangesAreChecked) {
   EXPECT_FALSE(config::ParseOperatorOptions("round_s = 1.5\n").value.membership.enabled);
   const auto parsed =
       config::ParseOperatorOptions("membership {\n enabled = true\n missed_probes = 5\n}\n");
@@ -87,7 +87,7 @@
   EXPECT_TRUE(parsed.value.membership.enabled);
   EXPECT_EQ(parsed.value.membership.missed_probes, 5);
   EXPECT_EQ(parsed.value.membership.probe_ratio, config::MembershipOptions().probe_ratio);
-  const auto faults = FaultsOf(
+  const auto faults = FaultLines(
       config::ParseOperatorOptions("membership {\n probe_ratio = 7\n confirm_probes = 0\n}\n"));
   ASSERT_EQ(faults.size(), 2U);
   EXPECT_EQ(faults[0], "membership.probe_ratio: 7 is not between 0.01 and 1");
@@ -96,26 +96,27 @@
             1U);
 }
 
-TEST(Operator, BadBlocksGetOneLineEach) {
-  auto faults_of = [](const std::string& text) {
-    return FaultsOf(config::ParseOperatorOptions(text));
+TEST(ParseOperatorOptions, EveryBlocksFaultGetsALine) {
+  auto fault_lines = [](const std::string& text) {
+    return FaultLines(config::ParseOperatorOptions(text));
   };
   const std::string membership = "membership {\n enabled = true\n}\n";
-  EXPECT_TRUE(faults_of(membership + "blocks {\n enabled = true\n holders = 3\n}\n").empty());
-  EXPECT_EQ(faults_of("blocks {\n enabled = true\n}\n"),
+  EXPECT_TRUE(fault_lines(membership + "blocks {\n enabled = true\n holders = 3\n}\n").empty());
+  EXPECT_EQ(fault_lines("blocks {\n enabled = true\n}\n"),
             std::vector<std::string>{"blocks.enabled: needs membership.enabled"});
-  EXPECT_EQ(faults_of("blocks {\n holders = 1\n}\n"),
+  EXPECT_EQ(fault_lines("blocks {\n holders = 1\n}\n"),
             std::vector<std::string>{"blocks.holders: 1 is not between 2 and 64"});
-  EXPECT_EQ(faults_of("blocks {\n holders = 2.5\n}\n"),
+  EXPECT_EQ(fault_lines("blocks {\n holders = 2.5\n}\n"),
             std::vector<std::string>{"blocks.holders: 2.500000 is not a whole number"});
-  EXPECT_EQ(faults_of("blocks {\n lease_ratio = 0\n widen_ratio = 101\n}\n").size(), 2U);
+  EXPECT_EQ(fault_lines("blocks {\n lease_ratio = 0\n widen_ratio = 101\n}\n").size(), 2U);
 }
 
-TEST(Operator, AGuaranteeBeyondItsLimitIsAFaultWhereBlocksAreOn) {
+TEST(CheckConsistency, GuaranteeOverTheLimitIsAFaultIfBlocksAreOn) {
   config::Settings settings;
   settings.teams = {{"well", 4, 4, 1, 0}, {"beyond", 5, 4, 0, 0}};
   config::OperatorOptions operators;
-  EXPECT_TRUE(config::CheckConsistency(settings, operators).empty()) << "off changes nothing";
+  EXPECT_TRUE(config::CheckConsistency(settings, operators).empty())
+      << "no fault while blocks are off";
   operators.blocks.enabled = true;
   const auto inconsistencies = config::CheckConsistency(settings, operators);
   ASSERT_EQ(inconsistencies.size(), 1U);
@@ -123,11 +124,11 @@
             "params.teams: beyond is guaranteed 5 cpus, more than its limit of 4");
 }
 
-TEST(Settings, TwoNodesOfOneNameAreAFault) {
-  std::string text = kGoodSettings;
+TEST(ParseSettings, DuplicateNodeNameIsAFault) {
+  std::string text = kValidSettings;
   text.insert(text.find("[services]"),
               "[[seeds]]\nnode = \"n-1\"\narea = \"a\"\nendpoint = \"127.0.0.1:9\"\n");
-  const auto faults = FaultsOf(config::ParseSettings(text));
+  const auto faults = FaultLines(config::ParseSettings(text));
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(faults[0], "seeds: two nodes are named n-1");
 }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -1,4 +1,4 @@
-// Small builders that the tests share.
+// Builders of test data, shared by the tests.
 #pragma once
 
 #include <string>
@@ -17,7 +17,7 @@
 
 namespace hallpier::testing_support {
 
-// The fencing token of the leader in tests that have only one.
+// The fencing token of the leader in tests with a single leader.
 inline constexpr model::FencingToken kTestToken{7};
 
 inline model::JobSpec Spec(const std::string& id, uint32_t tasks, double cpus = 1) {
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -1,8 +1,8 @@
-// Everything that is stored, sent or printed, against fixed bytes: a refactoring that leaves these
-// tests as they are has not changed a format. Expected values follow docs/state-schema.md and the
-// protocol of the interfaces.
+// Compares everything that is stored, sent or printed with fixed bytes. A refactoring that leaves
+// these tests unchanged has not changed a format. Expected values follow docs/state-schema.md and
+// the protocol of the interfaces.
 //
-// The tests name as few types as they can, so that renaming a type touches little here.
+// The tests name as few types as possible, so that renaming a type changes little here.
 #include <gtest/gtest.h>
 
 #include <concepts>
@@ -49,7 +49,7 @@
   return out;
 }
 
-// The value of an optional; a failure if there is none.
+// Returns the value of an optional. Fails the test if there is none.
 template <class T>
 T Checked(std::optional<T> value) {
   EXPECT_TRUE(value.has_value());
@@ -62,23 +62,23 @@
 }
 
 template <class... E>
-std::string Numbers(E... enumerators) {
+std::string NumericValues(E... enumerators) {
   return ((std::to_string(static_cast<int>(enumerators)) + " ") + ...);
 }
 
-// Spaces in `hex` separate fields. The message must be read back as it was, and written again to
-// the same bytes.
+// Expects that `message` is encoded as `hex`, decoded to the same message and encoded again to the
+// same bytes. Spaces in `hex` separate fields.
 template <class T>
 void ExpectFrame(const T& message, std::string hex) {
   std::erase(hex, ' ');
   const std::string payload = wire::WritePeerMessage(message);
   EXPECT_EQ(Hex(payload), hex);
-  const auto back = wire::ReadPeerMessage(payload);
-  ASSERT_TRUE(back.has_value());
-  ASSERT_TRUE(std::holds_alternative<T>(*back));
-  EXPECT_EQ(Hex(wire::WritePeerMessage(*back)), hex);
+  const auto decoded = wire::ReadPeerMessage(payload);
+  ASSERT_TRUE(decoded.has_value());
+  ASSERT_TRUE(std::holds_alternative<T>(*decoded));
+  EXPECT_EQ(Hex(wire::WritePeerMessage(*decoded)), hex);
   if constexpr (std::equality_comparable<T>) {
-    EXPECT_TRUE(std::get<T>(*back) == message);
+    EXPECT_TRUE(std::get<T>(*decoded) == message);
   }
 }
 
@@ -137,28 +137,29 @@
   EXPECT_EQ(store::WriteLeader(Checked(store::ReadLeader(kText))), kText);
 }
 
-TEST(GoldenRecord, Block) {
+TEST(GoldenRecord, FencingToken) {
   EXPECT_EQ(store::WriteFencingTokenRecord("hallnode-0"), R"({"holder":"hallnode-0"})");
 }
 
 TEST(GoldenRecord, MachineTypes) {
-  constexpr std::string_view kG8 =
+  constexpr std::string_view kMachineTypeG8 =
       R"({"sku":"g8","vcpus":96.0,"cards":8.0,"memGb":768.0,"fetchGbPerS":1.0,"rate":12.0,)"
       R"("marketPrice":4.5,"readyS":45.0,"halls":["a","b"]})";
-  constexpr std::string_view kC4 =
+  constexpr std::string_view kMachineTypeC4 =
       R"({"sku":"c4","vcpus":4.0,"cards":0.0,"memGb":16.5,"fetchGbPerS":0.0,"rate":0.0,)"
       R"("marketPrice":0.0,"readyS":0.0,"halls":[]})";
-  const std::string both = R"({"flavors":[)" + std::string(kG8) + "," + std::string(kC4) + "]}";
+  const std::string both =
+      R"({"flavors":[)" + std::string(kMachineTypeG8) + "," + std::string(kMachineTypeC4) + "]}";
   const auto json = Checked(wire::ParseObject(both));
   const auto machine_types = Checked(wire::ReadMachineTypes(json));
   EXPECT_EQ(wire::WriteMachineTypes(machine_types), both);
   const auto pages = store::WriteMachineTypePages(machine_types, 200);
   ASSERT_EQ(pages.size(), 2U);
-  EXPECT_EQ(pages[0], R"({"flavors":[)" + std::string(kG8) + R"(],"pages":2})");
-  EXPECT_EQ(pages[1], R"({"flavors":[)" + std::string(kC4) + "]}");
+  EXPECT_EQ(pages[0], R"({"flavors":[)" + std::string(kMachineTypeG8) + R"(],"pages":2})");
+  EXPECT_EQ(pages[1], R"({"flavors":[)" + std::string(kMachineTypeC4) + "]}");
 }
 
-TEST(GoldenRecord, NodeMark) {
+TEST(GoldenRecord, NodeFormat) {
   EXPECT_EQ(store::WriteNodeFormat(store::kCancellationReportFormat), R"({"format":3})");
   EXPECT_EQ(store::WriteNodeFormat(store::kMembershipFormat), R"({"format":4})");
   EXPECT_EQ(store::WriteNodeFormat(store::kBlocksFormat), R"({"format":5})");
@@ -181,7 +182,7 @@
   }
 }
 
-TEST(GoldenRecord, Division) {
+TEST(GoldenRecord, BlockAssignment) {
   constexpr std::string_view kText =
       R"({"token":412,"holders":[{"node":"hallnode-0","session":3,"grant":9},)"
       R"({"node":"hallnode-2","session":1,"grant":10}]})";
@@ -191,7 +192,7 @@
   EXPECT_EQ(blocks::WriteBlockAssignment(Checked(blocks::ReadBlockAssignment(kText))), kText);
 }
 
-TEST(GoldenRecord, Share) {
+TEST(GoldenRecord, QuotaAllocation) {
   constexpr std::string_view kText = R"({"grant":9,"lent":{"ml":[0.5,0.0],"vision":[96.0,8.0]}})";
   EXPECT_EQ(quota::WriteAllocation({9, {{"vision", {96, 8}}, {"none", {0, 0}}, {"ml", {0.5, 0}}}}),
             kText);
@@ -226,17 +227,17 @@
 }
 
 TEST(GoldenRecord, JobWithAllFields) {
-  constexpr std::string_view kLong =
+  constexpr std::string_view kText =
       R"({"spec":{"id":"run-000412","lane":"train","tenant":"vision","shape":"array",)"
       R"("urgency":"best_effort","pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.5,)"
       R"("bundle":"img-07","sizeGb":6.2,"flavors":["g8","g9"],"hall":"a","oneZone":true,)"
       R"("spread":false,"lendable":true,"expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,)"
       R"("dueS":900.0,"awaits":["run-1","run-2"]},"at":1764633600.25,"cancelled":true,"group":335})";
-  const auto job = Checked(store::ReadJob(kLong));
-  EXPECT_EQ(store::WriteJob(job), kLong);
-  EXPECT_EQ(store::WriteCancelledJob(job, kLong.size()), kLong);
-  // If it does not fit, fields that only matter to a job that may still run are left out.
-  EXPECT_EQ(store::WriteCancelledJob(job, kLong.size() - 1),
+  const auto job = Checked(store::ReadJob(kText));
+  EXPECT_EQ(store::WriteJob(job), kText);
+  EXPECT_EQ(store::WriteCancelledJob(job, kText.size()), kText);
+  // Over the size limit, fields that only matter to a job that may still run are left out.
+  EXPECT_EQ(store::WriteCancelledJob(job, kText.size() - 1),
             R"({"spec":{"id":"run-000412","lane":"-","tenant":"vision","shape":"array",)"
             R"("urgency":"best_effort","pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.5,)"
             R"("bundle":"-","sizeGb":6.2,"oneZone":true,"spread":false,"lendable":true,)"
@@ -244,20 +245,20 @@
             R"("at":1764633600.25,"cancelled":true,"group":335})");
 }
 
-TEST(GoldenRecord, Final) {
+TEST(GoldenRecord, FinalRecord) {
   constexpr std::string_view kText = R"({"phase":"cancelled","done":3,"at":1764633600.5})";
   EXPECT_EQ(store::WriteFinal({.phase = model::JobPhase::kDone, .done = 16}),
             R"({"phase":"done","done":16})");
   EXPECT_EQ(store::WriteFinal(Checked(store::ReadFinal(kText))), kText);
 }
 
-// Tasks 0, 1 and 4 are done, 5 waits after its third attempt, 2 and 3 are on a machine.
-constexpr std::string_view kGroup =
+// Tasks 0, 1 and 4 are done, task 5 waits after its third attempt, tasks 2 and 3 are on a machine.
+constexpr std::string_view kTaskGroup =
     R"({"done":[0,1,4,4],"on":{"":[5,-3],"vm-000231":[2,3,-2]},"runs":{"g8":[3,61.5]}})";
 
 TEST(GoldenRecord, TaskGroupAsText) {
-  const auto group = Checked(store::ReadTaskGroup(kGroup));
-  EXPECT_EQ(store::WriteTaskGroup(group), kGroup);
+  const auto group = Checked(store::ReadTaskGroup(kTaskGroup));
+  EXPECT_EQ(store::WriteTaskGroup(group), kTaskGroup);
   EXPECT_TRUE(group.done.Contains(4));
   EXPECT_EQ(group.open.at(5).attempt, 3U);
   EXPECT_EQ(group.open.at(3).machine, "vm-000231");
@@ -269,11 +270,11 @@
   const std::string packed =
       R"({"first":0,"of":8,"done":"o0","open":"D0","hosts":[["vm-",6,231,1]],"on":"110",)"
       R"("tries":"123","runs":{"g8":[3,61.5]}})";
-  const auto group = Checked(store::ReadTaskGroup(kGroup));
+  const auto group = Checked(store::ReadTaskGroup(kTaskGroup));
   EXPECT_EQ(store::WritePackedTaskGroup(group, 0, 8), packed);
-  EXPECT_EQ(store::WriteTaskGroup(Checked(store::ReadTaskGroup(packed))), kGroup);
-  // A group with a task outside the given range is written as text instead.
-  EXPECT_EQ(store::WritePackedTaskGroup(group, 1, 8), kGroup);
+  EXPECT_EQ(store::WriteTaskGroup(Checked(store::ReadTaskGroup(packed))), kTaskGroup);
+  // A group with a task outside the given range is written in the text format instead.
+  EXPECT_EQ(store::WritePackedTaskGroup(group, 1, 8), kTaskGroup);
 }
 
 TEST(GoldenRecord, TaskGroupPackedWithManyMachinesAndAttempts) {
@@ -286,8 +287,8 @@
   EXPECT_EQ(store::WriteTaskGroup(Checked(store::ReadTaskGroup(kPacked))), kText);
 }
 
-// Which group a task belongs to is part of the format too.
-TEST(GoldenRecord, TasksOfAGroup) {
+// The mapping of tasks to groups is part of the format as well.
+TEST(GoldenRecord, TaskGroupLayout) {
   EXPECT_EQ(store::TasksPerTextGroup(8), 335U);
   EXPECT_EQ(store::TasksPerPackedGroup(8), 1547U);
   const auto layout = Checked(store::ReadFormat(R"({"format":2,"group":335,"parts":4})")).layout;
@@ -349,7 +350,7 @@
   EXPECT_TRUE(r.tasks.at(1).checkpoint_saved);
 }
 
-TEST(GoldenMessage, WordsOfAHeartbeat) {
+TEST(GoldenMessage, HeartbeatPhasesAndExitCauses) {
   const auto task = [](const std::string& words) {
     const auto report = Checked(wire::ReadHeartbeat(
         R"({"host":"h","endpoint":"e","flavor":"f","hall":"a","tenure":1,"tick":1,)"
@@ -407,14 +408,14 @@
   EXPECT_EQ(f.zones.at(0) + f.zones.at(1), "ab");
 }
 
-TEST(GoldenMessage, Rental) {
+TEST(GoldenMessage, ScaleOut) {
   EXPECT_EQ(wire::WriteScaleOutRequest({"hallpier-41-7", "g8", "a", true, 12}),
             R"({"hire":"hallpier-41-7","flavor":"g8","hall":"a","lendable":true,"howMany":12})");
   EXPECT_EQ(Checked(wire::ReadScaleOutResponse(R"({"hosts":["vm-000231","vm-000232"]})")).at(1),
             "vm-000232");
 }
 
-TEST(GoldenMessage, Return) {
+TEST(GoldenMessage, ScaleIn) {
   EXPECT_EQ(wire::WriteScaleInRequest({"vm-000231", "vm-000232"}),
             R"({"hosts":["vm-000231","vm-000232"]})");
 }
@@ -434,7 +435,7 @@
   EXPECT_EQ(list.machines.at(2).state, model::CloudMachineState::kFailed);
 }
 
-TEST(GoldenMessage, Entries) {
+TEST(GoldenMessage, KeyValues) {
   const auto entry =
       Checked(wire::ReadKeyValue(R"({"key":"a/b","data":{"n":[1, 2.5]},"stamp":412,"permit":7})"));
   EXPECT_EQ(std::tie(entry.key, entry.value, entry.version),
@@ -456,7 +457,7 @@
   EXPECT_EQ(wire::ReadFailedPreconditions(R"({"failed":["a/b"],"rev":431})").at(0), "a/b");
 }
 
-TEST(GoldenMessage, Changes) {
+TEST(GoldenMessage, WatchEvents) {
   const auto list = Checked(
       wire::ReadWatchResponse(R"({"rev":433,"news":[{"put":"c/9","data":{"n":1},"stamp":433},)"
                               R"({"drop":"c/d","stamp":432}]})"));
@@ -481,7 +482,7 @@
             "Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\n{}");
 }
 
-TEST(GoldenMessage, MembersCommand) {
+TEST(GoldenMessage, MembersCommandJson) {
   const wire::MembersReport report = {
       "n1",
       true,
@@ -504,20 +505,21 @@
   EXPECT_EQ(Hex(wire::EncodeFrame(std::string(200, 'x')).substr(0, 3)), "c80178");
 }
 
-// Enumerators are sent as their numbers.
-TEST(GoldenPeerFrame, NumbersOfMemberStates) {
+// Enumerators are sent as their numeric values.
+TEST(GoldenPeerFrame, MemberStateValues) {
   using enum model::MemberState;
-  EXPECT_EQ(Numbers(kAlive, kSuspect, kFailed, kLeft), "0 1 2 3 ");
+  EXPECT_EQ(NumericValues(kAlive, kSuspect, kFailed, kLeft), "0 1 2 3 ");
 }
 
-TEST(GoldenPeerFrame, NumbersOfTaskPhases) {
+TEST(GoldenPeerFrame, TaskPhaseValues) {
   using enum model::TaskPhase;
-  EXPECT_EQ(Numbers(kFetching, kRunning, kCheckpointing, kExited), "0 1 2 3 ");
+  EXPECT_EQ(NumericValues(kFetching, kRunning, kCheckpointing, kExited), "0 1 2 3 ");
 }
 
-TEST(GoldenPeerFrame, NumbersOfCauses) {
+TEST(GoldenPeerFrame, ExitCauseValues) {
   using enum model::ExitCause;
-  EXPECT_EQ(Numbers(kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown), "0 1 2 3 4 5 6 ");
+  EXPECT_EQ(NumericValues(kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown),
+            "0 1 2 3 4 5 6 ");
 }
 
 TEST(GoldenPeerFrame, Status) {
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -10,7 +10,7 @@
 
 using State = HttpParser::State;
 
-TEST(HttpParser, TakesARequestByteByByte) {
+TEST(HttpParser, ParsesARequestFedByteByByte) {
   HttpParser p(HttpParser::Kind::kRequest, 100);
   const std::string text =
       "POST /submissions?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
@@ -27,7 +27,7 @@
   EXPECT_TRUE(r.keep_alive);
 }
 
-TEST(HttpParser, KeepsWhatFollowsForTheNextMessage) {
+TEST(HttpParser, KeepsRemainingBytesForTheNextMessage) {
   HttpParser p(HttpParser::Kind::kRequest, 100);
   p.Feed("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
   ASSERT_EQ(p.Parse(), State::kDone);
@@ -38,7 +38,7 @@
   EXPECT_FALSE(b.keep_alive);
 }
 
-TEST(HttpParser, ReadsChunkedAnswersAndRetryAfter) {
+TEST(HttpParser, ParsesChunkedResponsesAndRetryAfter) {
   HttpParser p(HttpParser::Kind::kResponse, 100);
   p.Feed("HTTP/1.1 503 x\r\nRetry-After: 7\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_EQ(p.Parse(), State::kNeedMore);
@@ -50,15 +50,15 @@
   EXPECT_EQ(r.retry_after_s, 7);
 }
 
-struct Bad {
+struct InvalidRequest {
   const char* name;
   const char* text;
   int status;
 };
 
-class HttpRefusals : public testing::TestWithParam<Bad> {};
+class InvalidHttpRequestTest : public testing::TestWithParam<InvalidRequest> {};
 
-TEST_P(HttpRefusals, AreNamed) {
+TEST_P(InvalidHttpRequestTest, IsRejectedWithItsStatus) {
   HttpParser p(HttpParser::Kind::kRequest, 10);
   p.Feed(GetParam().text);
   ASSERT_EQ(p.Parse(), State::kError);
@@ -66,25 +66,26 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, HttpRefusals,
-    testing::Values(Bad{"Nonsense", "nonsense\r\n\r\n", 400},
-                    Bad{"RelativeTarget", "GET a HTTP/1.1\r\n\r\n", 400},
-                    Bad{"OddVersion", "GET /a HTTP/9.9\r\n\r\n", 400},
-                    Bad{"NoColon", "GET /a HTTP/1.1\r\nno colon\r\n\r\n", 400},
-                    Bad{"TooLong", "POST /a HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 413},
-                    Bad{"NegativeLength", "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400},
-                    // Two lengths are how one request is made to look like two.
-                    Bad{"TwoLengths",
-                        "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400},
-                    Bad{"LengthAndChunks",
-                        "POST /a HTTP/1.1\r\nContent-Length: 1\r\n"
-                        "Transfer-Encoding: chunked\r\n\r\n",
-                        400},
-                    Bad{"TooLongChunk",
-                        "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n", 413}),
+    All, InvalidHttpRequestTest,
+    testing::Values(
+        InvalidRequest{"NotHttp", "nonsense\r\n\r\n", 400},
+        InvalidRequest{"RelativeTarget", "GET a HTTP/1.1\r\n\r\n", 400},
+        InvalidRequest{"UnknownVersion", "GET /a HTTP/9.9\r\n\r\n", 400},
+        InvalidRequest{"NoColon", "GET /a HTTP/1.1\r\nno colon\r\n\r\n", 400},
+        InvalidRequest{"TooLong", "POST /a HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 413},
+        InvalidRequest{"NegativeLength", "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400},
+        // Request smuggling: two lengths let one request be read as two.
+        InvalidRequest{"TwoLengths",
+                       "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400},
+        InvalidRequest{"LengthAndChunks",
+                       "POST /a HTTP/1.1\r\nContent-Length: 1\r\n"
+                       "Transfer-Encoding: chunked\r\n\r\n",
+                       400},
+        InvalidRequest{"TooLongChunk",
+                       "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n", 413}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(HttpParser, RefusesEndlessHeads) {
+TEST(HttpParser, RejectsHeadersOverTheLimit) {
   HttpParser p(HttpParser::Kind::kRequest, 10);
   p.Feed("GET /a HTTP/1.1\r\n");
   auto state = State::kNeedMore;
@@ -96,11 +97,11 @@
   EXPECT_EQ(p.error_status(), 431);
 }
 
-TEST(HttpQuery, SurvivesARoundTrip) {
-  const std::string odd = "a b&c=d%/\xc3\xa9";
-  auto q = ParseQuery("/x?k=" + EscapeQuery(odd) + "&empty=&n=1");
+TEST(UrlQuery, RoundTripsEscapedCharacters) {
+  const std::string special_characters = "a b&c=d%/\xc3\xa9";
+  auto q = ParseQuery("/x?k=" + EscapeQuery(special_characters) + "&empty=&n=1");
   ASSERT_EQ(q.size(), 3U);
-  EXPECT_EQ(q[0].value, odd);
+  EXPECT_EQ(q[0].value, special_characters);
   EXPECT_EQ(q[1].value, "");
   EXPECT_EQ(q[2].name, "n");
 }
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -27,7 +27,7 @@
   EXPECT_TRUE(job_table.ObsoleteKeys().empty());
 }
 
-TEST(JobTable, HandsOutTasksInOrderWithGrowingAttempts) {
+TEST(JobTable, WaitingTasksAreInOrderAndAttemptsIncrease) {
   JobTable job_table(4);
   PutJob(job_table, Spec("run-1", 10));
   store::TaskGroup task_group;
@@ -42,22 +42,23 @@
   EXPECT_EQ(job.waiting(), 8U);
 }
 
-// Groups of a layout too large for the lower limits are carried over part by part, whenever one of
-// their tasks changes: each in a transaction that fits, guarded by what it is carried over from.
+// Task groups of a layout that is too large for the lowered limits are migrated part by part,
+// whenever one of their tasks changes. Each part is written in a transaction within the limits,
+// with a precondition on the base group that it is migrated from.
 class TaskGroupParts : public testing::Test {
  protected:
   TaskGroupParts() : job_table_(40) {
     PutJob(job_table_, Spec("run-1", 100));
-    store::TaskGroup whole;
-    for (uint32_t i = 0; i < 10; ++i) whole.done.Insert(i);
-    for (uint32_t i = 10; i < 30; ++i) whole.open[i] = {1, "vm-1"};
-    whole.runs["c4"] = {10, 50};
-    Apply(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(whole));
+    store::TaskGroup base_group;
+    for (uint32_t i = 0; i < 10; ++i) base_group.done.Insert(i);
+    for (uint32_t i = 10; i < 30; ++i) base_group.open[i] = {1, "vm-1"};
+    base_group.runs["c4"] = {10, 50};
+    Apply(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(base_group));
     Apply(store::FormatKey(), store::WriteFormat({2, {40, 2}}));
   }
   void Apply(const std::string& key, const std::string& value) {
     job_table_.Apply(store::ParseKey(key), value);
-    versions_[key] = value.empty() ? 0 : ++stamp_;
+    versions_[key] = value.empty() ? 0 : ++last_version_;
   }
   std::vector<Transaction> Build(Kind kind, uint32_t index, uint64_t attempt) {
     TaskTransition m;
@@ -65,20 +66,20 @@
     m.task = {"run-1", index};
     m.attempt = attempt;
     m.machine = "vm-1";
-    std::vector<TaskTransition> all;
-    if (attempt > 0) all.push_back(m);
+    std::vector<TaskTransition> transitions;
+    if (attempt > 0) transitions.push_back(m);
     const TransactionLimits limits = {4, {{"block", 5}}, 0, 0, true, 0};
-    return BuildTransactions(job_table_, all, limits,
+    return BuildTransactions(job_table_, transitions, limits,
                              [this](const std::string& k) { return versions_[k]; });
   }
   const Job& job() const { return *job_table_.Find("run-1"); }
 
   JobTable job_table_;
   std::map<std::string, uint64_t> versions_;
-  uint64_t stamp_ = 10;
+  uint64_t last_version_ = 10;
 };
 
-TEST_F(TaskGroupParts, NothingChangesBeforeSomethingIsWritten) {
+TEST_F(TaskGroupParts, BaseGroupCountsUntilAPartIsWritten) {
   EXPECT_EQ(job().done(), 10U);
   EXPECT_EQ(job().placed(), 20U);
   EXPECT_EQ(job().MeanRunTimeS("c4"), 5);
@@ -86,45 +87,46 @@
   EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
 }
 
-TEST_F(TaskGroupParts, APartTakesTheTasksOfItsRangeWithIt) {
-  const std::string whole = store::TaskGroupKey("run-1", 0),
-                    second = store::TaskGroupPartKey("run-1", 0, 1);
+TEST_F(TaskGroupParts, WritingAPartMigratesAllTasksOfItsRange) {
+  const std::string base_group = store::TaskGroupKey("run-1", 0),
+                    second_part = store::TaskGroupPartKey("run-1", 0, 1);
   auto transactions = Build(Kind::kDone, 25, 1);
   ASSERT_EQ(transactions.size(), 1U);
   ASSERT_EQ(transactions[0].writes.size(), 1U);
-  EXPECT_EQ(transactions[0].writes[0].key, second);
+  EXPECT_EQ(transactions[0].writes[0].key, second_part);
   std::map<std::string, uint64_t> preconditions;
   for (const auto& g : transactions[0].preconditions) preconditions[g.key] = g.version;
-  EXPECT_EQ(preconditions.at(whole), versions_[whole]);
-  EXPECT_EQ(preconditions.at(second), 0U);
-  Apply(second, transactions[0].writes[0].value);
+  EXPECT_EQ(preconditions.at(base_group), versions_[base_group]);
+  EXPECT_EQ(preconditions.at(second_part), 0U);
+  Apply(second_part, transactions[0].writes[0].value);
   EXPECT_EQ(job().done(), 11U);
   EXPECT_EQ(job().placed(), 19U);
   EXPECT_EQ(job_table_.PlacementsOn("vm-1").size(), 19U);
-  // A late write of the whole is void for what has a part of its own.
-  store::TaskGroup late;
-  late.open[25] = {1, "vm-9"};
-  late.open[12] = {1, "vm-1"};
-  Apply(whole, store::WriteTaskGroup(late));
+  // A late write of the base group has no effect on tasks whose part exists.
+  store::TaskGroup late_base_group;
+  late_base_group.open[25] = {1, "vm-9"};
+  late_base_group.open[12] = {1, "vm-1"};
+  Apply(base_group, store::WriteTaskGroup(late_base_group));
   EXPECT_TRUE(job_table_.PlacementsOn("vm-9").empty());
   EXPECT_EQ(job().done(), 1U);
 }
 
-TEST_F(TaskGroupParts, AWholeIsDroppedOnceAllItsTasksHaveParts) {
+TEST_F(TaskGroupParts, BaseGroupIsObsoleteOnceAllItsTasksHaveParts) {
   for (uint32_t index : {25U, 12U}) {
     EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
     auto transactions = Build(Kind::kDone, index, 1);
     Apply(transactions.at(0).writes.at(0).key, transactions[0].writes[0].value);
   }
   EXPECT_EQ(job_table_.ObsoleteKeys(), std::vector<std::string>{store::TaskGroupKey("run-1", 0)});
-  EXPECT_EQ(Build(Kind::kDone, 0, 0).at(0).writes.at(0).value, "") << "by itself";
+  EXPECT_EQ(Build(Kind::kDone, 0, 0).at(0).writes.at(0).value, "")
+      << "deleted without any transition";
   Apply(store::TaskGroupKey("run-1", 0), "");
   EXPECT_EQ(job().done(), 12U);
   EXPECT_EQ(job().placed(), 18U);
   EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
 }
 
-TEST_F(TaskGroupParts, ALoadInAnyOrderSaysTheSame) {
+TEST_F(TaskGroupParts, OrderOfLoadedRecordsDoesNotMatter) {
   auto transactions = Build(Kind::kDone, 25, 1);
   Apply(transactions.at(0).writes.at(0).key, transactions[0].writes[0].value);
   JobTable other(40);
@@ -133,18 +135,18 @@
   };
   put(store::FormatKey(), store::WriteFormat({2, {40, 2}}));
   put(transactions[0].writes[0].key, transactions[0].writes[0].value);
-  store::TaskGroup whole;
-  for (uint32_t i = 10; i < 30; ++i) whole.open[i] = {1, "vm-1"};
-  put(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(whole));
+  store::TaskGroup base_group;
+  for (uint32_t i = 10; i < 30; ++i) base_group.open[i] = {1, "vm-1"};
+  put(store::TaskGroupKey("run-1", 0), store::WriteTaskGroup(base_group));
   PutJob(other, Spec("run-1", 100));
   EXPECT_EQ(other.Find("run-1")->placed(), 19U);
   EXPECT_EQ(other.Find("run-1")->done(), 1U);
   put(store::JobKey("run-1"), "");
-  EXPECT_EQ(other.ObsoleteKeys().size(), 2U) << "both forms go with the job";
+  EXPECT_EQ(other.ObsoleteKeys().size(), 2U) << "base group and part are obsolete without the job";
 }
 
-// A job whose record names its layout is read by that, whatever the settings or other jobs say.
-TEST(JobTable, AJobsOwnLayoutCounts) {
+// A job whose record names a layout uses it, regardless of the settings and of other jobs.
+TEST(JobTable, LayoutInTheJobRecordTakesPrecedence) {
   JobTable job_table(40);
   store::JobRecord record;
   record.spec = Spec("run-2", 100);
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -12,7 +12,7 @@
 namespace hallpier::wire {
 namespace {
 
-TEST(Varint, SurvivesARoundTripAtTheEdges) {
+TEST(Varint, RoundTripsAtLengthBoundaries) {
   for (uint64_t v : {uint64_t{0}, uint64_t{127}, uint64_t{128}, uint64_t{16383}, uint64_t{16384},
                      uint64_t{1} << 63, std::numeric_limits<uint64_t>::max()}) {
     std::string out;
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(Varint, RefusesWhatIsCutOrTooLarge) {
+TEST(Varint, RejectsTruncatedAndOversizedValues) {
   std::string out;
   PutVarint(out, std::numeric_limits<uint64_t>::max());
   for (size_t n = 0; n < out.size(); ++n) {
@@ -31,31 +31,31 @@
     r.Varint();
     EXPECT_FALSE(r.ok()) << n;
   }
-  VarintReader wide(std::string_view("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x02", 10));
-  wide.Varint();
-  EXPECT_FALSE(wide.ok()) << "more than 64 bits";
+  VarintReader oversized(std::string_view("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x02", 10));
+  oversized.Varint();
+  EXPECT_FALSE(oversized.ok()) << "more than 64 bits";
   VarintReader bytes(
       std::string_view("\x05"
                        "abc",
                        4));
   bytes.Bytes();
-  EXPECT_FALSE(bytes.ok()) << "a text longer than what is there";
+  EXPECT_FALSE(bytes.ok()) << "a length over the remaining bytes";
 }
 
-TEST(FrameDecoder, TakesFramesFromAnyCutOfTheStream) {
-  const std::string big(1000, 'x');
-  const std::string stream = EncodeFrame("one") + EncodeFrame("") + EncodeFrame(big);
+TEST(FrameDecoder, ReturnsFramesFedByteByByte) {
+  const std::string large_payload(1000, 'x');
+  const std::string stream = EncodeFrame("one") + EncodeFrame("") + EncodeFrame(large_payload);
   FrameDecoder f(2000);
-  std::vector<std::string> got;
+  std::vector<std::string> frames;
   for (char c : stream) {
     f.Feed(std::string_view(&c, 1));
-    while (auto p = f.Next()) got.push_back(*p);
+    while (auto p = f.Next()) frames.push_back(*p);
   }
-  EXPECT_EQ(got, (std::vector<std::string>{"one", "", big}));
+  EXPECT_EQ(frames, (std::vector<std::string>{"one", "", large_payload}));
   EXPECT_FALSE(f.corrupt());
 }
 
-TEST(FrameDecoder, RefusesFramesOverTheBound) {
+TEST(FrameDecoder, RejectsFramesOverTheLimit) {
   FrameDecoder f(100);
   f.Feed(EncodeFrame(std::string(101, 'x')));
   EXPECT_FALSE(f.Next());
@@ -66,7 +66,7 @@
   EXPECT_TRUE(g.corrupt());
 }
 
-TEST(PeerMessages, SurviveARoundTripAndRefuseNonsense) {
+TEST(PeerMessages, RoundTripAndRejectInvalidBytes) {
   PeerStatus s{"node-1", model::FencingToken(77), true, false};
   auto back = ReadPeerMessage(WritePeerMessage(s));
   ASSERT_TRUE(back);
@@ -96,16 +96,16 @@
   back = ReadPeerMessage(WritePeerMessage(CancelNotice{{"run-1", 430}}));
   ASSERT_TRUE(back);
   EXPECT_EQ(std::get<CancelNotice>(*back).cancelled, (Cancellation{"run-1", 430}));
-  EXPECT_FALSE(ReadPeerMessage(payload + "x")) << "something behind the message";
+  EXPECT_FALSE(ReadPeerMessage(payload + "x")) << "a byte after the message";
   EXPECT_FALSE(ReadPeerMessage("\x63")) << "an unknown type";
 }
 
-// Valid messages of every type, with numbers at and near the bounds of what a field holds.
+// Generates valid messages of every type, with numbers at and near the limits of their fields.
 class RandomMessages {
  private:
   bool Flag() { return Below(2) == 1; }
-  uint64_t Below(uint64_t most) {
-    return std::uniform_int_distribution<uint64_t>(0, most - 1)(random_);
+  uint64_t Below(uint64_t limit) {
+    return std::uniform_int_distribution<uint64_t>(0, limit - 1)(random_);
   }
   uint64_t Number() {
     constexpr uint64_t kMax = std::numeric_limits<uint64_t>::max();
@@ -119,32 +119,33 @@
     return text;
   }
   template <class F>
-  auto Several(F make) {
+  auto RandomVector(F make) {
     std::vector<decltype(make())> all;
     for (uint64_t n = Below(6); n > 0; --n) all.push_back(make());
     return all;
   }
   model::MemberState State() { return static_cast<model::MemberState>(Below(4)); }
-  model::Incarnation Life() { return {Number(), Number()}; }
+  model::Incarnation NodeIncarnation() { return {Number(), Number()}; }
   MemberStatus Status() {
-    auto observe = [this] {
-      // The largest is kept as one less, since 0 stands for never.
-      auto heard = Flag() ? std::optional(std::min(Number(), kLongestHeard)) : std::nullopt;
-      return model::MemberObservation{Text(), Life(), State(), heard};
+    auto observation = [this] {
+      // The codec reads the largest number back as one less, since 0 stands for never.
+      auto heard = Flag() ? std::optional(std::min(Number(), kMaxHeardMsAgo)) : std::nullopt;
+      return model::MemberObservation{Text(), NodeIncarnation(), State(), heard};
     };
-    return {Text(), Life(),          State(), {Flag(), Flag(), Number(), Number()},
-            Text(), Several(observe)};
+    return {Text(), NodeIncarnation(),        State(), {Flag(), Flag(), Number(), Number()},
+            Text(), RandomVector(observation)};
   }
   MembersReport Report() {
     auto row = [this] {
-      auto accusers = Several([this] { return Text(); });
-      return MemberRow{Text(), Life(), State(), Flag(), Flag(), Number(), accusers, Text()};
+      auto suspecting_nodes = RandomVector([this] { return Text(); });
+      return MemberRow{Text(), NodeIncarnation(), State(),          Flag(),
+                       Flag(), Number(),          suspecting_nodes, Text()};
     };
-    return {Text(), Flag(), Several(row), Text(), Text(), Number()};
+    return {Text(), Flag(), RandomVector(row), Text(), Text(), Number()};
   }
 
   std::vector<std::string> Texts() {
-    return Several([this] { return Text(); });
+    return RandomVector([this] { return Text(); });
   }
   BlockView View() {
     auto task = [this] {
@@ -157,13 +158,15 @@
                              Number()};
     };
     auto machine = [&] {
-      return model::MachineView{Text(), Text(), Text(), Flag(), Flag(), Texts(), Several(task)};
+      return model::MachineView{
+          Text(), Text(), Text(), Flag(), Flag(), Texts(), RandomVector(task)};
     };
     auto failures = [this] { return model::JobFailures{Text(), Flag(), Flag(), Texts()}; };
-    return {model::FencingToken(Number()), Number(), Several(machine), Texts(), Several(failures)};
+    return {model::FencingToken(Number()), Number(), RandomVector(machine), Texts(),
+            RandomVector(failures)};
   }
 
-  static constexpr uint64_t kLongestHeard = std::numeric_limits<uint64_t>::max() - 1;
+  static constexpr uint64_t kMaxHeardMsAgo = std::numeric_limits<uint64_t>::max() - 1;
   std::mt19937_64 random_;
 
  public:
@@ -180,7 +183,7 @@
       case 3:
         return CancellationReportRequest{Number()};
       case 4:
-        return CancellationReport{Flag(), Number(), Several([this] {
+        return CancellationReport{Flag(), Number(), RandomVector([this] {
                                     return Cancellation{Text(), Number()};
                                   })};
       case 5:
@@ -201,7 +204,7 @@
   }
 };
 
-TEST(PeerMessages, WhateverANodeMayWriteIsReadAsWritten) {
+TEST(PeerMessages, RandomMessagesRoundTrip) {
   for (uint64_t seed = 0; seed < 200; ++seed) {
     RandomMessages messages(seed);
     for (size_t type = 0; type < std::variant_size_v<PeerMessage>; ++type) {
@@ -222,8 +225,9 @@
   }
 }
 
-// Heard so long ago that the number has no successor.
-TEST(PeerMessages, TheLongestTimeSinceANodeWasHeardIsNotNever) {
+// Guards against an overflow: the codec stores this number plus one, since 0 stands for never, and
+// the largest number has no successor.
+TEST(PeerMessages, LargestTimeSinceLastHeardIsNotReadAsNever) {
   MemberProbe probe;
   probe.status.observations = {
       {"node-1", {}, model::MemberState::kAlive, std::numeric_limits<uint64_t>::max()}};
@@ -238,21 +242,21 @@
   return message ? std::string() : message.error().reason;
 }
 
-TEST(PeerMessages, AFaultNamesTheMessageAndTheField) {
+TEST(PeerMessages, DecodeErrorNamesTheMessageAndTheField) {
   EXPECT_EQ(DecodeErrorOf("\x63"),
             "a message of an unknown type: message type has the invalid value 99");
   EXPECT_EQ(DecodeErrorOf(WritePeerMessage(MembersRequest{}) + "x"),
             "a members request: unexpected bytes after the message");
   std::string report = WritePeerMessage(MembersReport{});
   EXPECT_EQ(DecodeErrorOf(report.substr(0, report.size() - 1)), "a members report: truncated");
-  constexpr size_t kRowCount = 3;  // behind the type, an empty name and a flag
+  constexpr size_t kRowCount = 3;  // after the type, an empty name and a flag
   std::string rows = report.substr(0, kRowCount);
   PutVarint(rows, 10001);
   EXPECT_EQ(DecodeErrorOf(rows), "a members report: member count has the invalid value 10001");
   MembersReport one;
   one.rows.push_back({"", {0, 0}, model::MemberState::kLeft, true, false, 0, {}, ""});
   std::string state = WritePeerMessage(one);
-  constexpr size_t kState = kRowCount + 1 + 3;  // behind the count, a name and an incarnation
+  constexpr size_t kState = kRowCount + 1 + 3;  // after the count, a name and an incarnation
   ASSERT_EQ(state[kState], static_cast<char>(model::MemberState::kLeft));
   state[kState] = 4;
   EXPECT_EQ(DecodeErrorOf(state), "a members report: member state has the invalid value 4");
@@ -260,7 +264,7 @@
   machine.changed.push_back(
       {.machine = "", .machine_type = "", .zone = "", .images = {}, .tasks = {{}}});
   std::string phase = WritePeerMessage(machine);
-  constexpr size_t kPhase = 14;  // behind the view's head, the machine's and the task's name
+  constexpr size_t kPhase = 14;  // after the view's header, the machine, the task's id and attempt
   phase[kPhase] = 9;
   EXPECT_EQ(DecodeErrorOf(phase), "a block view: task phase has the invalid value 9");
   std::string answer = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
@@ -269,7 +273,7 @@
   EXPECT_EQ(DecodeErrorOf(answer), "a relay response: HTTP status has the invalid value 1000");
 }
 
-TEST(PeerMessages, EachHasAName) {
+TEST(PeerMessages, EachTypeHasAName) {
   EXPECT_EQ(PeerMessageName(PeerStatus{}), "a peer status");
   EXPECT_EQ(PeerMessageName(MembersReport{}), "a members report");
 }
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -1,5 +1,6 @@
-// Real processes on loopback that are stopped, continued and killed at random, with membership on.
-// Scaled down for CI: three controllers, a few dozen tasks, some seconds for each seed.
+// Runs real controller processes on loopback, which are stopped, continued and killed at random,
+// with membership on. Scaled down for CI: three controllers, a few dozen tasks, a few seconds per
+// seed.
 #include <sys/prctl.h>
 #include <sys/wait.h>
 
@@ -19,7 +20,7 @@
 
 using namespace testing_support;
 
-// One controller process, killed when it goes out of scope.
+// Runs one controller process. The destructor kills it.
 class ControllerProcess {
  public:
   ControllerProcess(std::string settings_file, std::string operator_file)
@@ -31,7 +32,7 @@
   void Start() {
     pid_ = fork();
     if (pid_ != 0) return;
-    // Whatever becomes of the test, nothing of it goes on.
+    // Kills the controller when the test process ends, even if the test crashes.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     setenv("LOG_LEVEL", "error", 1);
     execl(HALLPIER_BINARY, HALLPIER_BINARY, "--operator", operator_file_.c_str(), "--config",
@@ -57,7 +58,7 @@
 class ProcessTest : public EndToEnd, public testing::WithParamInterface<int> {
  public:
   static constexpr int kNodes = 3;
-  static constexpr double kStormS = 8;
+  static constexpr double kFaultPeriodS = 8;
 
   ProcessTest() : random_(static_cast<uint64_t>(GetParam())) { run_s_ = 0.5; }
 
@@ -65,31 +66,32 @@
     StartServices(kNodes);
     WatchState();
     char name[] = "/tmp/hallpier-process-test-XXXXXX";
-    RequireStarted(mkdtemp(name) != nullptr, "a folder for the test", name);
-    folder_ = name;
-    Write("operator.conf", "leader_ttl_ratio = 4\nmembership {\n  enabled = true\n}\n" + blocks_);
+    RequireStarted(mkdtemp(name) != nullptr, "the test directory", name);
+    directory_ = name;
+    WriteFile("operator.conf",
+              "leader_ttl_ratio = 4\nmembership {\n  enabled = true\n}\n" + blocks_options_);
     for (int i = 0; i < kNodes; ++i) {
       const std::string file = "node-" + std::to_string(i) + ".toml";
-      Write(file, SettingsText(NodeSettings(i, kNodes)));
-      processes_.push_back(
-          std::make_unique<ControllerProcess>(folder_ + "/" + file, folder_ + "/operator.conf"));
+      WriteFile(file, SettingsText(NodeSettings(i, kNodes)));
+      processes_.push_back(std::make_unique<ControllerProcess>(directory_ + "/" + file,
+                                                               directory_ + "/operator.conf"));
       processes_.back()->Start();
     }
   }
   ~ProcessTest() override {
     processes_.clear();
-    if (folder_.empty()) return;
-    for (const std::string& file : files_) std::remove((folder_ + "/" + file).c_str());
-    rmdir(folder_.c_str());
+    if (directory_.empty()) return;
+    for (const std::string& file : files_) std::remove((directory_ + "/" + file).c_str());
+    rmdir(directory_.c_str());
   }
 
-  async::Task<> Storm() {
+  async::Task<> RunWithFaults() {
     bool ok = co_await Until(0, "GET", "/ready", "", 200, "", 20);
     EXPECT_TRUE(ok);
     scope_.Spawn(SubmitJobs());
-    const double end = loop_.Now() + kStormS;
+    const double end = loop_.Now() + kFaultPeriodS;
     while (loop_.Now() < end) {
-      Strike();
+      InjectFault();
       co_await Pause(std::uniform_real_distribution<double>(0.1, 0.7)(random_));
     }
     for (auto& process : processes_) {
@@ -101,23 +103,23 @@
     EXPECT_GT(accepted_.size(), 5U);
     for (const std::string& id : accepted_) {
       ok = co_await Until(0, "GET", "/submissions/" + id, "", 200, R"("phase":"done")", 40);
-      EXPECT_TRUE(ok) << id << " is lost";
+      EXPECT_TRUE(ok) << id << " must be done";
     }
     ok = co_await Within(20, [&] { return AllAlive(); });
-    EXPECT_TRUE(ok) << "every process is a member again";
+    EXPECT_TRUE(ok) << "every process must be an alive member again";
   }
 
-  int verdicts() const { return verdicts_; }
-  int verdicts_twice() const { return verdicts_twice_; }
-  int leaders_over_leaders() const { return leaders_over_leaders_; }
+  int failures_declared() const { return failures_declared_; }
+  int failures_declared_twice() const { return failures_declared_twice_; }
+  int leader_overwrites() const { return leader_overwrites_; }
 
  protected:
-  std::string blocks_;  // of the operators' file
+  std::string blocks_options_;  // blocks section of the operator's file
   double submit_pause_s_ = 0.3;
-  int lendings_ = 0;  // shares of limits that were written
+  int allocation_writes_ = 0;  // writes of quota allocation records
 
  private:
-  void Strike() {
+  void InjectFault() {
     auto& process = *processes_[std::uniform_int_distribution<size_t>(0, kNodes - 1)(random_)];
     switch (std::uniform_int_distribution<int>(0, 3)(random_)) {
       case 0:
@@ -134,10 +136,10 @@
   }
 
   async::Task<> SubmitJobs() {
-    const double end = loop_.Now() + kStormS;
+    const double end = loop_.Now() + kFaultPeriodS;
     for (int i = 0; loop_.Now() < end; ++i) {
       const std::string id = "run-" + std::to_string(100 + i);
-      // As users do: again and again, at whichever node answers.
+      // Retries as users do, at each node in turn until one accepts the job.
       for (int attempt = 0; loop_.Now() < end; ++attempt) {
         wire::HttpResponse r =
             co_await Ask((i + attempt) % kNodes, "POST", "/submissions", Body(Spec(id, 3)));
@@ -156,16 +158,17 @@
     state_->Watch([this](const std::string& key, const std::string& value) {
       const store::ParsedKey parsed = store::ParseKey(key);
       if (std::holds_alternative<store::LeaderKeyName>(parsed)) {
-        if (!leader_.empty() && !value.empty()) ++leaders_over_leaders_;
+        if (!leader_.empty() && !value.empty()) ++leader_overwrites_;
         leader_ = value;
       }
-      if (std::holds_alternative<store::ShareKeyName>(parsed)) ++lendings_;
+      if (std::holds_alternative<store::ShareKeyName>(parsed)) ++allocation_writes_;
       const auto* member = std::get_if<store::MemberKeyName>(&parsed);
       if (member == nullptr) return;
       auto record = membership::ReadMember(value);
       if (!record || record->state != model::MemberState::kFailed) return;
-      ++verdicts_;
-      if (!judged_.insert({member->node, record->incarnation.session}).second) ++verdicts_twice_;
+      ++failures_declared_;
+      if (!failed_incarnations_.insert({member->node, record->incarnation.session}).second)
+        ++failures_declared_twice_;
     });
   }
 
@@ -178,8 +181,8 @@
     return true;
   }
 
-  void Write(const std::string& file, const std::string& text) {
-    std::ofstream(folder_ + "/" + file) << text;
+  void WriteFile(const std::string& file, const std::string& text) {
+    std::ofstream(directory_ + "/" + file) << text;
     files_.push_back(file);
   }
 
@@ -208,63 +211,64 @@
   }
 
   std::mt19937_64 random_;
-  std::string folder_;
+  std::string directory_;
   std::vector<std::string> files_;
   std::vector<std::unique_ptr<ControllerProcess>> processes_;
   std::vector<std::string> accepted_;
   bool submitted_all_ = false;
   std::string leader_;
-  std::set<std::pair<std::string, uint64_t>> judged_;
-  int verdicts_ = 0;
-  int verdicts_twice_ = 0;
-  int leaders_over_leaders_ = 0;
+  std::set<std::pair<std::string, uint64_t>> failed_incarnations_;
+  int failures_declared_ = 0;
+  int failures_declared_twice_ = 0;
+  int leader_overwrites_ = 0;
 };
 
-TEST_P(ProcessTest, StoppedContinuedAndKilledTheyRunEveryTaskOnceAtATimeAndLoseNone) {
+TEST_P(ProcessTest, ProcessFaultsLoseNoJobAndStartNoTaskTwice) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   StartAll();
-  Run(Storm());
+  Run(RunWithFaults());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
-  EXPECT_GT(verdicts(), 0) << "the storm was none";
-  EXPECT_EQ(verdicts_twice(), 0);
-  EXPECT_EQ(leaders_over_leaders(), 0) << "a leader's record was written over another's";
+  EXPECT_GT(failures_declared(), 0) << "no controller was declared failed";
+  EXPECT_EQ(failures_declared_twice(), 0);
+  EXPECT_EQ(leader_overwrites(), 0)
+      << "a leader record was overwritten while another leader held it";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ProcessTest, testing::Range(1, 4));
 
-// Several of them place at a time, under heavy submission at all.
+// Several controllers place tasks at the same time, under heavy submission at all of them.
 class BlocksProcessTest : public ProcessTest {
  public:
-  static constexpr int kLimit = 8;
+  static constexpr int kTeamLimitCpus = 8;
 
   BlocksProcessTest() {
-    blocks_ = "blocks {\n  enabled = true\n}\n";
-    cpus_max_ = kLimit;
+    blocks_options_ = "blocks {\n  enabled = true\n}\n";
+    cpus_max_ = kTeamLimitCpus;
     submit_pause_s_ = 0.05;
   }
-  // Reads only what the fake workers run; each task takes one processor.
+  // Counts only the tasks that the fake workers run. Each task takes one CPU.
   void WatchPeak() {
     cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
-      peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
+      peak_cpus_ = std::max(peak_cpus_, cloud_->RunningWithPrefix("run-") + 1);
     });
   }
 
  protected:
-  int peak_ = 0;
+  int peak_cpus_ = 0;
 };
 
-TEST_P(BlocksProcessTest, StoppedContinuedAndKilledTheyKeepTheTeamsLimit) {
+TEST_P(BlocksProcessTest, ProcessFaultsNeverExceedTheTeamLimit) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   StartAll();
   WatchPeak();
-  Run(Storm());
-  std::printf("peak of concurrent processors: %d, limit: %d\n", peak_, kLimit);
-  RecordProperty("peak", peak_);
-  EXPECT_LE(peak_, kLimit);
-  EXPECT_GE(peak_, kLimit / 2) << "hardly anything ran";
-  EXPECT_GT(lendings_, 3) << "hardly anything was lent";
+  Run(RunWithFaults());
+  std::printf("peak of concurrent processors: %d, limit: %d\n", peak_cpus_, kTeamLimitCpus);
+  RecordProperty("peak", peak_cpus_);
+  EXPECT_LE(peak_cpus_, kTeamLimitCpus);
+  EXPECT_GE(peak_cpus_, kTeamLimitCpus / 2) << "too few tasks ran at the same time";
+  EXPECT_GT(allocation_writes_, 3) << "too few quota allocations were written";
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
-  EXPECT_GT(verdicts(), 0) << "the storm was none";
+  EXPECT_GT(failures_declared(), 0) << "no controller was declared failed";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, BlocksProcessTest, testing::Range(1, 4));
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -1,5 +1,5 @@
-// Records in the forms that they are kept in: as versions without pipelines write them, packed, and
-// within limits that become smaller.
+// Records in all stored formats: as written by versions without pipelines, packed, and within
+// lowered limits.
 #include <gtest/gtest.h>
 
 #include "fixtures.h"
@@ -18,7 +18,7 @@
 
 using namespace testing_support;
 
-// Written by the version before pipelines (production), kept here as bytes.
+// Bytes written by the production version before pipelines.
 constexpr std::string_view kOldJob =
     R"({"spec":{"id":"run-000412","lane":"train","tenant":"vision","shape":"array",)"
     R"("urgency":"urgent","pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.5,"bundle":"img-07",)"
@@ -30,17 +30,18 @@
 
 std::string Hex(std::string_view bytes) {
   std::string out;
-  char two[3];
+  char digits[3];
   for (unsigned char c : bytes) {
-    std::snprintf(two, sizeof(two), "%02x", c);
-    out += two;
+    std::snprintf(digits, sizeof(digits), "%02x", c);
+    out += digits;
   }
   return out;
 }
 
-// Until every node is new, each byte written must be one that production would write: it drops
-// fields it does not know when a job is cancelled, and refuses frames that are longer.
-TEST(OldForms, AreWrittenByteForByte) {
+// Guards against newer formats while a node of the old production version runs. That version drops
+// unknown fields when it cancels a job, and rejects longer frames. So until every node is new, all
+// bytes written must equal those that the old version writes.
+TEST(Records, OldFormatIsWrittenByteForByte) {
   auto job = ReadJob(kOldJob);
   ASSERT_TRUE(job);
   EXPECT_EQ(WriteJob(*job), kOldJob);
@@ -55,13 +56,13 @@
   EXPECT_EQ(WriteFencingTokenRecord("hallnode-0"), R"({"holder":"hallnode-0"})");
   EXPECT_EQ(TaskGroupKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
   EXPECT_EQ(FinalKey("run-000412"), "hallpier/f/run-000412");
-  // A group's number means a range of tasks: reckoned otherwise, tasks would start twice.
+  // A group number stands for a range of tasks. With another range, tasks would start twice.
   EXPECT_EQ(TasksPerTextGroup(8), 335U);
   EXPECT_EQ(TasksPerTextGroup(2), 83U);
   EXPECT_EQ(TasksPerTextGroup(64), 2681U);
 }
 
-TEST(OldForms, OfFramesAreKept) {
+TEST(PeerMessages, OldFramesAreWrittenByteForByte) {
   EXPECT_EQ(Hex(wire::WritePeerMessage(
                 wire::PeerStatus{"hallnode-1", model::FencingToken(412), true, true})),
             "010a68616c6c6e6f64652d319c030101");
@@ -79,13 +80,13 @@
   EXPECT_EQ(Hex(wire::WritePeerMessage(a)), "030901c801097b22726576223a357d");
 }
 
-// The same from the leader's transactions, whose fields are set elsewhere.
-TEST(OldForms, AreAllThatALeaderWritesBeforeTheChange) {
+// The same for the leader's transactions, where other code sets the fields of the records.
+TEST(BuildTransactions, UsesTheOldFormatBeforeTheFormatChange) {
   jobs::JobTable job_table(335);
   job_table.Apply(ParseKey(JobKey("run-000412")), std::string(kOldJob));
   job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), std::string(kOldGroup));
   jobs::TransactionLimits limits{8, {{"block", 5}}, 8192, 0, false, 1764633700};
-  auto first = [&](jobs::TaskTransition::Kind kind, uint32_t index, uint64_t attempt) {
+  auto build = [&](jobs::TaskTransition::Kind kind, uint32_t index, uint64_t attempt) {
     jobs::TaskTransition m;
     m.kind = kind;
     m.task = {"run-000412", index};
@@ -93,20 +94,20 @@
     m.machine = "vm-000231";
     return jobs::BuildTransactions(job_table, {m}, limits, [](const std::string&) { return 1; });
   };
-  EXPECT_EQ(first(jobs::TaskTransition::Kind::kPlace, 5, 4).at(0).writes.at(0).value,
+  EXPECT_EQ(build(jobs::TaskTransition::Kind::kPlace, 5, 4).at(0).writes.at(0).value,
             R"({"done":[0,1,4,4],"on":{"vm-000231":[2,3,-2,5,-4]},"runs":{"g8":[3,61.5]}})");
-  TaskGroup last;
-  for (uint32_t i = 0; i < 15; ++i) last.done.Insert(i);
-  last.open[15] = {1, "vm-000231"};
-  job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), WriteTaskGroup(last));
-  EXPECT_EQ(first(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
+  TaskGroup last_open;
+  for (uint32_t i = 0; i < 15; ++i) last_open.done.Insert(i);
+  last_open.open[15] = {1, "vm-000231"};
+  job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), WriteTaskGroup(last_open));
+  EXPECT_EQ(build(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
             R"({"phase":"done","done":16})");
   limits.packed_groups = true;
-  EXPECT_EQ(first(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
+  EXPECT_EQ(build(jobs::TaskTransition::Kind::kDone, 15, 1).at(0).writes.at(0).value,
             R"({"phase":"done","done":16,"at":1764633700.0})");
 }
 
-TEST(Digits, SurviveARoundTripAndRefuseNonsense) {
+TEST(Digits, RoundTripAndRejectInvalidText) {
   std::string text;
   for (uint64_t n : {0U, 63U, 64U, 4095U}) wire::PutDigits(text, n, 2);
   std::string_view left = text;
@@ -118,11 +119,11 @@
   EXPECT_EQ(wire::DigitsNeeded(64), 2U);
   const std::vector<bool> flags = {true, false, false, true, true, false, true};
   EXPECT_EQ(wire::UnpackFlags(wire::PackFlags(flags), 7), flags);
-  EXPECT_FALSE(wire::UnpackFlags(wire::PackFlags(flags), 6)) << "a flag too many";
+  EXPECT_FALSE(wire::UnpackFlags(wire::PackFlags(flags), 6)) << "one flag too many";
   EXPECT_FALSE(wire::UnpackFlags("0", 7));
 }
 
-TEST(Records, ACancellationFitsWhateverTheRecord) {
+TEST(Records, CancelledJobFitsTheValueLimitForAnyRecord) {
   JobRecord job;
   job.spec = Spec("run-1", 900);
   for (int i = 0; i < 300; ++i) job.spec.machine_types.push_back("flavor-" + std::to_string(i));
@@ -131,15 +132,15 @@
   ASSERT_GT(WriteJob(job).size(), 4000U);
   const std::string value = WriteCancelledJob(job, 1024);
   EXPECT_LE(value.size(), 1024U);
-  auto back = ReadJob(value);
-  ASSERT_TRUE(back);
-  EXPECT_TRUE(back->cancelled);
-  EXPECT_EQ(back->tasks_per_group, 77U) << "its groups must still be read as they were written";
-  EXPECT_EQ(back->spec.tasks, 900U);
-  EXPECT_EQ(back->spec.team, "team");
+  auto decoded = ReadJob(value);
+  ASSERT_TRUE(decoded);
+  EXPECT_TRUE(decoded->cancelled);
+  EXPECT_EQ(decoded->tasks_per_group, 77U) << "the layout of its task groups must not change";
+  EXPECT_EQ(decoded->spec.tasks, 900U);
+  EXPECT_EQ(decoded->spec.team, "team");
 }
 
-TEST(Records, ALongListOfMachineTypesTakesSeveralValues) {
+TEST(Records, LongMachineTypeListsAreSplitIntoPages) {
   std::vector<model::MachineType> machine_types;
   machine_types.reserve(40);
   for (int i = 0; i < 40; ++i)
@@ -151,7 +152,7 @@
   MachineTypePages read;
   for (auto n = static_cast<uint32_t>(pages.size()); n-- > 0;) {
     EXPECT_LE(pages[n].size(), 2048U);
-    EXPECT_FALSE(read.AllIfComplete()) << "a part of it says nothing";
+    EXPECT_FALSE(read.AllIfComplete()) << "an incomplete list must not be returned";
     read.Put(n, pages[n]);
   }
   ASSERT_TRUE(read.AllIfComplete());
@@ -160,15 +161,15 @@
   EXPECT_EQ(std::get<MachineTypesKeyName>(ParseKey(MachineTypesKey(3))).page, 3U);
 }
 
-TEST(Records, AwaitedJobsAndTheLayoutAreKept) {
+TEST(Records, AwaitedJobsAndLayoutsRoundTrip) {
   JobRecord job;
   job.spec = Spec("run-3", 4);
   job.spec.dependencies = {"run-1", "run-2"};
   job.tasks_per_group = 388;
-  auto back = ReadJob(WriteJob(job));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->spec.dependencies, job.spec.dependencies);
-  EXPECT_EQ(back->tasks_per_group, 388U);
+  auto decoded = ReadJob(WriteJob(job));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->spec.dependencies, job.spec.dependencies);
+  EXPECT_EQ(decoded->tasks_per_group, 388U);
   EXPECT_EQ(ReadFinal(R"({"phase":"done","done":3})")->recorded_at, 0);
   EXPECT_EQ(ReadFinal(WriteFinal({model::JobPhase::kDone, 3, 99.5}))->recorded_at, 99.5);
   const auto format = ReadFormat(R"({"format":2,"group":335,"parts":0})");
@@ -179,7 +180,7 @@
   EXPECT_EQ(node_format.error().reason, "not a JSON object");
 }
 
-// A record that can't be read is left as it is, and somebody has to find out why.
+// An unreadable record is left unchanged. The error names the field so that its cause can be found.
 TEST(Records, DecodeErrorsNameTheField) {
   auto field = [](const auto& result) {
     return result ? std::string("readable") : result.error().field;
--- a/tests/task_group_test.cc
+++ b/tests/task_group_test.cc
@@ -1,4 +1,4 @@
-// The record of a task group in its two forms.
+// Records of task groups in the text format and in the packed format.
 #include "store/task_group.h"
 
 #include <gtest/gtest.h>
@@ -20,30 +20,30 @@
   EXPECT_FALSE(s.Contains(6));
 }
 
-TEST(TaskGroup, SurvivesARoundTripAndRefusesNonsense) {
+TEST(TaskGroup, RoundTripsAndRejectsInvalidText) {
   TaskGroup s;
   s.done.Insert(1);
   s.done.Insert(2);
   s.open[7] = {3, "vm-1"};
   s.open[8] = {1, ""};
   s.runs["c4"] = {2, 20.5};
-  auto back = ReadTaskGroup(WriteTaskGroup(s));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->open, s.open);
-  EXPECT_EQ(back->done.size(), 2U);
-  EXPECT_EQ(back->placed(), 1U);
-  EXPECT_EQ(back->runs["c4"].count, 2U);
-  for (const char* bad :
+  auto decoded = ReadTaskGroup(WriteTaskGroup(s));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->open, s.open);
+  EXPECT_EQ(decoded->done.size(), 2U);
+  EXPECT_EQ(decoded->placed(), 1U);
+  EXPECT_EQ(decoded->runs["c4"].count, 2U);
+  for (const char* invalid :
        {R"({"done":[1],"on":{}})", R"({"done":[]})", R"({"done":[],"on":{"vm-1":[-2]}})",
         R"({"done":[],"on":{"vm-1":[3,-2,-2]}})", R"({"done":[],"on":{"vm-1":[3],"vm-2":[3]}})",
         R"({"done":[],"on":{"vm-1":[100000]}})"}) {
-    EXPECT_FALSE(ReadTaskGroup(bad)) << bad;
+    EXPECT_FALSE(ReadTaskGroup(invalid)) << invalid;
   }
   EXPECT_FALSE(ReadTaskGroup("[]"));
   EXPECT_FALSE(ReadFinal(R"({"phase":"running"})"));
 }
 
-TEST(TaskGroup, TheLargestFitsItsValue) {
+TEST(TaskGroup, LargestGroupFitsTheValueLimit) {
   const double value_kb = 2;
   const uint32_t tasks = TasksPerTextGroup(value_kb);
   TaskGroup s;
@@ -51,7 +51,7 @@
   EXPECT_LT(static_cast<double>(WriteTaskGroup(s).size()), value_kb * 1024);
 }
 
-TaskGroup Mixed(const std::vector<std::string>& machines) {
+TaskGroup GroupWithOpenTasks(const std::vector<std::string>& machines) {
   TaskGroup s;
   s.done.Insert(300);
   s.done.Insert(301);
@@ -60,43 +60,48 @@
   return s;
 }
 
-TEST(PackedTaskGroup, SurvivesARoundTripWhateverTheNames) {
+TEST(PackedTaskGroup, RoundTripsWithAnyMachineNames) {
   for (const TaskGroup& s :
-       {Mixed({"vm-000231", "vm-009000", "", "vm-000231"}), Mixed({"vm-9", "vm-10", "other"}),
-        Mixed({"a-7", "b-1", "b-3", "", "a-8", "b-3"}), Mixed({"", ""}), Mixed({}),
-        Mixed({"12345678901234567890", "12345678901234567891"})}) {
-    auto back = ReadTaskGroup(WritePackedTaskGroup(s, 300, 20));
-    ASSERT_TRUE(back) << WritePackedTaskGroup(s, 300, 20);
-    EXPECT_EQ(back->open, s.open);
-    EXPECT_EQ(back->done.ranges(), s.done.ranges());
-    EXPECT_EQ(back->runs["c4"].count, 2U);
+       {GroupWithOpenTasks({"vm-000231", "vm-009000", "", "vm-000231"}),
+        GroupWithOpenTasks({"vm-9", "vm-10", "other"}),
+        GroupWithOpenTasks({"a-7", "b-1", "b-3", "", "a-8", "b-3"}), GroupWithOpenTasks({"", ""}),
+        GroupWithOpenTasks({}),
+        GroupWithOpenTasks({"12345678901234567890", "12345678901234567891"})}) {
+    auto decoded = ReadTaskGroup(WritePackedTaskGroup(s, 300, 20));
+    ASSERT_TRUE(decoded) << WritePackedTaskGroup(s, 300, 20);
+    EXPECT_EQ(decoded->open, s.open);
+    EXPECT_EQ(decoded->done.ranges(), s.done.ranges());
+    EXPECT_EQ(decoded->runs["c4"].count, 2U);
   }
-  // Tasks that the group should not hold are kept all the same.
-  EXPECT_EQ(ReadTaskGroup(WritePackedTaskGroup(Mixed({"vm-1"}), 300, 2))->open,
-            Mixed({"vm-1"}).open);
+  // Tasks outside the given range of the group are kept as well.
+  EXPECT_EQ(ReadTaskGroup(WritePackedTaskGroup(GroupWithOpenTasks({"vm-1"}), 300, 2))->open,
+            GroupWithOpenTasks({"vm-1"}).open);
 }
 
-TEST(PackedTaskGroup, RefusesNonsense) {
-  const std::string good = WritePackedTaskGroup(Mixed({"vm-000231", "vm-009000"}), 300, 6);
-  ASSERT_TRUE(ReadTaskGroup(good));
-  auto broken = [&](const std::string& from, const std::string& to) {
-    std::string text = good;
+TEST(PackedTaskGroup, RejectsInvalidFields) {
+  const std::string valid =
+      WritePackedTaskGroup(GroupWithOpenTasks({"vm-000231", "vm-009000"}), 300, 6);
+  ASSERT_TRUE(ReadTaskGroup(valid));
+  auto rejected_field = [&](const std::string& from, const std::string& to) {
+    std::string text = valid;
     EXPECT_NE(text.find(from), std::string::npos) << text;
     text.replace(text.find(from), from.size(), to);
     const auto result = ReadTaskGroup(text);
     return result ? std::string("readable") : result.error().field;
   };
-  EXPECT_EQ(broken("\"of\":6", "\"of\":7"), "done");
-  EXPECT_EQ(broken("\"first\":300", "\"first\":100000"), "of");
-  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",6,231,870]"), "on");
-  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",6,231]"), "hosts");
-  EXPECT_EQ(broken("[\"vm-\",6,231,8770]", "[\"vm-\",3,231,8770]"), "hosts") << "too few digits";
-  EXPECT_EQ(broken("\"open\":\"C\"", "\"open\":\"m\""), "open") << "done and open";
+  EXPECT_EQ(rejected_field("\"of\":6", "\"of\":7"), "done");
+  EXPECT_EQ(rejected_field("\"first\":300", "\"first\":100000"), "of");
+  EXPECT_EQ(rejected_field("[\"vm-\",6,231,8770]", "[\"vm-\",6,231,870]"), "on");
+  EXPECT_EQ(rejected_field("[\"vm-\",6,231,8770]", "[\"vm-\",6,231]"), "hosts");
+  EXPECT_EQ(rejected_field("[\"vm-\",6,231,8770]", "[\"vm-\",3,231,8770]"), "hosts")
+      << "too few digits";
+  EXPECT_EQ(rejected_field("\"open\":\"C\"", "\"open\":\"m\""), "open")
+      << "a task both done and open";
 }
 
-// The lowering of the limits must find nothing that is too large to be written again: the largest
-// group that production ever wrote fits a quarter of its value once it is packed.
-TEST(PackedTaskGroup, TheLargestGroupsFitTheLowerLimit) {
+// Guards against stored groups that are too large to be rewritten after the limits are lowered. The
+// largest group that production ever wrote must fit into a quarter of its value once it is packed.
+TEST(PackedTaskGroup, LargestGroupsFitTheLoweredLimit) {
   for (uint32_t tasks : {TasksPerTextGroup(8), TasksPerPackedGroup(2)}) {
     TaskGroup s;
     for (uint32_t i = 0; i < tasks; ++i) {
--- a/tests/transaction_builder_test.cc
+++ b/tests/transaction_builder_test.cc
@@ -1,4 +1,4 @@
-// What a round writes: which changes go together, in which order, within which limits.
+// Transactions of a round: the grouping of changes, their order and their limits.
 #include "jobs/transaction_builder.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,8 @@
 
 uint64_t NoVersion(const std::string& /*unused*/) { return 0; }
 
-TaskTransition Make(Kind kind, uint32_t index, uint64_t attempt, const std::string& machine) {
+TaskTransition MakeTransition(Kind kind, uint32_t index, uint64_t attempt,
+                              const std::string& machine) {
   TaskTransition m;
   m.kind = kind;
   m.task = {"run-1", index};
@@ -28,8 +29,10 @@
   return m;
 }
 
-// Two holders that place tasks of different groups guard different keys; the job's record is one.
-TEST(BuildTransactions, WhereZonesDependOnEachOtherAPlacementRewritesTheJob) {
+// Guards against two block owners that place tasks of a one-zone job concurrently in different
+// zones. Placements in different task groups have preconditions on different keys. The job's record
+// is the same key for both, so each placement rewrites it as well.
+TEST(BuildTransactions, ConcurrentPlacementOfAOneZoneJobRewritesTheJob) {
   JobTable job_table(4);
   model::JobSpec spec = Spec("run-1", 8);
   spec.one_zone = true;
@@ -48,27 +51,30 @@
   EXPECT_EQ(writes[1].value, store::WriteJob(*job_table.Record("run-1")));
 }
 
-// Names of machines may be longer than the size of a group allows for: what does not fit waits, and
-// is placed once others have ended. The state service would refuse the whole value.
-TEST(BuildTransactions, PlacementsThatWouldOverfillAValueWait) {
+// Guards against task group values over the limit of the state service, which rejects the whole
+// value. Machine names may be longer than the group size allows for. Placements that do not fit
+// wait until other tasks have ended.
+TEST(BuildTransactions, PlacementsOverTheValueLimitWait) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 40));
-  std::vector<TaskTransition> all;
+  std::vector<TaskTransition> transitions;
   for (uint32_t i = 0; i < 40; ++i) {
-    all.push_back(Make(Kind::kPlace, i, 1, std::string(60, 'm') + std::to_string(i)));
+    transitions.push_back(
+        MakeTransition(Kind::kPlace, i, 1, std::string(60, 'm') + std::to_string(i)));
   }
   TransactionLimits limits = kLimits;
   limits.max_value_bytes = 1024;
-  auto transactions = BuildTransactions(job_table, all, limits, NoVersion);
+  auto transactions = BuildTransactions(job_table, transitions, limits, NoVersion);
   ASSERT_EQ(transactions.size(), 1U);
   EXPECT_LE(transactions[0].writes[0].value.size(), 1024U);
   EXPECT_EQ(transactions[0].machines.size(), 10U);
   EXPECT_EQ(store::ReadTaskGroup(transactions[0].writes[0].value)->open.size(), 10U);
 }
 
-// With more to write than the budget allows, urgent starts come first and ends of single tasks
-// last, unless they have waited long; the last task's end goes with what makes the job final.
-TEST(BuildTransactions, WhatMattersMostIsWrittenFirst) {
+// With more writes than the budget allows, urgent placements come first and ends of single tasks
+// last, unless they have waited long. The end of a job's last task goes into the transaction that
+// makes the job final.
+TEST(BuildTransactions, WritesOverTheBudgetAreOrderedByPriority) {
   JobTable job_table(64);
   model::JobSpec urgent = Spec("run-4", 1);
   urgent.priority = model::Priority::kUrgent;
@@ -76,35 +82,37 @@
     PutJob(job_table, spec);
   }
   for (const char* id : {"run-1", "run-2"}) PutOpenTask(job_table, id, 0, 1, "vm-1");
-  auto of = [](const char* job, TaskTransition m) {
+  auto for_job = [](const char* job, TaskTransition m) {
     m.task.job = job;
     return m;
   };
   TransactionLimits limits = kLimits;
   limits.max_writes = 3;
   limits.task_end_max_wait_s = 5;
-  std::vector<TaskTransition> all = {
-      of("run-1", Make(Kind::kDone, 0, 1, "vm-1")), of("run-3", Make(Kind::kPlace, 0, 1, "vm-2")),
-      of("run-2", Make(Kind::kDone, 0, 1, "vm-1")), of("run-4", Make(Kind::kPlace, 0, 1, "vm-3"))};
+  std::vector<TaskTransition> transitions = {
+      for_job("run-1", MakeTransition(Kind::kDone, 0, 1, "vm-1")),
+      for_job("run-3", MakeTransition(Kind::kPlace, 0, 1, "vm-2")),
+      for_job("run-2", MakeTransition(Kind::kDone, 0, 1, "vm-1")),
+      for_job("run-4", MakeTransition(Kind::kPlace, 0, 1, "vm-3"))};
   auto priorities = [&] {
     std::vector<WritePriority> out;
-    for (const auto& t : BuildTransactions(job_table, all, limits, NoVersion))
+    for (const auto& t : BuildTransactions(job_table, transitions, limits, NoVersion))
       out.push_back(t.priority);
     return out;
   };
   EXPECT_EQ(priorities(),
             (std::vector<WritePriority>{WritePriority::kUrgentPlacement, WritePriority::kJobEnd,
                                         WritePriority::kPlacement}));
-  all[0].known_for_s = 6;
-  all.erase(all.begin() + 1);
+  transitions[0].known_for_s = 6;
+  transitions.erase(transitions.begin() + 1);
   EXPECT_EQ(priorities().back(), WritePriority::kPlacement);
 }
 
-TEST(BuildTransactions, APlacementHasTokenJobAndGroupAsPreconditions) {
+TEST(BuildTransactions, PlacementHasTokenJobAndTaskGroupAsPreconditions) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
-  auto transactions = BuildTransactions(job_table, {Make(Kind::kPlace, 2, 1, "vm-1")}, kLimits,
-                                        [](const std::string& key) { return key.size(); });
+  auto transactions = BuildTransactions(job_table, {MakeTransition(Kind::kPlace, 2, 1, "vm-1")},
+                                        kLimits, [](const std::string& key) { return key.size(); });
   ASSERT_EQ(transactions.size(), 1U);
   std::map<std::string, uint64_t> preconditions;
   for (const auto& g : transactions[0].preconditions) preconditions[g.key] = g.version;
@@ -119,20 +127,23 @@
   PutJob(job_table, Spec("run-1", 4), 1, true);
   PutOpenTask(job_table, "run-1", 0, 1, "vm-1");
   EXPECT_TRUE(
-      BuildTransactions(job_table, {Make(Kind::kPlace, 2, 1, "vm-1")}, kLimits, NoVersion).empty());
+      BuildTransactions(job_table, {MakeTransition(Kind::kPlace, 2, 1, "vm-1")}, kLimits, NoVersion)
+          .empty());
 }
 
-TEST(BuildTransactions, AnOutcomeOfAnotherAttemptIsLeftOut) {
+TEST(BuildTransactions, OutcomeOfAnotherAttemptOrMachineIsSkipped) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
   PutOpenTask(job_table, "run-1", 0, 2, "vm-1");
   EXPECT_TRUE(
-      BuildTransactions(job_table, {Make(Kind::kDone, 0, 1, "vm-1")}, kLimits, NoVersion).empty());
+      BuildTransactions(job_table, {MakeTransition(Kind::kDone, 0, 1, "vm-1")}, kLimits, NoVersion)
+          .empty());
   EXPECT_TRUE(
-      BuildTransactions(job_table, {Make(Kind::kDone, 0, 2, "vm-2")}, kLimits, NoVersion).empty());
+      BuildTransactions(job_table, {MakeTransition(Kind::kDone, 0, 2, "vm-2")}, kLimits, NoVersion)
+          .empty());
 }
 
-TEST(BuildTransactions, TheLastTaskMakesTheJobFinalInTheSameTransaction) {
+TEST(BuildTransactions, LastTaskMakesTheJobFinalInTheSameTransaction) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2));
   store::TaskGroup task_group;
@@ -140,7 +151,7 @@
   task_group.open[1] = {1, "vm-1"};
   PutTaskGroup(job_table, "run-1", 0, task_group);
   auto transactions =
-      BuildTransactions(job_table, {Make(Kind::kDone, 1, 1, "vm-1")}, kLimits, NoVersion);
+      BuildTransactions(job_table, {MakeTransition(Kind::kDone, 1, 1, "vm-1")}, kLimits, NoVersion);
   ASSERT_EQ(transactions.size(), 1U);
   std::map<std::string, std::string> writes;
   for (const auto& w : transactions[0].writes) writes[w.key] = w.value;
@@ -153,13 +164,13 @@
   EXPECT_EQ(writes[store::TaskGroupKey("run-1", 0)], "");
 }
 
-TEST(BuildTransactions, ACancelledJobIsFinalOnlyOnceNothingIsPlaced) {
+TEST(BuildTransactions, CancelledJobIsFinalOnlyOnceNoTaskIsPlaced) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2), 1, true);
   PutOpenTask(job_table, "run-1", 0, 1, "vm-1");
   EXPECT_TRUE(BuildTransactions(job_table, {}, kLimits, NoVersion).empty());
-  auto transactions =
-      BuildTransactions(job_table, {Make(Kind::kRequeue, 0, 1, "vm-1")}, kLimits, NoVersion);
+  auto transactions = BuildTransactions(job_table, {MakeTransition(Kind::kRequeue, 0, 1, "vm-1")},
+                                        kLimits, NoVersion);
   ASSERT_EQ(transactions.size(), 1U);
   auto final_record = store::ReadFinal(transactions[0].writes[0].value);
   ASSERT_TRUE(final_record);
@@ -168,10 +179,11 @@
 
 TEST(BuildTransactions, TransactionsStayWithinTheLimits) {
   JobTable job_table(4);
-  std::vector<TaskTransition> all;
+  std::vector<TaskTransition> transitions;
   PutJob(job_table, Spec("run-1", 400));
-  for (uint32_t i = 0; i < 400; ++i) all.push_back(Make(Kind::kPlace, i, 1, "vm-1"));
-  auto transactions = BuildTransactions(job_table, all, kLimits, NoVersion);
+  for (uint32_t i = 0; i < 400; ++i)
+    transitions.push_back(MakeTransition(Kind::kPlace, i, 1, "vm-1"));
+  auto transactions = BuildTransactions(job_table, transitions, kLimits, NoVersion);
   size_t writes = 0;
   for (const auto& t : transactions) {
     EXPECT_LE(t.writes.size(), 8U);
@@ -182,25 +194,25 @@
   EXPECT_EQ(writes, 100U);
 }
 
-// Something in a transaction was refused: what was in it goes by itself the next time, so that it
-// holds up nothing else.
-TEST(BuildTransactions, RefusedWritesGoAlone) {
+// Guards against a rejected write that delays others. The keys of a rejected transaction are
+// isolated: each is written in a separate transaction the next time.
+TEST(BuildTransactions, IsolatedKeysShareNoTransaction) {
   JobTable job_table(64);
-  std::vector<TaskTransition> all;
+  std::vector<TaskTransition> transitions;
   for (const char* id : {"run-1", "run-2", "run-3"}) {
     PutJob(job_table, Spec(id, 2));
     TaskTransition m;
     m.task = {id, 0};
     m.attempt = 1;
     m.machine = "vm-1";
-    all.push_back(m);
+    transitions.push_back(m);
   }
-  std::set<std::string> alone;
-  TransactionLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &alone};
+  std::set<std::string> isolated_keys;
+  TransactionLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &isolated_keys};
   auto version = [](const std::string&) { return 1; };
-  EXPECT_EQ(BuildTransactions(job_table, all, limits, version).size(), 1U);
-  alone.insert(store::TaskGroupKey("run-2", 0));
-  auto transactions = BuildTransactions(job_table, all, limits, version);
+  EXPECT_EQ(BuildTransactions(job_table, transitions, limits, version).size(), 1U);
+  isolated_keys.insert(store::TaskGroupKey("run-2", 0));
+  auto transactions = BuildTransactions(job_table, transitions, limits, version);
   ASSERT_EQ(transactions.size(), 3U);
   EXPECT_EQ(transactions[1].writes.size(), 1U);
   EXPECT_EQ(transactions[1].writes[0].key, store::TaskGroupKey("run-2", 0));
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,5 +1,6 @@
-// The upgrade, with both versions at work on the same data: what the new one writes beside the old
-// one, what it does with the old one's records, and when newer forms begin.
+// Upgrades with both versions running on the same data: the records that the new version writes
+// next to the old one, its handling of the old version's records, and the start of the newer
+// formats.
 #include "end_to_end.h"
 #include "model/job.h"
 #include "model/key_value.h"
@@ -19,8 +20,8 @@
   return true;
 }
 
-// Whether the version before pipelines reads a record whole and writes it back unharmed: no field
-// that it does not know, no form that it can't read. Marks lie under a name that it passes over.
+// Returns true if the version before pipelines can read a record and write it back without loss: it
+// knows all fields and the format. It ignores node format records because of their key prefix.
 bool OldVersionKeeps(const std::string& key, const std::string& value) {
   auto d = wire::ParseObject(value);
   if (!d) return false;
@@ -41,7 +42,7 @@
                                 "lendable", "expectS", "snapshotEveryS", "snapshotS", "dueS"});
 }
 
-TEST(OldVersion, WouldLoseWhatIsWrittenTooEarly) {
+TEST(OldVersionKeeps, RejectsRecordsInNewerFormats) {
   const std::string job = store::JobKey("run-1"), group = store::TaskGroupKey("run-1", 0);
   store::JobRecord record;
   record.spec = Spec("run-1", 4);
@@ -59,21 +60,23 @@
 
 class UpgradeTest : public EndToEnd {
  public:
-  // Everything that is written is looked at, until the formats may change.
+  // Checks every write until the formats change, and counts records in newer formats after that.
   void WatchWrites() {
     state_->Watch([this](const std::string& key, const std::string& value) {
-      if (key == store::FormatKey()) changed_ = true;
+      if (key == store::FormatKey()) formats_changed_ = true;
       if (value.empty()) return;
-      if (!changed_ && !OldVersionKeeps(key, value)) too_early_.push_back(key + " " + value);
-      if (changed_ && value.find("\"of\":") != std::string::npos) ++packed_;
-      if (changed_ && key.starts_with("hallpier/f/") && value.find("\"at\"") != std::string::npos) {
-        ++timed_;
+      if (!formats_changed_ && !OldVersionKeeps(key, value))
+        premature_writes_.push_back(key + " " + value);
+      if (formats_changed_ && value.find("\"of\":") != std::string::npos) ++packed_groups_;
+      if (formats_changed_ && key.starts_with("hallpier/f/") &&
+          value.find("\"at\"") != std::string::npos) {
+        ++timed_final_records_;
       }
     });
   }
 
-  // As a node of the old version takes the lead; the lease, 0 if it can't.
-  async::Task<uint64_t> OldNodeLeads(std::string node) {
+  // Acquires leadership as a node of the old version does. Returns the lease id, 0 on failure.
+  async::Task<uint64_t> AcquireLeadershipAsOldNode(std::string node) {
     auto lease_id = co_await state_client_.GrantLease(60);
     EXPECT_TRUE(lease_id.ok());
     std::vector<model::Precondition> preconditions = {{store::LeaderKey(), 0}};
@@ -86,7 +89,7 @@
     co_return r.ok() ? lease_id.value : 0;
   }
 
-  static std::string OldJob(const std::string& id, int tasks) {
+  static std::string OldJobRecord(const std::string& id, int tasks) {
     return R"({"spec":{"id":")" + id +
            R"(","lane":"lane","tenant":"team","shape":"array","urgency":"normal","pieces":)" +
            std::to_string(tasks) +
@@ -95,12 +98,12 @@
            R"("snapshotS":0.0},"at":1764633600.25})";
   }
 
-  // Node 0 of three is new. An old node leads, with a job of which some tasks are done and one
-  // waits for its third attempt.
-  async::Task<> SideBySide() {
-    uint64_t lease_id = co_await OldNodeLeads("node-1");
+  // Upgrades three nodes one by one. Node 0 is new. An old node leads, with a job of which some
+  // tasks are done and one waits for its third attempt.
+  async::Task<> UpgradeNodes() {
+    uint64_t lease_id = co_await AcquireLeadershipAsOldNode("node-1");
     EXPECT_NE(lease_id, 0U);
-    co_await WriteRecord(store::JobKey("run-1"), OldJob("run-1", 400));
+    co_await WriteRecord(store::JobKey("run-1"), OldJobRecord("run-1", 400));
     co_await WriteRecord(store::TaskGroupKey("run-1", 0),
                          R"({"done":[0,299],"on":{"":[300,-2]},"runs":{"c4":[300,90.0]}})");
     StartNodes(0, 1, 3);
@@ -109,33 +112,33 @@
     wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", Report(1));
     EXPECT_EQ(r.status, 421) << "the old node leads";
     EXPECT_NE(r.body.find("node-1"), std::string::npos);
-    // The old one ends; it is followed at once, and its data are worked on in its own forms.
+    // The old leader ends. The new node takes over at once and keeps the data in the old formats.
     auto ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
     ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-2", 700)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, R"("done","done":400)", 20);
     EXPECT_TRUE(ok);
-    EXPECT_EQ(starts_of_["run-1"], 100) << "nothing that was done starts anew";
+    EXPECT_EQ(starts_by_job_["run-1"], 100) << "done tasks must not start again";
     r = co_await Ask(0, "POST", "/submissions", Body(Spec("run-3", 3)));
     EXPECT_EQ(r.status, 201);
     r = co_await Ask(0, "POST", "/submissions/run-3/withdraw");
     EXPECT_EQ(r.status, 200);
-    // It dies, and comes back when an old one has led and left tasks placed with its own means.
+    // Node 0 stops. It restarts after an old node has led and left tasks placed in the old format.
     co_await EndInOrder(0);
     ok = co_await Within(5, [&] { return state_->Value(store::LeaderKey()).empty(); });
     EXPECT_TRUE(ok);
-    lease_id = co_await OldNodeLeads("node-2");
+    lease_id = co_await AcquireLeadershipAsOldNode("node-2");
     EXPECT_NE(lease_id, 0U);
-    co_await WriteRecord(store::JobKey("run-4"), OldJob("run-4", 340));
+    co_await WriteRecord(store::JobKey("run-4"), OldJobRecord("run-4", 340));
     co_await WriteRecord(store::TaskGroupKey("run-4", 1),
                          R"({"done":[],"on":{"vm-999999":[335,336,-4]},"runs":{}})");
     StartNodes(0, 1, 3);
     ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
     ok = co_await Until(0, "GET", "/submissions/run-4", "", 200, R"("done","done":340)", 30);
-    EXPECT_TRUE(ok) << "what was on the unknown machine, once its lease is over";
-    // The second node is new. One is still old: whatever is written must be good for it.
+    EXPECT_TRUE(ok) << "tasks on the unknown machine must run again after its lease expires";
+    // The second node is new. One is still old, so all records must stay readable for it.
     StartNodes(1, 2, 3);
     ok = co_await Within(5, [&] { return !state_->Value(store::NodeFormatKey("node-1")).empty(); });
     EXPECT_TRUE(ok);
@@ -144,11 +147,11 @@
     EXPECT_EQ(r.status, 201);
     ok = co_await Until(1, "GET", "/submissions/run-5", "", 200, R"("done","done":5)", 20);
     EXPECT_TRUE(ok);
-    EXPECT_FALSE(changed_);
-    EXPECT_EQ(too_early_, std::vector<std::string>());
-    // The last one: the formats change by themselves, and a takeover keeps to that.
+    EXPECT_FALSE(formats_changed_);
+    EXPECT_EQ(premature_writes_, std::vector<std::string>());
+    // The last node is new. The formats change automatically, and a new leader keeps the new ones.
     StartNodes(2, 3, 3);
-    ok = co_await Within(5, [&] { return changed_; });
+    ok = co_await Within(5, [&] { return formats_changed_; });
     EXPECT_TRUE(ok);
     for (int job = 6; job < 9; ++job) {
       const std::string id = "run-" + std::to_string(job);
@@ -158,103 +161,104 @@
       EXPECT_TRUE(ok);
       if (job == 6) co_await EndInOrder(0);
     }
-    EXPECT_GT(packed_, 0);
-    EXPECT_EQ(timed_, 3);
+    EXPECT_GT(packed_groups_, 0);
+    EXPECT_EQ(timed_final_records_, 3);
     EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
  protected:
-  bool changed_ = false;
-  std::vector<std::string> too_early_;
-  int packed_ = 0;
-  int timed_ = 0;
-  std::map<std::string, int> starts_of_;
+  bool formats_changed_ = false;
+  std::vector<std::string> premature_writes_;
+  int packed_groups_ = 0;
+  int timed_final_records_ = 0;
+  std::map<std::string, int> starts_by_job_;
 };
 
-// A format that this version can't read is somebody's all the same: it is never written over.
-class UnreadableFormat : public EndToEnd {
+// Guards against overwriting a format record that this version can't read: another version may have
+// written it and depend on it.
+class UnreadableFormatTest : public EndToEnd {
  public:
   async::Task<> Script() {
     const std::string record = R"({"format":9})";
     co_await WriteRecord(store::FormatKey(), record);
     StartNodes(0, 3, 3);
-    bool marked = co_await Within(5, [&] {
+    bool node_formats_written = co_await Within(5, [&] {
       return !state_->Value(store::NodeFormatKey("node-0")).empty() &&
              !state_->Value(store::NodeFormatKey("node-1")).empty() &&
              !state_->Value(store::NodeFormatKey("node-2")).empty();
     });
-    EXPECT_TRUE(marked);
+    EXPECT_TRUE(node_formats_written);
     co_await Pause(5 * kReport);
     EXPECT_EQ(state_->Value(store::FormatKey()), record);
   }
 };
 
-TEST_F(UnreadableFormat, IsNeverWrittenOver) {
+TEST_F(UnreadableFormatTest, FormatRecordIsNotOverwritten) {
   StartServices(3);
   Run(Script());
 }
 
-TEST_F(UpgradeTest, BothVersionsWorkOnTheSameData) {
+TEST_F(UpgradeTest, RollingUpgradeChangesFormatsOnceAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
-  cloud_->WatchStarts([this](const model::TaskId& task) { ++starts_of_[task.job]; });
-  Run(SideBySide());
+  cloud_->WatchStarts([this](const model::TaskId& task) { ++starts_by_job_[task.job]; });
+  Run(UpgradeNodes());
 }
 
-// The state service's limits go down without notice.
-class LoweredLimits : public UpgradeTest {
+// The state service lowers its limits without notice.
+class LoweredLimitsTest : public UpgradeTest {
  public:
-  LoweredLimits() { state_next_ = config::StateLimits{2000, 300, 2, 4}; }
+  LoweredLimitsTest() { state_next_ = config::StateLimits{2000, 300, 2, 4}; }
 
-  async::Task<> Lowered(int nodes, double large_by) {
+  async::Task<> LowerLimits(int nodes, double max_refused) {
     bool ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-1", 900)), 201, "", 10);
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "running", 10);
     EXPECT_TRUE(ok);
-    model::JobSpec listed = Spec("run-2", 2);
+    model::JobSpec large_spec = Spec("run-2", 2);
     for (int i = 0; i < 150; ++i)
-      listed.machine_types.push_back("flavor-" + std::to_string(1000 + i));
-    listed.machine_types.emplace_back("c4");
-    // Production took it, when a value might still be as large.
+      large_spec.machine_types.push_back("flavor-" + std::to_string(1000 + i));
+    large_spec.machine_types.emplace_back("c4");
+    // Production accepted this record while the limit was still high enough.
     store::JobRecord record;
-    record.spec = listed;
+    record.spec = large_spec;
     record.submitted_at = 1764633600;
     EXPECT_GT(store::WriteJob(record).size(), 2048U);
     co_await WriteRecord(store::JobKey("run-2"), store::WriteJob(record));
     state_->SetLimits({2048, 4, 300});
-    const int before = state_->refused();
+    const int refused_before = state_->refused();
     ok = co_await Until(0, "POST", "/submissions/run-2/withdraw", "", 200, "cancelled", 5);
-    EXPECT_TRUE(ok) << "however large its record is";
-    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", Body(listed));
-    EXPECT_EQ(r.status, 200) << "what was accepted once";
-    listed.id = "run-3";
-    r = co_await Ask(0, "POST", "/submissions", Body(listed));
-    EXPECT_EQ(r.status, 400) << "can never fit";
+    EXPECT_TRUE(ok) << "the record is larger than the new limit";
+    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", Body(large_spec));
+    EXPECT_EQ(r.status, 200) << "a repeated submission of an accepted job";
+    large_spec.id = "run-3";
+    r = co_await Ask(0, "POST", "/submissions", Body(large_spec));
+    EXPECT_EQ(r.status, 400) << "a new job whose record can never fit";
     ok =
         co_await Until(nodes - 1, "GET", "/submissions/run-1", "", 200, R"("done","done":900)", 60);
     EXPECT_TRUE(ok);
     ok = co_await Until(0, "GET", "/submissions/run-2", "", 200, "cancelled", 5);
     EXPECT_TRUE(ok);
-    EXPECT_LE(state_->refused() - before, large_by);
-    EXPECT_TRUE(changed_);
-    EXPECT_EQ(too_early_, std::vector<std::string>());
+    EXPECT_LE(state_->refused() - refused_before, max_refused);
+    EXPECT_TRUE(formats_changed_);
+    EXPECT_EQ(premature_writes_, std::vector<std::string>());
   }
 };
 
-TEST_F(LoweredLimits, FindNothingTooLargeOnceAllNodesAreNew) {
+TEST_F(LoweredLimitsTest, JobsFinishOnceAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
   StartNodes(0, 3, 3);
-  Run(Lowered(3, 3));
+  Run(LowerLimits(3, 3));
 }
 
-// One node has never been able to record that it is new. The refusal itself proves it, and what was
-// refused is sent in its newer form.
-TEST_F(LoweredLimits, ProveThatAllNodesAreNew) {
+// One node has never been able to record that it is new. The rejection of a write itself proves
+// that all nodes are new, and the rejected writes are sent again in the newer format.
+TEST_F(LoweredLimitsTest, RejectionProvesThatAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
   StartNodes(0, 2, 3);
-  Run(Lowered(2, 8));
+  Run(LowerLimits(2, 8));
 }
 
 }  // namespace
