--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -13,7 +13,7 @@
 
 using namespace testing_support;
 
-class BlocksNodesTest : public EndToEnd {
+class BlocksNodesTest : public EndToEndTest {
  public:
   static constexpr int kLimit = 12;
 
@@ -50,22 +50,22 @@
     });
   }
   async::Task<bool> WaitForBlockOwners(size_t count) {
-    bool ok = co_await Within(10, [&] { return Division().owners.size() == count; });
+    bool ok = co_await WaitFor(10, [&] { return Division().owners.size() == count; });
     EXPECT_TRUE(ok) << state_->Value(store::DivisionKey());
     co_return ok;
   }
   static std::string JobId(int i) { return "run-" + std::to_string(100 + i); }
   async::Task<> SubmitAll(int jobs, uint32_t tasks, int nodes) {
     for (int i = 0; i < jobs; ++i) {
-      bool ok = co_await Until(i % nodes, "POST", "/submissions", Body(Spec(JobId(i), tasks)), 201,
-                               "", 10);
+      bool ok = co_await AskUntil(i % nodes, "POST", "/submissions",
+                                  SubmissionBody(Spec(JobId(i), tasks)), 201, "", 10);
       EXPECT_TRUE(ok);
     }
   }
   async::Task<> WaitUntilAllDone(int jobs, int node, double limit_s) {
     for (int i = 0; i < jobs; ++i) {
-      bool ok = co_await Until(node, "GET", "/submissions/" + JobId(i), "", 200,
-                               R"("phase":"done")", limit_s);
+      bool ok = co_await AskUntil(node, "GET", "/submissions/" + JobId(i), "", 200,
+                                  R"("phase":"done")", limit_s);
       EXPECT_TRUE(ok) << JobId(i);
     }
   }
@@ -88,14 +88,14 @@
     co_await SubmitAll(20, 4, 3);
     const int leader = Leader();
     const int other = (leader + 1) % 3;
-    End(other);
+    ShutDownNode(other);
     co_await WaitForBlockOwners(2);
     EXPECT_FALSE(OwnsBlock(other));
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(3);
-    End(leader);
+    ShutDownNode(leader);
     bool ok =
-        co_await Within(10, [&] { return Leader() != leader && Division().owners.size() == 2; });
+        co_await WaitFor(10, [&] { return Leader() != leader && Division().owners.size() == 2; });
     EXPECT_TRUE(ok);
     co_await WaitUntilAllDone(20, other, 40);
     EXPECT_LE(peak_, kLimit);
@@ -106,12 +106,12 @@
     co_await WaitForBlockOwners(3);
     co_await SubmitAll(10, 4, 3);
     const int other = (Leader() + 1) % 3;
-    co_await EndInOrder(other);
+    co_await ShutDownAndWait(other);
     operators_.blocks.enabled = false;
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(0);
     co_await WaitUntilAllDone(10, other, 40);
-    co_await EndInOrder(other);
+    co_await ShutDownAndWait(other);
     operators_.blocks.enabled = true;
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(3);
@@ -122,14 +122,14 @@
   // assignment.
   async::Task<> WriteContradictoryRecords() {
     co_await WaitForBlockOwners(3);
-    bool ok = co_await Within(5, [&] { return allocation_writes_ >= 3; });
+    bool ok = co_await WaitFor(5, [&] { return allocation_writes_ >= 3; });
     EXPECT_TRUE(ok);
     const blocks::BlockOwner owner = Division().owners.back();
     quota::AllocationRecord excessive;
     excessive.allocation_epoch = owner.allocation_epoch;
     excessive.allocated["team"].cpus = 10.0 * kLimit;
     co_await WriteRecord(store::ShareKey(owner.node), quota::WriteAllocation(excessive));
-    ok = co_await Within(5, [&] {
+    ok = co_await WaitFor(5, [&] {
       const auto allocation = quota::ReadAllocation(state_->Value(store::ShareKey(owner.node)));
       return allocation && allocation->allocated.contains("team") &&
              allocation->allocated.at("team").cpus <= kLimit;
@@ -144,7 +144,7 @@
   async::Task<> RunWithBlocksOff() {
     co_await SubmitAll(4, 4, 3);
     co_await WaitUntilAllDone(4, 0, 30);
-    co_await Pause(5 * kReport);
+    co_await Pause(5 * kHeartbeatIntervalS);
     EXPECT_EQ(assignment_writes_ + allocation_writes_, 0);
     EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-0"))).value_or(0),
               store::kMembershipFormat);
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -9,15 +9,15 @@
 
 using namespace testing_support;
 
-class MeetingTest : public EndToEnd {
+class MeetingTest : public EndToEndTest {
  public:
   async::Task<bool> Accepted(int node, model::JobSpec spec) {
-    bool ok = co_await Until(node, "POST", "/submissions", Body(spec), 201, "", 10);
+    bool ok = co_await AskUntil(node, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
     EXPECT_TRUE(ok) << spec.id;
     co_return ok;
   }
   async::Task<bool> Runs(std::string id, int tasks, double limit_s = 10) {
-    bool ok = co_await Within(limit_s, [&] { return cloud_->Running(id) == tasks; });
+    bool ok = co_await WaitFor(limit_s, [&] { return cloud_->Running(id) == tasks; });
     EXPECT_TRUE(ok) << id << ": " << cloud_->Running(id);
     co_return ok;
   }
@@ -49,14 +49,14 @@
     co_await Accepted(0, Spec("run-1", 4));
     co_await Runs("run-1", 4);
     co_await Withdraw(0, "run-1");
-    bool over = co_await Within(5, [&] { return state_->Value(store::JobKey("run-1")).empty(); });
+    bool over = co_await WaitFor(5, [&] { return state_->Value(store::JobKey("run-1")).empty(); });
     EXPECT_TRUE(over);
-    co_await Pause(2 * kReport);
+    co_await Pause(2 * kHeartbeatIntervalS);
     state_->LoseAnswers("hallpier/a/t/run-2", FakeStateService::Execution::kDeferred);
     co_await Accepted(0, Spec("run-2", 4));
     auto urgent = Spec("run-3", 4);
     urgent.priority = model::Priority::kUrgent;
-    bool lost = co_await Within(10, [&] { return state_->lost_answers() == 1; });
+    bool lost = co_await WaitFor(10, [&] { return state_->lost_answers() == 1; });
     EXPECT_TRUE(lost);
     co_await Accepted(0, urgent);
     // Both can't run at a time, whichever was settled first.
@@ -84,16 +84,16 @@
  public:
   LateAndNextLeaderTest() { run_s_ = 2; }
   async::Task<> Script() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     state_->LoseAnswers("hallpier/a/t/run-1", FakeStateService::Execution::kDeferred, 2);
     co_await Accepted(1, Spec("run-1", 20));
-    bool ok = co_await Within(10, [&] { return state_->lost_answers() >= 1; });
+    bool ok = co_await WaitFor(10, [&] { return state_->lost_answers() >= 1; });
     EXPECT_TRUE(ok);
-    End(0);
-    ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, R"("phase":"running")", 15);
+    ShutDownNode(0);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, R"("phase":"running")", 15);
     EXPECT_TRUE(ok);
     EXPECT_EQ(state_->ExecuteDeferred(), 0) << "the new leader's token makes them void";
-    ok = co_await Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":20)", 30);
+    ok = co_await AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":20)", 30);
     EXPECT_TRUE(ok);
   }
 };
@@ -116,7 +116,7 @@
     co_await Pause(0.5);
     for (int i = 10; i < 16; ++i) {
       const std::string id = "run-" + std::to_string(i);
-      const std::string body = Body(Spec(id, 2, 4));
+      const std::string body = SubmissionBody(Spec(id, 2, 4));
       co_await Accepted(i % 3, Spec(id, 2, 4));
       co_await AllSay(id, "\"phase\"");
       wire::HttpResponse r = co_await Ask((i + 1) % 3, "POST", "/submissions", body);
@@ -128,7 +128,7 @@
         EXPECT_EQ(r.status, 200);
         EXPECT_NE(r.body.find(told), std::string::npos) << r.body;
       } else {
-        bool ok = co_await Until(i % 3, "GET", "/submissions/" + id, "", 200, "\"done\",", 20);
+        bool ok = co_await AskUntil(i % 3, "GET", "/submissions/" + id, "", 200, "\"done\",", 20);
         EXPECT_TRUE(ok);
         co_await AllSay(id, R"("phase":"done")");
         const std::string told = co_await Withdraw((i + 1) % 3, id);
@@ -151,11 +151,12 @@
   async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 1));
     state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Execution::kImmediate);
-    wire::HttpResponse r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
+    wire::HttpResponse r =
+        co_await Ask(1, "POST", "/submissions", SubmissionBody(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 503) << "it can't know, and says so at once";
     EXPECT_GT(r.retry_after_s, 0);
     co_await AllSay("run-2", "\"phase\"");
-    r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-2", 3)));
+    r = co_await Ask(1, "POST", "/submissions", SubmissionBody(Spec("run-2", 3)));
     EXPECT_EQ(r.status, 200);
     co_await Runs("run-2", 3);
     state_->LoseAnswers("hallpier/a/j/run-2", FakeStateService::Execution::kImmediate);
@@ -189,16 +190,17 @@
     for (int i = 20; i < 32; ++i) {
       const std::string id = "run-" + std::to_string(i);
       co_await Accepted(i % 3, Spec(id, 1));
-      bool begun = co_await Within(5, [&] { return cloud_->Running(id) == 1; });
+      bool begun = co_await WaitFor(5, [&] { return cloud_->Running(id) == 1; });
       EXPECT_TRUE(begun);
       co_await Pause(run_s_ + (i - 26) * 0.02);
       const std::string told = co_await Withdraw((i + 1) % 3, id);
       ++told_[told];
       for (int round = 0; round < 2; ++round) {
         co_await AllSay(id, R"("phase":")" + told + "\"");
-        co_await Pause(kReport);
+        co_await Pause(kHeartbeatIntervalS);
       }
-      wire::HttpResponse r = co_await Ask(i % 3, "POST", "/submissions", Body(Spec(id, 1)));
+      wire::HttpResponse r =
+          co_await Ask(i % 3, "POST", "/submissions", SubmissionBody(Spec(id, 1)));
       EXPECT_EQ(r.status, 200);
       EXPECT_NE(r.body.find(told), std::string::npos) << r.body;
     }
@@ -206,7 +208,7 @@
     EXPECT_GT(told_["done"], 0);
     // Asked for while it runs, and carried out only after its end was recorded.
     co_await Accepted(0, Spec("run-40", 1));
-    bool begun = co_await Within(5, [&] { return cloud_->Running("run-40") == 1; });
+    bool begun = co_await WaitFor(5, [&] { return cloud_->Running("run-40") == 1; });
     EXPECT_TRUE(begun);
     state_->DelayTransactions("hallpier/a/j/run-40", 0.8);
     const std::string told = co_await Withdraw(1, "run-40");
@@ -231,13 +233,13 @@
     run_s_ = 60;
   }
   async::Task<> Script() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     for (int i = 1; i <= 4; ++i) co_await Accepted(1, Spec("run-" + std::to_string(i), 4));
     for (int i = 1; i <= 4; ++i) co_await Runs("run-" + std::to_string(i), 4);
     cloud_->WatchStarts([this](const model::TaskId& t) {
       if (told_.contains(t.job) && loop_.Now() > told_[t.job] + 1) ++late_starts_;
     });
-    End(0);
+    ShutDownNode(0);
     for (int i = 1; i <= 3; ++i) {
       const std::string id = "run-" + std::to_string(i);
       const std::string told = co_await Withdraw(1 + i % 2, id);
@@ -247,8 +249,8 @@
     }
     for (int i = 1; i <= 3; ++i) {
       const std::string id = "run-" + std::to_string(i);
-      bool ok = co_await Within(told_[id] + *cancel_s_ - loop_.Now(),
-                                [&] { return cloud_->Running(id) == 0; });
+      bool ok = co_await WaitFor(told_[id] + *cancel_s_ - loop_.Now(),
+                                 [&] { return cloud_->Running(id) == 0; });
       EXPECT_TRUE(ok) << id;
     }
     co_await Pause(2);
@@ -280,12 +282,12 @@
     co_await Runs("run-1", 12);
     const std::string told = co_await Withdraw(2, "run-2");
     EXPECT_EQ(told, "cancelled");
-    for (int node = 0; node < 3; ++node) co_await EndInOrder(node);
+    for (int node = 0; node < 3; ++node) co_await ShutDownAndWait(node);
     co_await Pause(3.5);
     StartNodes(2, 3, 3);
-    bool ok = co_await Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":12)", 20);
+    bool ok = co_await AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":12)", 20);
     EXPECT_TRUE(ok);
-    ok = co_await Until(2, "GET", "/submissions/run-2", "", 200, "cancelled", 5);
+    ok = co_await AskUntil(2, "GET", "/submissions/run-2", "", 200, "cancelled", 5);
     EXPECT_TRUE(ok);
   }
 };
@@ -307,7 +309,7 @@
       co_await Restart(i % 3, 3);
       co_await Pause(0.25);
     }
-    bool ok = co_await Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":60)", 30);
+    bool ok = co_await AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":60)", 30);
     EXPECT_TRUE(ok);
   }
 };
@@ -333,12 +335,12 @@
     co_await Accepted(i % 3, Spec(id, 1));
     const bool cancelled = i % 4 == 0;
     if (cancelled) {
-      bool told = co_await Until((i + 1) % 3, "POST", "/submissions/" + id + "/withdraw", "", 200,
-                                 "phase", 10);
+      bool told = co_await AskUntil((i + 1) % 3, "POST", "/submissions/" + id + "/withdraw", "",
+                                    200, "phase", 10);
       EXPECT_TRUE(told);
     }
-    bool ok = co_await Until((i + 2) % 3, "GET", "/submissions/" + id, "", 200,
-                             cancelled ? "cancelled" : "\"done\",", 25);
+    bool ok = co_await AskUntil((i + 2) % 3, "GET", "/submissions/" + id, "", 200,
+                                cancelled ? "cancelled" : "\"done\",", 25);
     EXPECT_TRUE(ok) << id;
     if (ok) ++ended_jobs_;
   }
@@ -347,7 +349,7 @@
       scope_.Spawn(One(i));
       co_await Pause(0.25);
     }
-    bool ok = co_await Within(25, [&] { return ended_jobs_ == kJobs; });
+    bool ok = co_await WaitFor(25, [&] { return ended_jobs_ == kJobs; });
     EXPECT_TRUE(ok) << ended_jobs_;
   }
 
@@ -366,7 +368,7 @@
  public:
   async::Task<> Script() {
     co_await Accepted(0, Spec("run-1", 2));
-    bool ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "\"done\",", 20);
+    bool ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, "\"done\",", 20);
     EXPECT_TRUE(ok);
     // The leader ends meanwhile, and the service is out for a while.
     for (int phase = 0; phase < 3; ++phase) {
@@ -378,9 +380,9 @@
       r = co_await Ask(node, "POST", "/submissions", "[]");
       EXPECT_EQ(r.status, 400);
       auto huge = Spec("run-51", 1, 99);
-      r = co_await Ask(node, "POST", "/submissions", Body(huge));
+      r = co_await Ask(node, "POST", "/submissions", SubmissionBody(huge));
       EXPECT_EQ(r.status, phase == 2 ? 503 : 422);
-      r = co_await Ask(node, "POST", "/submissions", Body(Spec("run-1", 2)));
+      r = co_await Ask(node, "POST", "/submissions", SubmissionBody(Spec("run-1", 2)));
       EXPECT_EQ(r.status, 200) << phase;
       EXPECT_NE(r.body.find("done"), std::string::npos);
       r = co_await Ask(node, "POST", "/submissions/run-1/withdraw");
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -19,13 +19,13 @@
 
 namespace hallpier::testing_support {
 
-inline constexpr double kReport = 0.2;
+inline constexpr double kHeartbeatIntervalS = 0.2;
 
-class EndToEnd : public testing::Test {
+class EndToEndTest : public testing::Test {
  protected:
-  EndToEnd() : scope_(loop_), client_(4, 1 << 20), state_client_(scope_, StateOptions()) {}
+  EndToEndTest() : scope_(loop_), client_(4, 1 << 20), state_client_(scope_, StateOptions()) {}
 
-  ~EndToEnd() override {
+  ~EndToEndTest() override {
     // What a derived fixture watches with is gone by now.
     if (state_) state_->Watch({});
     if (cloud_) cloud_->WatchStarts({});
@@ -52,41 +52,41 @@
   }
 
   // Ends the newest process of a node.
-  void End(int node) {
+  void ShutDownNode(int node) {
     ended_.insert(newest_.at(node));
     nodes_[newest_.at(node)]->Shutdown([] {});
   }
 
   // Ports of this process and test, so that tests may run side by side.
-  static std::string At(int n) { return PortBlock::OfProcess().At(n); }
+  static std::string AddressAt(int n) { return PortBlock::OfProcess().AddressAt(n); }
 
   config::Settings NodeSettings(int i, int count) {
     config::Settings s = TestSettings();
     s.node = "node-" + std::to_string(i);
-    s.listen = At(2 * i);
-    s.peer_bind = At(2 * i + 1);
+    s.listen = AddressAt(2 * i);
+    s.peer_bind = AddressAt(2 * i + 1);
     for (int j = 0; j < count; ++j) {
-      if (j != i) s.seeds.push_back({"node-" + std::to_string(j), "a", At(2 * j + 1)});
+      if (j != i) s.seeds.push_back({"node-" + std::to_string(j), "a", AddressAt(2 * j + 1)});
     }
     s.cluster_size = count;
-    s.state = i == apart_ || i == refused_ ? At(22) : At(20);
+    s.state = i == partitioned_node_ || i == refused_node_ ? AddressAt(22) : AddressAt(20);
     // The node that stands apart has no links to the others, nor they to it.
-    if (i == apart_) {
-      for (auto& seed : s.seeds) seed.endpoint = At(23);
+    if (i == partitioned_node_) {
+      for (auto& seed : s.seeds) seed.endpoint = AddressAt(23);
     } else {
       for (auto& seed : s.seeds) {
-        if (seed.node == "node-" + std::to_string(apart_)) seed.endpoint = At(23);
+        if (seed.node == "node-" + std::to_string(partitioned_node_)) seed.endpoint = AddressAt(23);
       }
     }
-    s.cloud = At(21);
-    s.heartbeat_interval_s = kReport;
+    s.cloud = AddressAt(21);
+    s.heartbeat_interval_s = kHeartbeatIntervalS;
     s.lease_s = lease_s_;
     if (cancel_s_) s.cancel_s = *cancel_s_;
     s.list_lag_s = 0.1;
     s.cloud_rps = 50;
     s.state_rps = state_rps_;
     s.state_write_rps = 500;
-    s.next_state_limits = state_next_;
+    s.next_state_limits = next_state_limits_;
     s.teams.push_back({"other", 0, 0, 0, 0});
     if (cpus_max_ > 0) s.teams[0].cpus_max = cpus_max_;
     if (state_write_rps_ > 0) s.state_write_rps = state_write_rps_;
@@ -96,26 +96,26 @@
   void Start(int count) {
     StartServices(count);
     // The one that stands apart is alone at first, so that it leads.
-    StartNodes(0, apart_ >= 0 || refused_ >= 0 ? 1 : count, count);
+    StartNodes(0, partitioned_node_ >= 0 || refused_node_ >= 0 ? 1 : count, count);
   }
 
   void StartServices(int count) {
     std::string error;
     FakeCloud::Options options;
     for (int i = 0; i < count; ++i) {
-      options.worker.controllers.push_back(At(2 * i));
+      options.worker.controllers.push_back(AddressAt(2 * i));
       options.worker.nodes.push_back("node-" + std::to_string(i));
     }
-    options.worker.heartbeat_interval_s = kReport;
+    options.worker.heartbeat_interval_s = kHeartbeatIntervalS;
     options.worker.lease_s = lease_s_;
     options.worker.run_s = run_s_;
     options.first_port = PortBlock::OfProcess().first() + kFirstWorkerPort;
     options.ports = kWorkerPorts;
     state_ = std::make_unique<FakeStateService>(scope_);
     cloud_ = std::make_unique<FakeCloud>(scope_, options);
-    RequireStarted(state_->Listen(At(20), &error), "the state service", error);
-    RequireStarted(state_->ListenSecondary(At(22), &error), "its second way in", error);
-    RequireStarted(cloud_->Listen(At(21), &error), "the cloud", error);
+    RequireStarted(state_->Listen(AddressAt(20), &error), "the state service", error);
+    RequireStarted(state_->ListenSecondary(AddressAt(22), &error), "its second way in", error);
+    RequireStarted(cloud_->Listen(AddressAt(21), &error), "the cloud", error);
   }
 
   void StartNodes(int first, int end, int count) {
@@ -129,7 +129,7 @@
   }
 
   // Ends the newest process of a node, and waits until it has.
-  async::Task<> EndInOrder(int node) {
+  async::Task<> ShutDownAndWait(int node) {
     bool down = false;
     ended_.insert(newest_.at(node));
     nodes_[newest_.at(node)]->Shutdown([&down] { down = true; });
@@ -141,7 +141,7 @@
 
   // Starts another at once, with the same settings.
   async::Task<> Restart(int node, int count) {
-    co_await EndInOrder(node);
+    co_await ShutDownAndWait(node);
     StartNodes(node, node + 1, count);
   }
 
@@ -162,18 +162,18 @@
   async::Task<wire::HttpResponse> Ask(int node, std::string method, std::string target,
                                       std::string body = "") {
     wire::HttpRequest q{.method = method, .target = target, .body = body};
-    auto r = co_await client_.Call(scope_, At(2 * node), std::move(q), 2, true);
+    auto r = co_await client_.Call(scope_, AddressAt(2 * node), std::move(q), 2, true);
     co_return r.value_or(wire::HttpResponse{.status = 0, .body = ""});
   }
 
-  static std::string Body(const model::JobSpec& spec) {
+  static std::string SubmissionBody(const model::JobSpec& spec) {
     wire::JsonWriter w;
     wire::WriteJobSpec(w, spec);
     return w.Take();
   }
 
   // Of a worker that is there for nobody else: whoever answers it may give orders.
-  static std::string Report(uint64_t sequence) {
+  static std::string HeartbeatBody(uint64_t sequence) {
     return R"({"host":"vm-x","endpoint":"127.0.0.1:1","flavor":"odd","hall":"a","lendable":false,)"
            R"("tenure":1,"tick":)" +
            std::to_string(sequence) + R"(,"epoch":0,"reclaimS":null,"pieces":[]})";
@@ -185,8 +185,8 @@
   }
 
   // Asks again, as users do, until the answer has the wanted status.
-  async::Task<bool> Until(int node, std::string method, std::string target, std::string body,
-                          int status, std::string text, double limit_s) {
+  async::Task<bool> AskUntil(int node, std::string method, std::string target, std::string body,
+                             int status, std::string text, double limit_s) {
     const double end = loop_.Now() + limit_s;
     while (loop_.Now() < end) {
       wire::HttpResponse r = co_await Ask(node, method, target, body);
@@ -198,15 +198,15 @@
   }
 
   // Node 0 of three leads before the others are started.
-  async::Task<> StartOthersOnceItLeads() {
-    bool ok = co_await Until(0, "POST", "/checkin", Report(1), 200, "epoch", 10);
+  async::Task<> StartOthersOnceNode0Leads() {
+    bool ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(1), 200, "epoch", 10);
     EXPECT_TRUE(ok);
     StartNodes(1, 3, 3);
   }
 
   static store::Client::Options StateOptions() {
     store::Client::Options o;
-    o.endpoint = At(20);
+    o.endpoint = AddressAt(20);
     o.rps = o.write_rps = 10000;
     o.max_response_bytes = 1 << 20;
     return o;
@@ -220,7 +220,7 @@
     EXPECT_TRUE(r.ok());
   }
 
-  async::Task<bool> Within(double s, std::function<bool()> f) {
+  async::Task<bool> WaitFor(double s, std::function<bool()> f) {
     const double end = loop_.Now() + s;
     while (!f() && loop_.Now() < end) co_await Pause(0.02);
     co_return f();
@@ -245,10 +245,11 @@
   double state_write_rps_ = 0;  // 0: plenty
   double cpus_max_ = 0;         // of the team; 0: no limit
   double run_s_ = 0.3;
-  std::optional<config::StateLimits> state_next_;
+  std::optional<config::StateLimits> next_state_limits_;
   config::OperatorOptions operators_;
-  int apart_ = -1;
-  int refused_ = -1;  // the node that CutSecondary() takes the state service from, and nothing else
+  int partitioned_node_ = -1;
+  int refused_node_ =
+      -1;  // the node that CutSecondary() takes the state service from, and nothing else
   double lease_s_ = 3;
   std::optional<double> cancel_s_;
 };
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -9,7 +9,7 @@
 
 using namespace testing_support;
 
-async::Task<> RunsAJob(EndToEnd* t, async::Task<bool> submitted, async::Task<bool> done) {
+async::Task<> RunsAJob(EndToEndTest* t, async::Task<bool> submitted, async::Task<bool> done) {
   (void)t;
   bool ok = co_await submitted;
   EXPECT_TRUE(ok);
@@ -17,20 +17,20 @@
   EXPECT_TRUE(ok);
 }
 
-TEST_F(EndToEnd, AnyNodeTakesAJobAndAnyNodeTellsThatItIsDone) {
+TEST_F(EndToEndTest, AnyNodeTakesAJobAndAnyNodeTellsThatItIsDone) {
   Start(3);
-  const std::string body = Body(Spec("run-1", 9));
-  Run(RunsAJob(this, Until(1, "POST", "/submissions", body, 201, "pending", 10),
-               Until(2, "GET", "/submissions/run-1", "", 200, R"("done","done":9)", 20)));
+  const std::string body = SubmissionBody(Spec("run-1", 9));
+  Run(RunsAJob(this, AskUntil(1, "POST", "/submissions", body, 201, "pending", 10),
+               AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":9)", 20)));
   EXPECT_EQ(cloud_->starts(), 9);
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-class OutageTest : public EndToEnd {
+class OutageTest : public EndToEndTest {
  public:
   async::Task<> Outage() {
     auto spec = Spec("run-2", 3);
-    bool ok = co_await Until(0, "POST", "/submissions", Body(spec), 201, "", 10);
+    bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
     // Asked about anything, a node must not say "unknown" while it can't know; and it says at once
@@ -41,17 +41,17 @@
     async::Sleep pause(scope_, 1);
     co_await pause;
     state_->SetOutage(false);
-    ok = co_await Until(0, "GET", "/submissions/run-2", "", 200, "\"done\"", 20);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-2", "", 200, "\"done\"", 20);
     EXPECT_TRUE(ok);
     r = co_await Ask(0, "GET", "/submissions/run-77");
     EXPECT_EQ(r.status, 404);
-    r = co_await Ask(0, "POST", "/submissions", Body(spec));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
     EXPECT_EQ(r.status, 200) << "a late retry is told the state";
     spec.cpus = 99;
-    r = co_await Ask(0, "POST", "/submissions", Body(spec));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
     EXPECT_EQ(r.status, 200) << "never 422 for what was accepted once";
     spec.id = "run-3";
-    r = co_await Ask(0, "POST", "/submissions", Body(spec));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
     EXPECT_EQ(r.status, 422);
   }
 };
@@ -65,7 +65,7 @@
 // After troubles everybody asks at once, on every node, and no question may be left without an
 // answer for long: one read makes the warm copy fresh for all of them, however few requests there
 // are.
-class CrowdTest : public EndToEnd {
+class CrowdTest : public EndToEndTest {
  public:
   CrowdTest() {
     state_rps_ = 100;
@@ -82,7 +82,7 @@
     constexpr int kJobs = 40;
     for (int i = 0; i < kJobs; ++i) {
       auto spec = Spec("run-" + std::to_string(100 + i), 2, 4);
-      bool ok = co_await Until(i % 3, "POST", "/submissions", Body(spec), 201, "", 10);
+      bool ok = co_await AskUntil(i % 3, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
       EXPECT_TRUE(ok);
     }
     async::Sleep pause(scope_, 1);  // for the budgets to fill
@@ -114,7 +114,7 @@
   }
 
   async::Task<> AskAgain(int node, std::string target) {
-    bool ok = co_await Until(node, "GET", target, "", 200, "phase", 20);
+    bool ok = co_await AskUntil(node, "GET", target, "", 200, "phase", 20);
     if (ok) ++again_;
   }
 
@@ -129,39 +129,42 @@
   Run(Crowd());
 }
 
-class CrashTest : public EndToEnd {
+class CrashTest : public EndToEndTest {
  public:
   async::Task<> Crash() {
-    bool ok = co_await Until(1, "POST", "/submissions", Body(Spec("run-4", 40)), 201, "", 10);
+    bool ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec("run-4", 40)), 201,
+                                "", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Until(1, "GET", "/submissions/run-4", "", 200, "running", 10);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-4", "", 200, "running", 10);
     EXPECT_TRUE(ok);
-    End(0);
-    End(2);
-    ok = co_await Until(1, "GET", "/submissions/run-4", "", 200, R"("done","done":40)", 30);
+    ShutDownNode(0);
+    ShutDownNode(2);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-4", "", 200, R"("done","done":40)", 30);
     EXPECT_TRUE(ok);
-    ok = co_await Until(1, "POST", "/submissions", Body(Spec("run-5", 200)), 201, "", 10);
+    ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec("run-5", 200)), 201, "",
+                           10);
     EXPECT_TRUE(ok);
     wire::HttpResponse r = co_await Ask(1, "POST", "/submissions/run-5/withdraw");
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find("cancelled"), std::string::npos);
-    ok = co_await Until(1, "GET", "/submissions/run-5", "", 200, "cancelled", 5);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-5", "", 200, "cancelled", 5);
     EXPECT_TRUE(ok);
   }
 };
 
 // A process may be back within a fraction of a second, also while the others elect a leader.
-class BackAtOnceTest : public EndToEnd {
+class BackAtOnceTest : public EndToEndTest {
  public:
   async::Task<> Back() {
-    bool ok = co_await Until(1, "POST", "/submissions", Body(Spec("run-8", 120)), 201, "", 10);
+    bool ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec("run-8", 120)), 201,
+                                "", 10);
     EXPECT_TRUE(ok);
     for (int node : {0, 1, 0, 2, 2, 1}) {
       co_await Restart(node, 3);
       async::Sleep pause(scope_, 0.03);
       co_await pause;
     }
-    ok = co_await Until(2, "GET", "/submissions/run-8", "", 200, R"("done","done":120)", 30);
+    ok = co_await AskUntil(2, "GET", "/submissions/run-8", "", 200, R"("done","done":120)", 30);
     EXPECT_TRUE(ok);
   }
 };
@@ -181,38 +184,40 @@
 // A leader that has lost the state service and the other controllers, but not its workers: it
 // answers these within its bound and nobody else, its successor starts nothing twice, and once it
 // is back it gives way and tells what has become of everything.
-class ApartTest : public EndToEnd {
+class ApartTest : public EndToEndTest {
  public:
   ApartTest() {
-    apart_ = 0;
+    partitioned_node_ = 0;
     run_s_ = 1;
   }
 
   async::Task<> Apart() {
-    co_await StartOthersOnceItLeads();
-    bool ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-6", 40)), 201, "", 10);
+    co_await StartOthersOnceNode0Leads();
+    bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(Spec("run-6", 40)), 201,
+                                "", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Until(0, "GET", "/submissions/run-6", "", 200, R"("phase":"running")", 10);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-6", "", 200, R"("phase":"running")", 10);
     EXPECT_TRUE(ok);
     state_->CutSecondary(true);
     const double cut = loop_.Now();
     async::Sleep pause(scope_, 0.3);
     co_await pause;
-    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", Body(Spec("run-7", 1)));
+    wire::HttpResponse r =
+        co_await Ask(0, "POST", "/submissions", SubmissionBody(Spec("run-7", 1)));
     EXPECT_EQ(r.status, 503) << "it can record nothing";
     EXPECT_GT(r.retry_after_s, 0);
     r = co_await Ask(0, "GET", "/submissions/run-6");
     EXPECT_EQ(r.status, 503) << "what it knows may be old";
     // Half of the workers' lease of 3 s, counted from its last renewal, and no more.
-    ok = co_await Until(0, "POST", "/checkin", Report(2), 503, "not entitled", 3);
+    ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(2), 503, "not entitled", 3);
     EXPECT_TRUE(ok);
     EXPECT_LT(loop_.Now() - cut, 1.5 + 0.5);
-    ok = co_await Until(1, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 30);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 30);
     EXPECT_TRUE(ok);
     state_->CutSecondary(false);
-    ok = co_await Until(0, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 10);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Until(0, "POST", "/checkin", Report(3), 421, "node-", 5);
+    ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(3), 421, "node-", 5);
     EXPECT_TRUE(ok) << "it names its successor";
   }
 };
@@ -224,14 +229,14 @@
 }
 
 // Machines come and go by the thousand; what is kept open to them must not use up the sockets.
-class PoolTest : public EndToEnd {
+class PoolTest : public EndToEndTest {
  public:
   async::Task<> Calls() {
     net::HttpClient bounded(1, 1 << 20, 2);
     for (int round = 0; round < 2; ++round) {
       for (int node = 0; node < 3; ++node) {
         wire::HttpRequest q{.method = "GET", .target = "/ready", .body = ""};
-        auto r = co_await bounded.Call(scope_, At(2 * node), std::move(q), 2, true);
+        auto r = co_await bounded.Call(scope_, AddressAt(2 * node), std::move(q), 2, true);
         EXPECT_TRUE(r.has_value());
         EXPECT_LE(bounded.idle(), 2U);
       }
@@ -247,13 +252,13 @@
 
 // The leader is paused in an outage in which another node has confirmed a cancellation before; its
 // watch has not told it. On waking it gives no order until its copy is known to be complete.
-class PausedLeaderTest : public EndToEnd {
+class PausedLeaderTest : public EndToEndTest {
  public:
   // The answer to the next report that gets one.
   async::Task<std::string> Answered() {
     const double end = loop_.Now() + 10;
     while (loop_.Now() < end) {
-      wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", Report(++tick_));
+      wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", HeartbeatBody(++tick_));
       if (r.status == 200) co_return r.body;
       co_await Pause(0.02);
     }
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -66,7 +66,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(3), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
@@ -92,7 +92,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(3), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
     loop_.DetectPauses(node.lead.MaxRenewalGapS());
     election::LeaderElection& lead = node.lead;
@@ -125,8 +125,8 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(3), &error), "a server", error);
-    RequireStarted(state.ListenSecondary(At(4), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
+    RequireStarted(state.ListenSecondary(AddressAt(4), &error), "a server", error);
     store::Client peer(scope_, StateAt(3));
     LoneLeader node(scope_, LeaderSettings(kReport, kShortLease), StateAt(4));
     node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::RelayResult> {
@@ -165,7 +165,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(7), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(7), &error), "a server", error);
     LoneLeader node(scope_, LeaderSettings(1, kLease), StateAt(7));
     election::LeaderElection& lead = node.lead;
     while (!lead.leading()) co_await Pause(0.01);
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -13,23 +13,23 @@
 constexpr double kCancelS = 5;   // the workers' lease is 3 s
 constexpr double kPauseS = 2.3;  // LeaderElection::MaxRenewalGapS is 2.03 s
 
-class GapTest : public EndToEnd {
+class GapTest : public EndToEndTest {
  public:
   GapTest() {
-    refused_ = 0;
+    refused_node_ = 0;
     cancel_s_ = kCancelS;
     run_s_ = 60;
   }
 
   // Node 0 leads with two jobs at work; all nodes understand vouches.
   async::Task<> Prepare() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     bool ok = false;
     for (const char* id : {"run-1", "run-2"}) {
-      ok = co_await Until(1, "POST", "/submissions", Body(Spec(id, 6)), 201, "", 10);
+      ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec(id, 6)), 201, "", 10);
       EXPECT_TRUE(ok);
     }
-    ok = co_await Within(20, [&] {
+    ok = co_await WaitFor(20, [&] {
       bool all = cloud_->Running("run-1") == 6 && cloud_->Running("run-2") == 6;
       for (int i = 0; i < 3; ++i) {
         const std::string mark = state_->Value(store::NodeFormatKey("node-" + std::to_string(i)));
@@ -38,7 +38,7 @@
       return all;
     });
     EXPECT_TRUE(ok);
-    co_await Pause(3 * kReport);
+    co_await Pause(3 * kHeartbeatIntervalS);
   }
 
   // Recorded by a process that tells its user and ends before anybody hears of it.
@@ -57,10 +57,10 @@
     co_await Prepare();
     state_->CutSecondary(true);
     co_await CancelledByAnother();
-    bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
+    bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
-    ok = co_await Within(kCancelS, [&] { return cloud_->Running("run-1") == 0; });
+    ok = co_await WaitFor(kCancelS, [&] { return cloud_->Running("run-1") == 0; });
     EXPECT_TRUE(ok);
     co_await Pause(told_ + kCancelS + 2 - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
@@ -68,7 +68,7 @@
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetOutage(false);
     state_->CutSecondary(false);
-    ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
     EXPECT_TRUE(ok);
   }
 
@@ -79,7 +79,7 @@
     state_->SetWatchLag(10);
     state_->CutSecondary(true);
     co_await CancelledByAnother();
-    bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
+    bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
     co_await Pause(told_ + kCancelS - loop_.Now());
@@ -98,7 +98,7 @@
     state_->SetWatchLag(10);
     state_->CutSecondary(true);
     co_await CancelledByAnother();
-    bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
+    bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
     std::this_thread::sleep_for(std::chrono::duration<double>(kPauseS));
@@ -116,7 +116,7 @@
   async::Task<> Forgot() {
     co_await Prepare();
     state_->CutSecondary(true);
-    for (int node : {1, 2}) co_await EndInOrder(node);
+    for (int node : {1, 2}) co_await ShutDownAndWait(node);
     co_await CancelledByAnother();
     state_->SetOutage(true);
     StartNodes(1, 3, 3);
@@ -124,9 +124,9 @@
     EXPECT_EQ(cloud_->Running("run-1"), 0);
     state_->SetOutage(false);
     state_->CutSecondary(false);
-    bool ok = co_await Until(1, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
+    bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Within(15, [&] { return cloud_->Running("run-2") == 6; });
+    ok = co_await WaitFor(15, [&] { return cloud_->Running("run-2") == 6; });
     EXPECT_TRUE(ok) << "the other job goes on afterwards";
     EXPECT_EQ(cloud_->Running("run-1"), 0);
   }
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -49,7 +49,7 @@
   return errors;
 }
 
-class MembershipNodesTest : public EndToEnd {
+class MembershipNodesTest : public EndToEndTest {
  public:
   MembershipNodesTest() {
     operators_.membership.enabled = true;
@@ -64,7 +64,7 @@
     return record && record->state == state;
   }
   async::Task<bool> WaitUntilAllJoined(int count) {
-    bool ok = co_await Within(10, [&] {
+    bool ok = co_await WaitFor(10, [&] {
       for (int i = 0; i < count; ++i) {
         if (!HasState(i, MemberState::kAlive)) return false;
       }
@@ -78,9 +78,10 @@
     return record ? record->node : std::string();
   }
   async::Task<> RunJob(int node) {
-    bool ok = co_await Until(node, "POST", "/submissions", Body(Spec("run-1", 6)), 201, "", 10);
+    bool ok = co_await AskUntil(node, "POST", "/submissions", SubmissionBody(Spec("run-1", 6)), 201,
+                                "", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Within(10, [&] { return cloud_->Running("run-1") == 6; });
+    ok = co_await WaitFor(10, [&] { return cloud_->Running("run-1") == 6; });
     EXPECT_TRUE(ok);
   }
   // Runs the query in a thread, since it blocks and has a separate event loop, as in the CLI.
@@ -98,16 +99,16 @@
 
   // Without a handover, the lease would remain valid for 4 s after the leader has ended.
   async::Task<> LeaderShutsDown() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     co_await WaitUntilAllJoined(3);
     co_await RunJob(1);
-    co_await Pause(2 * kReport);
+    co_await Pause(2 * kHeartbeatIntervalS);
     const double started_at = loop_.Now();
-    co_await EndInOrder(0);
+    co_await ShutDownAndWait(0);
     EXPECT_NE(Leader(), "node-0")
         << "the lease must be released before the process ends, not because "
            "its port refuses connections";
-    bool ok = co_await Within(1.5, [&] { return !Leader().empty() && Leader() != "node-0"; });
+    bool ok = co_await WaitFor(1.5, [&] { return !Leader().empty() && Leader() != "node-0"; });
     EXPECT_TRUE(ok) << "no new leader " << loop_.Now() - started_at
                     << " s after the shutdown began";
     EXPECT_TRUE(HasState(0, MemberState::kLeft));
@@ -123,7 +124,7 @@
   // A leader that reads its own record as failed resigns and joins with a new session. No running
   // task is started a second time.
   async::Task<> LeaderIsDeclaredFailed() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     co_await WaitUntilAllJoined(3);
     co_await RunJob(1);
     MemberRecord record = *Record(0);
@@ -132,11 +133,11 @@
     record.by = "node-2";
     const std::string token_before = state_->Value(store::FencingTokenKey());
     co_await WriteRecord(store::MemberKey("node-0"), membership::WriteMember(record));
-    bool ok = co_await Within(5, [&] {
+    bool ok = co_await WaitFor(5, [&] {
       return HasState(0, MemberState::kAlive) && Record(0)->incarnation.session == session + 1;
     });
     EXPECT_TRUE(ok);
-    ok = co_await Within(5, [&] { return !Leader().empty(); });
+    ok = co_await WaitFor(5, [&] { return !Leader().empty(); });
     EXPECT_TRUE(ok);
     co_await Pause(1);
     EXPECT_EQ(cloud_->Running("run-1"), 6);
@@ -152,7 +153,7 @@
     record.by = "node-2";
     const std::string lease_before = state_->Value(store::LeaderKey());
     co_await WriteRecord(store::MemberKey("node-0"), membership::WriteMember(record));
-    bool ok = co_await Within(5, [&] {
+    bool ok = co_await WaitFor(5, [&] {
       return HasState(0, MemberState::kAlive) && !Leader().empty() &&
              state_->Value(store::LeaderKey()) != lease_before;
     });
@@ -163,9 +164,9 @@
 
   async::Task<> QueryMembers() {
     co_await WaitUntilAllJoined(3);
-    bool ok = co_await Within(5, [&] { return !Leader().empty(); });
+    bool ok = co_await WaitFor(5, [&] { return !Leader().empty(); });
     EXPECT_TRUE(ok);
-    co_await Pause(2 * kReport);
+    co_await Pause(2 * kHeartbeatIntervalS);
     auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
     EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
     for (const cli::MembersAnswer& answer : answers) {
@@ -178,7 +179,7 @@
         EXPECT_EQ(row.leading, row.node == Leader());
       }
     }
-    co_await EndInOrder(2);
+    co_await ShutDownAndWait(2);
     answers = co_await RunMembersQuery(NodeSettings(0, 3));
     EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
     EXPECT_FALSE(answers.at(2).report);
@@ -195,7 +196,7 @@
     operators_.membership.enabled = true;
     StartNodes(0, 2, 3);
     co_await WaitUntilAllJoined(2);
-    co_await Pause(10 * kReport);
+    co_await Pause(10 * kHeartbeatIntervalS);
     EXPECT_EQ(state_->Value(store::MemberKey("node-2")), "");
     EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-2"))).value_or(0),
               store::kCancellationReportFormat);
@@ -220,7 +221,7 @@
     for (const std::string& bytes :
          {std::string("\xff\xff\xff\xff\x7f"), wire::EncodeFrame(std::string(1, kUnknownType)),
           wire::EncodeFrame(probe.substr(3)), wire::EncodeFrame(probe)}) {
-      auto to = net::ParseAddress(At(1));
+      auto to = net::ParseAddress(AddressAt(1));
       int error = 0;
       auto stream = co_await net::Stream::Connect(scope_, *to, loop_.Now() + 1, &error);
       EXPECT_TRUE(stream);
@@ -228,19 +229,19 @@
       co_await stream->Write(scope_, bytes, loop_.Now() + 1);
       co_await Pause(0.1);
     }
-    co_await Pause(5 * kReport);
+    co_await Pause(5 * kHeartbeatIntervalS);
     for (int i = 0; i < 3; ++i) EXPECT_TRUE(HasState(i, MemberState::kAlive)) << i;
     EXPECT_EQ(state_->Value(store::MemberKey("node-77")), "");
   }
 
   async::Task<> RunWithMembershipOff() {
-    co_await StartOthersOnceItLeads();
+    co_await StartOthersOnceNode0Leads();
     state_->Watch([this](const std::string& key, const std::string& /*value*/) {
       if (store::IsKeyOfKind<store::MemberKeyName>(key)) ++member_writes_;
     });
     co_await RunJob(1);
-    co_await EndInOrder(0);
-    co_await Pause(5 * kReport);
+    co_await ShutDownAndWait(0);
+    co_await Pause(5 * kHeartbeatIntervalS);
     EXPECT_EQ(member_writes_, 0);
     for (int i = 0; i < 3; ++i) {
       EXPECT_EQ(
--- a/tests/net_fixture.h
+++ b/tests/net_fixture.h
@@ -43,11 +43,11 @@
     std::this_thread::sleep_for(std::chrono::duration<double>(s));
   }
 
-  static std::string At(int n) { return PortBlock::OfProcess().At(n); }
+  static std::string AddressAt(int n) { return PortBlock::OfProcess().AddressAt(n); }
 
   static store::Client::Options StateAt(int n) {
     store::Client::Options options;
-    options.endpoint = At(n);
+    options.endpoint = AddressAt(n);
     options.rps = options.write_rps = 1000;
     options.timeout_s = 0.25;
     options.max_response_bytes = 1 << 20;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -40,7 +40,7 @@
                                  {[](const wire::HttpRequest& r) { return r.path() == "/b"; }, 2}};
     server_.emplace(scope_, limits, [this](wire::HttpRequest r) { return Answer(std::move(r)); });
     std::string error;
-    RequireStarted(server_->Listen(At(0), &error), "a server", error);
+    RequireStarted(server_->Listen(AddressAt(0), &error), "a server", error);
   }
   async::Task<wire::HttpResponse> Answer(wire::HttpRequest /*unused*/) {
     ++handled_;
@@ -49,7 +49,7 @@
   // A client of its own is a connection of its own.
   async::Task<wire::HttpResponse> Ask(net::HttpClient& client, std::string target) {
     wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = ""};
-    auto r = co_await client.Call(scope_, At(0), std::move(q), 1, false);
+    auto r = co_await client.Call(scope_, AddressAt(0), std::move(q), 1, false);
     co_return r.value_or(wire::HttpResponse{.status = 0, .body = ""});
   }
 
@@ -103,7 +103,7 @@
     server_.emplace(scope_, limits,
                     [this](const wire::HttpRequest& /*unused*/) { return Answer(); });
     std::string error;
-    RequireStarted(server_->Listen(At(0), &error), "a server", error);
+    RequireStarted(server_->Listen(AddressAt(0), &error), "a server", error);
     std::vector<std::unique_ptr<net::HttpClient>> workers;
     workers.reserve(kWorkers);
     for (int i = 0; i < kWorkers; ++i) {
@@ -112,7 +112,7 @@
     for (int period = 0; period < 3; ++period) {
       for (auto& worker : workers) {
         wire::HttpRequest q{.method = "POST", .target = "/checkin", .body = "{}"};
-        auto r = co_await worker->Call(scope_, At(0), std::move(q), 1, false);
+        auto r = co_await worker->Call(scope_, AddressAt(0), std::move(q), 1, false);
         EXPECT_TRUE(r && r->status == 200);
         EXPECT_LE(server_->connections(), kRoom + 1U);
       }
@@ -162,7 +162,7 @@
 class GoneClient : public ShareTest {
  public:
   async::Task<> Script() {
-    auto to = net::ParseAddress(At(0));
+    auto to = net::ParseAddress(AddressAt(0));
     {
       auto stream = co_await net::Stream::Connect(scope_, *to, loop_.Now() + 1);
       EXPECT_TRUE(stream.has_value());
@@ -208,13 +208,13 @@
   }
   async::Task<> Script() {
     std::string error;
-    auto listener = net::Listener::Open(*net::ParseAddress(At(1)), &error);
+    auto listener = net::Listener::Open(*net::ParseAddress(AddressAt(1)), &error);
     RequireStarted(listener.has_value(), "a listener", error);
     config::Settings s = TestSettings();
     s.node = "node-0";
     s.heartbeat_interval_s = 4;  // a beat of 0.5 s
-    s.peer_bind = At(2);
-    s.seeds = {{"node-1", "a", At(1)}};
+    s.peer_bind = AddressAt(2);
+    s.seeds = {{"node-1", "a", AddressAt(1)}};
     net::PeerMesh::Hooks hooks;
     hooks.status = [] { return wire::PeerStatus(); };
     hooks.on_status = [](const wire::PeerStatus&) {};
@@ -249,8 +249,8 @@
     s = TestSettings();
     s.node = "node-" + std::to_string(node);
     s.heartbeat_interval_s = 8 * kBeat;
-    s.peer_bind = At(1 + node);
-    s.seeds = {{"node-" + std::to_string(1 - node), "a", At(2 - node)}};
+    s.peer_bind = AddressAt(1 + node);
+    s.seeds = {{"node-" + std::to_string(1 - node), "a", AddressAt(2 - node)}};
     net::PeerMesh::Hooks hooks;
     hooks.status = [] { return wire::PeerStatus(); };
     hooks.on_status = [](const wire::PeerStatus&) {};
@@ -321,7 +321,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(3), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
     store::Client::Options options = StateAt(3);
     options.rps = 40;
     options.timeout_s = 1;
@@ -364,7 +364,7 @@
     net::HttpServer::Limits limits{4, 1024, 30, 5, kNeverQuiet};
     server_.emplace(scope_, limits,
                     [this](const wire::HttpRequest& /*unused*/) { return Count(); });
-    RequireStarted(server_->Listen(At(0), &error), "a server", error);
+    RequireStarted(server_->Listen(AddressAt(0), &error), "a server", error);
     co_return;
   }
   async::Task<wire::HttpResponse> Count() {
@@ -373,7 +373,7 @@
   }
   async::Task<> Call(double timeout_s) {
     wire::HttpRequest q{.method = "POST", .target = "/rentals", .body = "{}"};
-    auto r = co_await http_.Call(scope_, At(0), std::move(q), timeout_s, false);
+    auto r = co_await http_.Call(scope_, AddressAt(0), std::move(q), timeout_s, false);
     ++(r ? answered_ : given_up_);
   }
   async::Task<> Script() {
@@ -433,7 +433,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(6), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(6), &error), "a server", error);
     store::Client client(scope_, StateAt(6));
     bool sent = false;
     client.SetRelay([&sent](wire::HttpRequest) -> async::Task<net::RelayResult> {
@@ -464,7 +464,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(4), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(4), &error), "a server", error);
     store::Client client(scope_, StateAt(4));
     std::map<std::string, std::string> copy;
     store::WatchCache cache(scope_, client, 0.5,
@@ -518,7 +518,7 @@
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
-    RequireStarted(state.Listen(At(5), &error), "a server", error);
+    RequireStarted(state.Listen(AddressAt(5), &error), "a server", error);
     state.SetLimits({0, 0, 20});
     store::Client::Options options = StateAt(5);
     options.write_rps = 100;
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -10,7 +10,7 @@
 
 constexpr const char* kDone = R"("phase":"done")";
 
-class PipelineTest : public EndToEnd {
+class PipelineTest : public EndToEndTest {
  public:
   template <class... Ids>
   static model::JobSpec After(const std::string& id, uint32_t tasks, Ids... dependencies) {
@@ -19,11 +19,12 @@
     return s;
   }
   async::Task<> Accepted(int node, model::JobSpec spec) {
-    bool ok = co_await Until(node, "POST", "/submissions", Body(spec), 201, "pending", 10);
+    bool ok =
+        co_await AskUntil(node, "POST", "/submissions", SubmissionBody(spec), 201, "pending", 10);
     EXPECT_TRUE(ok) << spec.id;
   }
   async::Task<> Says(int node, std::string id, std::string what, double limit_s = 20) {
-    bool ok = co_await Until(node, "GET", "/submissions/" + id, "", 200, what, limit_s);
+    bool ok = co_await AskUntil(node, "GET", "/submissions/" + id, "", 200, what, limit_s);
     EXPECT_TRUE(ok) << id << " " << what;
   }
   // Whoever starts must have all that it awaits recorded as done by then.
@@ -57,7 +58,7 @@
     Note(late);
     co_await Accepted(1, late);
     co_await Says(0, "run-6", kDone);
-    wire::HttpResponse r = co_await Ask(2, "POST", "/submissions", Body(late));
+    wire::HttpResponse r = co_await Ask(2, "POST", "/submissions", SubmissionBody(late));
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find(kDone), std::string::npos);
     EXPECT_EQ(too_early_, std::vector<std::string>());
@@ -84,7 +85,7 @@
         }
       }
       if (round == 0) {
-        End(0);
+        ShutDownNode(0);
         co_await Pause(0.05);
         StartNodes(0, 1, 3);
       }
@@ -93,7 +94,7 @@
     const model::JobSpec late = After("run-6", 4, "run-4");
     co_await Accepted(1, late);
     co_await Says(2, "run-6", "cancelled", 2);
-    r = co_await Ask(0, "POST", "/submissions", Body(late));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(late));
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find("cancelled"), std::string::npos);
     r = co_await Ask(2, "POST", "/submissions/run-5/withdraw");
@@ -126,31 +127,31 @@
       co_await Accepted(i % 3, After(id, 1));
       co_await Accepted((i + 1) % 3, After("run-" + std::to_string(200 + i), 1, id));
     }
-    wire::HttpResponse r =
-        co_await Ask(0, "POST", "/submissions", Body(After("run-9", 4, "run-1", "run-77")));
+    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions",
+                                        SubmissionBody(After("run-9", 4, "run-1", "run-77")));
     EXPECT_EQ(r.status, 422);
     EXPECT_NE(r.body.find("\"field\":\"awaits\""), std::string::npos) << r.body;
-    r = co_await Ask(0, "POST", "/submissions", Body(After("run-9", 4, "run-9")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-9")));
     EXPECT_EQ(r.status, 422) << "nor can it await itself";
-    r = co_await Ask(2, "POST", "/submissions", Body(After("run-9", 4, "run-2")));
+    r = co_await Ask(2, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-2")));
     EXPECT_EQ(r.status, 422) << "a service never ends";
-    r = co_await Ask(0, "POST", "/submissions", Body(After("run-9", 4, "job-1")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "job-1")));
     EXPECT_EQ(r.status, 400);
     std::vector<std::string> many;
     many.reserve(2000);
     for (int i = 0; i < 2000; ++i) many.push_back("run-" + std::to_string(10000 + i));
     model::JobSpec crowd = Spec("run-9", 1);
     crowd.dependencies = many;
-    r = co_await Ask(0, "POST", "/submissions", Body(crowd));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(crowd));
     EXPECT_EQ(r.status, 400) << "more than a record holds";
     // What can't be known now is no verdict.
     state_->SetOutage(true);
-    r = co_await Ask(0, "POST", "/submissions", Body(After("run-9", 4, "run-77")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-77")));
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
     state_->SetOutage(false);
-    bool ok = co_await Until(0, "POST", "/submissions", Body(After("run-9", 4, "run-77")), 422,
-                             "run-77", 10);
+    bool ok = co_await AskUntil(0, "POST", "/submissions",
+                                SubmissionBody(After("run-9", 4, "run-77")), 422, "run-77", 10);
     EXPECT_TRUE(ok);
   }
 
@@ -202,7 +203,7 @@
 
 class OutagePipelineTest : public PipelineTest {
  public:
-  OutagePipelineTest() { apart_ = 0; }
+  OutagePipelineTest() { partitioned_node_ = 0; }
 };
 
 TEST_F(OutagePipelineTest, AJobThatWaitsToBeReleasedIsNotForgotten) {
--- a/tests/port_block.h
+++ b/tests/port_block.h
@@ -23,7 +23,7 @@
 
   int first() const { return first_; }
   // Address of the n-th port.
-  std::string At(int n) const { return "127.0.0.1:" + std::to_string(first_ + n); }
+  std::string AddressAt(int n) const { return "127.0.0.1:" + std::to_string(first_ + n); }
 
  private:
   // True if the block that begins there could be taken.
--- a/tests/port_block_test.cc
+++ b/tests/port_block_test.cc
@@ -22,13 +22,13 @@
   const PortBlock block(kOffset);
   for (int n = 0; n < PortBlock::kPorts - 1; ++n) {
     std::string error;
-    EXPECT_TRUE(net::Listener::Open(*net::ParseAddress(block.At(n)), &error)) << n << error;
+    EXPECT_TRUE(net::Listener::Open(*net::ParseAddress(block.AddressAt(n)), &error)) << n << error;
   }
 }
 
 TEST(PortBlock, NobodyElseCanBindAPortOfIt) {
   const PortBlock block(kOffset);
-  for (int n = 0; n < PortBlock::kPorts; ++n) EXPECT_FALSE(CanBindAlone(block.At(n))) << n;
+  for (int n = 0; n < PortBlock::kPorts; ++n) EXPECT_FALSE(CanBindAlone(block.AddressAt(n))) << n;
 }
 
 // Processes whose numbers were a certain multiple apart used to share their ports.
@@ -43,7 +43,7 @@
   {
     const PortBlock block(kOffset);
     first = block.first();
-    used = block.At(PortBlock::kPorts / 2);
+    used = block.AddressAt(PortBlock::kPorts / 2);
   }
   std::string error;
   auto listener = net::Listener::Open(*net::ParseAddress(used), &error);
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -55,7 +55,7 @@
   pid_t pid_ = 0;
 };
 
-class ProcessTest : public EndToEnd, public testing::WithParamInterface<int> {
+class ProcessTest : public EndToEndTest, public testing::WithParamInterface<int> {
  public:
   static constexpr int kNodes = 3;
   static constexpr double kFaultPeriodS = 8;
@@ -86,7 +86,7 @@
   }
 
   async::Task<> RunWithFaults() {
-    bool ok = co_await Until(0, "GET", "/ready", "", 200, "", 20);
+    bool ok = co_await AskUntil(0, "GET", "/ready", "", 200, "", 20);
     EXPECT_TRUE(ok);
     scope_.Spawn(SubmitJobs());
     const double end = loop_.Now() + kFaultPeriodS;
@@ -98,14 +98,14 @@
       process->Signal(SIGCONT);
       if (!process->running()) process->Start();
     }
-    ok = co_await Within(30, [&] { return submitted_all_; });
+    ok = co_await WaitFor(30, [&] { return submitted_all_; });
     EXPECT_TRUE(ok);
     EXPECT_GT(accepted_.size(), 5U);
     for (const std::string& id : accepted_) {
-      ok = co_await Until(0, "GET", "/submissions/" + id, "", 200, R"("phase":"done")", 40);
+      ok = co_await AskUntil(0, "GET", "/submissions/" + id, "", 200, R"("phase":"done")", 40);
       EXPECT_TRUE(ok) << id << " must be done";
     }
-    ok = co_await Within(20, [&] { return AllAlive(); });
+    ok = co_await WaitFor(20, [&] { return AllAlive(); });
     EXPECT_TRUE(ok) << "every process must be an alive member again";
   }
 
@@ -141,8 +141,8 @@
       const std::string id = "run-" + std::to_string(100 + i);
       // Retries as users do, at each node in turn until one accepts the job.
       for (int attempt = 0; loop_.Now() < end; ++attempt) {
-        wire::HttpResponse r =
-            co_await Ask((i + attempt) % kNodes, "POST", "/submissions", Body(Spec(id, 3)));
+        wire::HttpResponse r = co_await Ask((i + attempt) % kNodes, "POST", "/submissions",
+                                            SubmissionBody(Spec(id, 3)));
         if (r.status == 200 || r.status == 201) {
           accepted_.push_back(id);
           break;
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -58,7 +58,7 @@
       OldVersionKeeps(store::FinalKey("run-1"), store::WriteFinal({model::JobPhase::kDone, 4, 1})));
 }
 
-class UpgradeTest : public EndToEnd {
+class UpgradeTest : public EndToEndTest {
  public:
   // Checks every write until the formats change, and counts records in newer formats after that.
   void WatchWrites() {
@@ -107,26 +107,27 @@
     co_await WriteRecord(store::TaskGroupKey("run-1", 0),
                          R"({"done":[0,299],"on":{"":[300,-2]},"runs":{"c4":[300,90.0]}})");
     StartNodes(0, 1, 3);
-    bool ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "pending", 5);
+    bool ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, "pending", 5);
     EXPECT_TRUE(ok);
-    wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", Report(1));
+    wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", HeartbeatBody(1));
     EXPECT_EQ(r.status, 421) << "the old node leads";
     EXPECT_NE(r.body.find("node-1"), std::string::npos);
     // The old leader ends. The new node takes over at once and keeps the data in the old formats.
     auto ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
-    ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-2", 700)), 201, "", 10);
+    ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(Spec("run-2", 700)), 201, "",
+                           10);
     EXPECT_TRUE(ok);
-    ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, R"("done","done":400)", 20);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, R"("done","done":400)", 20);
     EXPECT_TRUE(ok);
     EXPECT_EQ(starts_by_job_["run-1"], 100) << "done tasks must not start again";
-    r = co_await Ask(0, "POST", "/submissions", Body(Spec("run-3", 3)));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(Spec("run-3", 3)));
     EXPECT_EQ(r.status, 201);
     r = co_await Ask(0, "POST", "/submissions/run-3/withdraw");
     EXPECT_EQ(r.status, 200);
     // Node 0 stops. It restarts after an old node has led and left tasks placed in the old format.
-    co_await EndInOrder(0);
-    ok = co_await Within(5, [&] { return state_->Value(store::LeaderKey()).empty(); });
+    co_await ShutDownAndWait(0);
+    ok = co_await WaitFor(5, [&] { return state_->Value(store::LeaderKey()).empty(); });
     EXPECT_TRUE(ok);
     lease_id = co_await AcquireLeadershipAsOldNode("node-2");
     EXPECT_NE(lease_id, 0U);
@@ -136,30 +137,32 @@
     StartNodes(0, 1, 3);
     ended = co_await state_client_.RevokeLease(lease_id);
     EXPECT_TRUE(ended.ok());
-    ok = co_await Until(0, "GET", "/submissions/run-4", "", 200, R"("done","done":340)", 30);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-4", "", 200, R"("done","done":340)", 30);
     EXPECT_TRUE(ok) << "tasks on the unknown machine must run again after its lease expires";
     // The second node is new. One is still old, so all records must stay readable for it.
     StartNodes(1, 2, 3);
-    ok = co_await Within(5, [&] { return !state_->Value(store::NodeFormatKey("node-1")).empty(); });
+    ok =
+        co_await WaitFor(5, [&] { return !state_->Value(store::NodeFormatKey("node-1")).empty(); });
     EXPECT_TRUE(ok);
-    co_await Pause(3 * kReport);
-    r = co_await Ask(1, "POST", "/submissions", Body(Spec("run-5", 5)));
+    co_await Pause(3 * kHeartbeatIntervalS);
+    r = co_await Ask(1, "POST", "/submissions", SubmissionBody(Spec("run-5", 5)));
     EXPECT_EQ(r.status, 201);
-    ok = co_await Until(1, "GET", "/submissions/run-5", "", 200, R"("done","done":5)", 20);
+    ok = co_await AskUntil(1, "GET", "/submissions/run-5", "", 200, R"("done","done":5)", 20);
     EXPECT_TRUE(ok);
     EXPECT_FALSE(formats_changed_);
     EXPECT_EQ(premature_writes_, std::vector<std::string>());
     // The last node is new. The formats change automatically, and a new leader keeps the new ones.
     StartNodes(2, 3, 3);
-    ok = co_await Within(5, [&] { return formats_changed_; });
+    ok = co_await WaitFor(5, [&] { return formats_changed_; });
     EXPECT_TRUE(ok);
     for (int job = 6; job < 9; ++job) {
       const std::string id = "run-" + std::to_string(job);
-      ok = co_await Until(job - 6, "POST", "/submissions", Body(Spec(id, 20)), 201, "", 10);
+      ok = co_await AskUntil(job - 6, "POST", "/submissions", SubmissionBody(Spec(id, 20)), 201, "",
+                             10);
       EXPECT_TRUE(ok);
-      ok = co_await Until(2, "GET", "/submissions/" + id, "", 200, R"("done","done":20)", 20);
+      ok = co_await AskUntil(2, "GET", "/submissions/" + id, "", 200, R"("done","done":20)", 20);
       EXPECT_TRUE(ok);
-      if (job == 6) co_await EndInOrder(0);
+      if (job == 6) co_await ShutDownAndWait(0);
     }
     EXPECT_GT(packed_groups_, 0);
     EXPECT_EQ(timed_final_records_, 3);
@@ -176,19 +179,19 @@
 
 // Guards against overwriting a format record that this version can't read: another version may have
 // written it and depend on it.
-class UnreadableFormatTest : public EndToEnd {
+class UnreadableFormatTest : public EndToEndTest {
  public:
   async::Task<> Script() {
     const std::string record = R"({"format":9})";
     co_await WriteRecord(store::FormatKey(), record);
     StartNodes(0, 3, 3);
-    bool node_formats_written = co_await Within(5, [&] {
+    bool node_formats_written = co_await WaitFor(5, [&] {
       return !state_->Value(store::NodeFormatKey("node-0")).empty() &&
              !state_->Value(store::NodeFormatKey("node-1")).empty() &&
              !state_->Value(store::NodeFormatKey("node-2")).empty();
     });
     EXPECT_TRUE(node_formats_written);
-    co_await Pause(5 * kReport);
+    co_await Pause(5 * kHeartbeatIntervalS);
     EXPECT_EQ(state_->Value(store::FormatKey()), record);
   }
 };
@@ -208,12 +211,13 @@
 // The state service lowers its limits without notice.
 class LoweredLimitsTest : public UpgradeTest {
  public:
-  LoweredLimitsTest() { state_next_ = config::StateLimits{2000, 300, 2, 4}; }
+  LoweredLimitsTest() { next_state_limits_ = config::StateLimits{2000, 300, 2, 4}; }
 
   async::Task<> LowerLimits(int nodes, double max_refused) {
-    bool ok = co_await Until(0, "POST", "/submissions", Body(Spec("run-1", 900)), 201, "", 10);
+    bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(Spec("run-1", 900)), 201,
+                                "", 10);
     EXPECT_TRUE(ok);
-    ok = co_await Until(0, "GET", "/submissions/run-1", "", 200, "running", 10);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, "running", 10);
     EXPECT_TRUE(ok);
     model::JobSpec large_spec = Spec("run-2", 2);
     for (int i = 0; i < 150; ++i)
@@ -227,17 +231,17 @@
     co_await WriteRecord(store::JobKey("run-2"), store::WriteJob(record));
     state_->SetLimits({2048, 4, 300});
     const int refused_before = state_->refused();
-    ok = co_await Until(0, "POST", "/submissions/run-2/withdraw", "", 200, "cancelled", 5);
+    ok = co_await AskUntil(0, "POST", "/submissions/run-2/withdraw", "", 200, "cancelled", 5);
     EXPECT_TRUE(ok) << "the record is larger than the new limit";
-    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", Body(large_spec));
+    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions", SubmissionBody(large_spec));
     EXPECT_EQ(r.status, 200) << "a repeated submission of an accepted job";
     large_spec.id = "run-3";
-    r = co_await Ask(0, "POST", "/submissions", Body(large_spec));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(large_spec));
     EXPECT_EQ(r.status, 400) << "a new job whose record can never fit";
-    ok =
-        co_await Until(nodes - 1, "GET", "/submissions/run-1", "", 200, R"("done","done":900)", 60);
+    ok = co_await AskUntil(nodes - 1, "GET", "/submissions/run-1", "", 200, R"("done","done":900)",
+                           60);
     EXPECT_TRUE(ok);
-    ok = co_await Until(0, "GET", "/submissions/run-2", "", 200, "cancelled", 5);
+    ok = co_await AskUntil(0, "GET", "/submissions/run-2", "", 200, "cancelled", 5);
     EXPECT_TRUE(ok);
     EXPECT_LE(state_->refused() - refused_before, max_refused);
     EXPECT_TRUE(formats_changed_);
