--- a/tests/direct_command_queue_test.cc
+++ b/tests/direct_command_queue_test.cc
@@ -1,4 +1,4 @@
-// Which machines get a direct command next (controller/direct_command_queue.h).
+// Tests which machines get a direct command next (controller/direct_command_queue.h).
 #include "controller/direct_command_queue.h"
 
 #include <gtest/gtest.h>
@@ -6,55 +6,55 @@
 namespace hallpier::controller {
 namespace {
 
-TEST(DirectCommandQueue, BoundsTheMachinesAtATime) {
+TEST(DirectCommandQueue, BoundsTheNumberOfActiveMachines) {
   DirectCommandQueue queue(2);
   EXPECT_TRUE(queue.Request("vm-1"));
   EXPECT_TRUE(queue.Request("vm-2"));
   EXPECT_FALSE(queue.Request("vm-3"));
-  EXPECT_EQ(queue.StartNext(), std::nullopt) << "there is no room";
+  EXPECT_EQ(queue.StartNext(), std::nullopt) << "the maximum number of machines is active";
   queue.Finish("vm-1");
   EXPECT_EQ(queue.StartNext(), "vm-3");
   EXPECT_EQ(queue.StartNext(), std::nullopt);
 }
 
-TEST(DirectCommandQueue, ServesMachinesInTheOrderOfTheirRequests) {
+TEST(DirectCommandQueue, StartsMachinesInRequestOrder) {
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-9"));
   EXPECT_FALSE(queue.Request("vm-3"));
   EXPECT_FALSE(queue.Request("vm-1"));
-  EXPECT_FALSE(queue.Request("vm-3")) << "waits already, and keeps its place";
+  EXPECT_FALSE(queue.Request("vm-3")) << "already waiting, keeps its position";
   queue.Finish("vm-9");
   EXPECT_EQ(queue.StartNext(), "vm-3");
   queue.Finish("vm-3");
   EXPECT_EQ(queue.StartNext(), "vm-1");
   queue.Finish("vm-1");
-  EXPECT_EQ(queue.StartNext(), std::nullopt) << "two requests in the queue are one command";
+  EXPECT_EQ(queue.StartNext(), std::nullopt) << "two queued requests are served by one command";
 }
 
-TEST(DirectCommandQueue, RepeatsWhatIsRequestedDuringACommand) {
+TEST(DirectCommandQueue, NeedsRepeatAfterARequestDuringACommand) {
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-1"));
   queue.OnCommandsCollected("vm-1");
   EXPECT_FALSE(queue.NeedsRepeat("vm-1"));
-  EXPECT_FALSE(queue.Request("vm-1")) << "one command at a time for each machine";
+  EXPECT_FALSE(queue.Request("vm-1")) << "at most one command in flight for each machine";
   EXPECT_TRUE(queue.NeedsRepeat("vm-1"));
   queue.OnCommandsCollected("vm-1");
   EXPECT_FALSE(queue.NeedsRepeat("vm-1"));
 }
 
-TEST(DirectCommandQueue, AMachineThatWasServedMeanwhileIsNotServedTwice) {
+TEST(DirectCommandQueue, SkipsAWaitingMachineThatWasServedMeanwhile) {
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-1"));
   EXPECT_FALSE(queue.Request("vm-2"));
   queue.Finish("vm-1");
-  EXPECT_TRUE(queue.Request("vm-2")) << "there is room before its turn comes";
+  EXPECT_TRUE(queue.Request("vm-2")) << "a slot is free before its turn in the queue";
   queue.OnCommandsCollected("vm-2");
   EXPECT_EQ(queue.StartNext(), std::nullopt);
   queue.Finish("vm-2");
   EXPECT_EQ(queue.StartNext(), std::nullopt);
 }
 
-TEST(DirectCommandQueue, AMachineWhoseTurnComesDuringItsCommandIsRepeatedOnly) {
+TEST(DirectCommandQueue, RepeatsAnActiveMachineInsteadOfStartingItTwice) {
   DirectCommandQueue queue(2);
   EXPECT_TRUE(queue.Request("vm-1"));
   EXPECT_TRUE(queue.Request("vm-2"));
@@ -64,11 +64,11 @@
   queue.OnCommandsCollected("vm-3");
   EXPECT_FALSE(queue.Request("vm-3"));
   queue.Finish("vm-2");
-  EXPECT_EQ(queue.StartNext(), std::nullopt) << "its command is under way";
+  EXPECT_EQ(queue.StartNext(), std::nullopt) << "its command is in flight";
   EXPECT_TRUE(queue.NeedsRepeat("vm-3"));
 }
 
-TEST(DirectCommandQueue, ForgetsEverythingWithATerm) {
+TEST(DirectCommandQueue, ClearRemovesAllEntries) {
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-1"));
   EXPECT_FALSE(queue.Request("vm-2"));
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -1,4 +1,4 @@
-// Whole controllers on loopback against fakes, for tests that need them.
+// Fixture that runs whole controllers on loopback against a fake state service and a fake cloud.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,24 +26,25 @@
   EndToEndTest() : scope_(loop_), client_(4, 1 << 20), state_client_(scope_, StateOptions()) {}
 
   ~EndToEndTest() override {
-    // What a derived fixture watches with is gone by now.
+    // The members of a derived fixture that these callbacks use are already destroyed.
     if (state_) state_->Watch({});
     if (cloud_) cloud_->WatchStarts({});
-    // Everything ends in order; whatever kept a routine from that would hang here.
-    size_t left = nodes_.size() - ended_.size();
-    auto ended = [&] {
-      if (--left == 0) loop_.Stop();
+    // All nodes shut down in order. A coroutine that does not end makes the test hang here.
+    size_t running = nodes_.size() - shut_down_.size();
+    auto on_shutdown = [&] {
+      if (--running == 0) loop_.Stop();
     };
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (!ended_.contains(i)) nodes_[i]->Shutdown(ended);
+      if (!shut_down_.contains(i)) nodes_[i]->Shutdown(on_shutdown);
     }
-    if (left > 0) loop_.Run();
+    if (running > 0) loop_.Run();
     scope_.Cancel();
-    scope_.Spawn(StopWhenAlone());
+    scope_.Spawn(StopWhenOthersHaveEnded());
     loop_.Run();
   }
 
-  async::Task<> StopWhenAlone() {
+  // Stops the loop once this is the last coroutine of the scope.
+  async::Task<> StopWhenOthersHaveEnded() {
     while (scope_.active_coroutines() > 1) {
       async::Sleep turn(idle_, 0);
       co_await turn;
@@ -51,13 +52,14 @@
     loop_.Stop();
   }
 
-  // Ends the newest process of a node.
+  // Starts the shutdown of a node's current process and does not wait for it.
   void ShutDownNode(int node) {
-    ended_.insert(newest_.at(node));
-    nodes_[newest_.at(node)]->Shutdown([] {});
+    shut_down_.insert(current_process_.at(node));
+    nodes_[current_process_.at(node)]->Shutdown([] {});
   }
 
-  // Ports of this process and test, so that tests may run side by side.
+  // Returns the address of a port that is reserved for this process, so that tests can run in
+  // parallel.
   static std::string AddressAt(int n) { return PortBlock::OfProcess().AddressAt(n); }
 
   config::Settings NodeSettings(int i, int count) {
@@ -70,7 +72,7 @@
     }
     s.cluster_size = count;
     s.state = i == partitioned_node_ || i == refused_node_ ? AddressAt(22) : AddressAt(20);
-    // The node that stands apart has no links to the others, nor they to it.
+    // The partitioned node has no links to the other nodes, nor they to it.
     if (i == partitioned_node_) {
       for (auto& seed : s.seeds) seed.endpoint = AddressAt(23);
     } else {
@@ -95,7 +97,7 @@
 
   void Start(int count) {
     StartServices(count);
-    // The one that stands apart is alone at first, so that it leads.
+    // The partitioned or refused node starts alone, so that it becomes the leader.
     StartNodes(0, partitioned_node_ >= 0 || refused_node_ >= 0 ? 1 : count, count);
   }
 
@@ -114,48 +116,49 @@
     state_ = std::make_unique<FakeStateService>(scope_);
     cloud_ = std::make_unique<FakeCloud>(scope_, options);
     RequireStarted(state_->Listen(AddressAt(20), &error), "the state service", error);
-    RequireStarted(state_->ListenSecondary(AddressAt(22), &error), "its second way in", error);
+    RequireStarted(state_->ListenSecondary(AddressAt(22), &error),
+                   "the second address of the state service", error);
     RequireStarted(cloud_->Listen(AddressAt(21), &error), "the cloud", error);
   }
 
   void StartNodes(int first, int end, int count) {
     std::string error;
     for (int i = first; i < end; ++i) {
-      newest_[i] = nodes_.size();
+      current_process_[i] = nodes_.size();
       nodes_.push_back(
           std::make_unique<controller::Controller>(loop_, NodeSettings(i, count), operators_));
       RequireStarted(nodes_.back()->Start(&error), "node " + std::to_string(i), error);
     }
   }
 
-  // Ends the newest process of a node, and waits until it has.
+  // Shuts down a node's current process and waits until it has ended.
   async::Task<> ShutDownAndWait(int node) {
-    bool down = false;
-    ended_.insert(newest_.at(node));
-    nodes_[newest_.at(node)]->Shutdown([&down] { down = true; });
-    while (!down) {
+    bool ended = false;
+    shut_down_.insert(current_process_.at(node));
+    nodes_[current_process_.at(node)]->Shutdown([&ended] { ended = true; });
+    while (!ended) {
       async::Sleep turn(scope_, 0.005);
       co_await turn;
     }
   }
 
-  // Starts another at once, with the same settings.
+  // Shuts down a node and starts it again at once with the same settings.
   async::Task<> Restart(int node, int count) {
     co_await ShutDownAndWait(node);
     StartNodes(node, node + 1, count);
   }
 
-  // Runs the test's own routine, then everything's orderly end.
+  // Runs the test's coroutine to its end. The destructor then shuts the nodes down.
   void Run(async::Task<> script) {
     scope_.Spawn(Script(std::move(script)));
     loop_.Run();
-    EXPECT_TRUE(finished_);
+    EXPECT_TRUE(script_finished_);
   }
 
   async::Task<> Script(async::Task<> script) {
     async::Task<> owned = std::move(script);
     co_await owned;
-    finished_ = true;
+    script_finished_ = true;
     loop_.Stop();
   }
 
@@ -172,7 +175,8 @@
     return w.Take();
   }
 
-  // Of a worker that is there for nobody else: whoever answers it may give orders.
+  // Returns the heartbeat of a worker that only the test knows. A node that answers it with 200 may
+  // send commands to workers.
   static std::string HeartbeatBody(uint64_t sequence) {
     return R"({"host":"vm-x","endpoint":"127.0.0.1:1","flavor":"odd","hall":"a","lendable":false,)"
            R"("tenure":1,"tick":)" +
@@ -184,7 +188,8 @@
     co_await pause;
   }
 
-  // Asks again, as users do, until the answer has the wanted status.
+  // Repeats a request until the response has status `status` and contains `text`. Returns false if
+  // `limit_s` passes before that.
   async::Task<bool> AskUntil(int node, std::string method, std::string target, std::string body,
                              int status, std::string text, double limit_s) {
     const double end = loop_.Now() + limit_s;
@@ -197,7 +202,7 @@
     co_return false;
   }
 
-  // Node 0 of three leads before the others are started.
+  // Waits until node 0 leads, then starts nodes 1 and 2.
   async::Task<> StartOthersOnceNode0Leads() {
     bool ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(1), 200, "epoch", 10);
     EXPECT_TRUE(ok);
@@ -212,7 +217,7 @@
     return o;
   }
 
-  // Writes to the state service as some other process would.
+  // Writes to the state service like another process.
   async::Task<> WriteRecord(std::string key, std::string value) {
     std::vector<model::Precondition> preconditions;
     std::vector<model::KeyWrite> writes = {{std::move(key), std::move(value), 0}};
@@ -220,36 +225,40 @@
     EXPECT_TRUE(r.ok());
   }
 
-  async::Task<bool> WaitFor(double s, std::function<bool()> f) {
-    const double end = loop_.Now() + s;
-    while (!f() && loop_.Now() < end) co_await Pause(0.02);
-    co_return f();
+  // Waits until `condition` holds or `limit_s` seconds have passed. Returns whether it holds.
+  async::Task<bool> WaitFor(double limit_s, std::function<bool()> condition) {
+    const double end = loop_.Now() + limit_s;
+    while (!condition() && loop_.Now() < end) co_await Pause(0.02);
+    co_return condition();
   }
 
-  // Below are nodes and services.
+  // Lower ports of the block belong to nodes and services.
   static constexpr int kFirstWorkerPort = 30;
   static constexpr int kWorkerPorts = PortBlock::kPorts - 1 - kFirstWorkerPort;
 
   async::EventLoop loop_;
   async::Scope scope_;
   async::Scope idle_{loop_};
-  std::set<size_t> ended_;
-  std::map<int, size_t> newest_;  // process of a node: where in nodes_
+  std::set<size_t> shut_down_;             // indexes in nodes_
+  std::map<int, size_t> current_process_;  // by node: index in nodes_ of its newest process
   net::HttpClient client_;
   store::Client state_client_;
   std::unique_ptr<FakeStateService> state_;
   std::unique_ptr<FakeCloud> cloud_;
   std::vector<std::unique_ptr<controller::Controller>> nodes_;
-  bool finished_ = false;
+  bool script_finished_ = false;
   double state_rps_ = 2000;
-  double state_write_rps_ = 0;  // 0: plenty
-  double cpus_max_ = 0;         // of the team; 0: no limit
+  double state_write_rps_ = 0;  // 0: the default of NodeSettings()
+  double cpus_max_ = 0;         // quota of the team; 0: no limit
   double run_s_ = 0.3;
   std::optional<config::StateLimits> next_state_limits_;
   config::OperatorOptions operators_;
+  // The node without links to its peers and with the address of the state service that
+  // CutSecondary() closes; -1 if none.
   int partitioned_node_ = -1;
-  int refused_node_ =
-      -1;  // the node that CutSecondary() takes the state service from, and nothing else
+  // The node whose requests to the state service Cut() refuses, with links to its peers; -1 if
+  // none.
+  int refused_node_ = -1;
   double lease_s_ = 3;
   std::optional<double> cancel_s_;
 };
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -1,4 +1,4 @@
-// Whole controllers on loopback against fakes: takeover, outage, cancellation.
+// Tests whole controllers on loopback against fakes: failover, outages and cancellation.
 #include "end_to_end.h"
 
 #include <chrono>
@@ -9,32 +9,34 @@
 
 using namespace testing_support;
 
-async::Task<> RunsAJob(EndToEndTest* t, async::Task<bool> submitted, async::Task<bool> done) {
+// Expects that both requests succeed, one after the other.
+async::Task<> ExpectBoth(EndToEndTest* t, async::Task<bool> first, async::Task<bool> second) {
   (void)t;
-  bool ok = co_await submitted;
+  bool ok = co_await first;
   EXPECT_TRUE(ok);
-  ok = co_await done;
+  ok = co_await second;
   EXPECT_TRUE(ok);
 }
 
-TEST_F(EndToEndTest, AnyNodeTakesAJobAndAnyNodeTellsThatItIsDone) {
+TEST_F(EndToEndTest, AnyNodeAcceptsAJobAndAnyNodeReportsThatItIsDone) {
   Start(3);
   const std::string body = SubmissionBody(Spec("run-1", 9));
-  Run(RunsAJob(this, AskUntil(1, "POST", "/submissions", body, 201, "pending", 10),
-               AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":9)", 20)));
+  Run(ExpectBoth(this, AskUntil(1, "POST", "/submissions", body, 201, "pending", 10),
+                 AskUntil(2, "GET", "/submissions/run-1", "", 200, R"("done","done":9)", 20)));
   EXPECT_EQ(cloud_->starts(), 9);
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
+// Guards against wrong answers during and after an outage of the state service.
 class OutageTest : public EndToEndTest {
  public:
-  async::Task<> Outage() {
+  async::Task<> QueryDuringOutage() {
     auto spec = Spec("run-2", 3);
     bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
-    // Asked about anything, a node must not say "unknown" while it can't know; and it says at once
-    // when to come back.
+    // While a node cannot read the state, it must not answer that a job is unknown. It answers 503
+    // at once, with Retry-After.
     wire::HttpResponse r = co_await Ask(0, "GET", "/submissions/run-77");
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
@@ -46,46 +48,46 @@
     r = co_await Ask(0, "GET", "/submissions/run-77");
     EXPECT_EQ(r.status, 404);
     r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
-    EXPECT_EQ(r.status, 200) << "a late retry is told the state";
+    EXPECT_EQ(r.status, 200) << "a late retry gets the state of the job";
     spec.cpus = 99;
     r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
-    EXPECT_EQ(r.status, 200) << "never 422 for what was accepted once";
+    EXPECT_EQ(r.status, 200) << "an accepted job is never answered with 422";
     spec.id = "run-3";
     r = co_await Ask(0, "POST", "/submissions", SubmissionBody(spec));
     EXPECT_EQ(r.status, 422);
   }
 };
 
-TEST_F(OutageTest, AnOutageDelaysButNeverMisinforms) {
+TEST_F(OutageTest, OutageDelaysAnswersAndNeverFalsifiesThem) {
   Start(1);
-  Run(Outage());
+  Run(QueryDuringOutage());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-// After troubles everybody asks at once, on every node, and no question may be left without an
-// answer for long: one read makes the warm copy fresh for all of them, however few requests there
-// are.
-class CrowdTest : public EndToEndTest {
+// Guards against queries that wait too long when many users ask all nodes at once after an outage
+// or a restart. One read request refreshes the cache for all waiting queries, even at a low request
+// rate.
+class ConcurrentQueriesTest : public EndToEndTest {
  public:
-  CrowdTest() {
+  ConcurrentQueriesTest() {
     state_rps_ = 100;
-    run_s_ = 60;  // all stay unfinished
+    run_s_ = 60;  // no job ends during the test
   }
 
   async::Task<> AskOnce(int node, std::string id) {
     wire::HttpResponse r = co_await Ask(node, "GET", "/submissions/" + id);
     if (r.status == 200) ++answered_;
-    ++asked_;
+    ++completed_;
   }
 
-  async::Task<> Crowd() {
+  async::Task<> QueryAllJobs() {
     constexpr int kJobs = 40;
     for (int i = 0; i < kJobs; ++i) {
       auto spec = Spec("run-" + std::to_string(100 + i), 2, 4);
       bool ok = co_await AskUntil(i % 3, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
       EXPECT_TRUE(ok);
     }
-    async::Sleep pause(scope_, 1);  // for the budgets to fill
+    async::Sleep pause(scope_, 1);  // lets the rate limiters refill
     co_await pause;
     for (int i = 0; i < kJobs; ++i) {
       for (int node = 0; node < 3; ++node) {
@@ -93,45 +95,46 @@
       }
     }
     const double end = loop_.Now() + 3;
-    while (asked_ < 3 * kJobs && loop_.Now() < end) {
+    while (completed_ < 3 * kJobs && loop_.Now() < end) {
       async::Sleep turn(scope_, 0.05);
       co_await turn;
     }
     EXPECT_EQ(answered_, 3 * kJobs);
-    // And once more right after a restart of all nodes, by users who ask until they are answered.
+    // Again right after a restart of all nodes, by users who retry until they get an answer.
     for (int node = 0; node < 3; ++node) co_await Restart(node, 3);
     for (int i = 0; i < kJobs; ++i) {
       for (int node = 0; node < 3; ++node) {
-        scope_.Spawn(AskAgain(node, "/submissions/run-" + std::to_string(100 + i)));
+        scope_.Spawn(AskWithRetries(node, "/submissions/run-" + std::to_string(100 + i)));
       }
     }
-    const double last = loop_.Now() + 20;
-    while (again_ < 3 * kJobs && loop_.Now() < last) {
+    const double deadline = loop_.Now() + 20;
+    while (answered_after_restart_ < 3 * kJobs && loop_.Now() < deadline) {
       async::Sleep turn(scope_, 0.05);
       co_await turn;
     }
-    EXPECT_EQ(again_, 3 * kJobs);
+    EXPECT_EQ(answered_after_restart_, 3 * kJobs);
   }
 
-  async::Task<> AskAgain(int node, std::string target) {
+  async::Task<> AskWithRetries(int node, std::string target) {
     bool ok = co_await AskUntil(node, "GET", target, "", 200, "phase", 20);
-    if (ok) ++again_;
+    if (ok) ++answered_after_restart_;
   }
 
  private:
-  int again_ = 0;
-  int asked_ = 0;
+  int answered_after_restart_ = 0;
+  int completed_ = 0;
   int answered_ = 0;
 };
 
-TEST_F(CrowdTest, EverybodyIsAnsweredAtOnce) {
+TEST_F(ConcurrentQueriesTest, AllAreAnsweredWithinTheLimit) {
   Start(3);
-  Run(Crowd());
+  Run(QueryAllJobs());
 }
 
-class CrashTest : public EndToEndTest {
+// Guards against lost or unfinished work if two of three nodes shut down.
+class SingleSurvivingNodeTest : public EndToEndTest {
  public:
-  async::Task<> Crash() {
+  async::Task<> RunWithOneNode() {
     bool ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec("run-4", 40)), 201,
                                 "", 10);
     EXPECT_TRUE(ok);
@@ -152,10 +155,11 @@
   }
 };
 
-// A process may be back within a fraction of a second, also while the others elect a leader.
-class BackAtOnceTest : public EndToEndTest {
+// Guards against lost or duplicate work if a process restarts within a fraction of a second, also
+// while the other nodes elect a leader.
+class FastRestartTest : public EndToEndTest {
  public:
-  async::Task<> Back() {
+  async::Task<> RestartNodes() {
     bool ok = co_await AskUntil(1, "POST", "/submissions", SubmissionBody(Spec("run-8", 120)), 201,
                                 "", 10);
     EXPECT_TRUE(ok);
@@ -169,29 +173,29 @@
   }
 };
 
-TEST_F(BackAtOnceTest, NothingIsLostAndNothingStartsTwice) {
+TEST_F(FastRestartTest, NoTaskIsLostOrStartedTwice) {
   Start(3);
-  Run(Back());
+  Run(RestartNodes());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(CrashTest, OneNodeOfThreeCarriesOn) {
+TEST_F(SingleSurvivingNodeTest, OneOfThreeNodesContinuesAllWork) {
   Start(3);
-  Run(Crash());
+  Run(RunWithOneNode());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-// A leader that has lost the state service and the other controllers, but not its workers: it
-// answers these within its bound and nobody else, its successor starts nothing twice, and once it
-// is back it gives way and tells what has become of everything.
-class ApartTest : public EndToEndTest {
+// Guards against two active leaders: a leader loses the state service and the other controllers,
+// but not its workers. It answers only workers, and only within its bound; its successor starts no
+// task twice; once connected again it follows the new leader and reports the current state of jobs.
+class PartitionedLeaderTest : public EndToEndTest {
  public:
-  ApartTest() {
+  PartitionedLeaderTest() {
     partitioned_node_ = 0;
     run_s_ = 1;
   }
 
-  async::Task<> Apart() {
+  async::Task<> PartitionLeader() {
     co_await StartOthersOnceNode0Leads();
     bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(Spec("run-6", 40)), 201,
                                 "", 10);
@@ -199,73 +203,75 @@
     ok = co_await AskUntil(0, "GET", "/submissions/run-6", "", 200, R"("phase":"running")", 10);
     EXPECT_TRUE(ok);
     state_->CutSecondary(true);
-    const double cut = loop_.Now();
+    const double cut_at = loop_.Now();
     async::Sleep pause(scope_, 0.3);
     co_await pause;
     wire::HttpResponse r =
         co_await Ask(0, "POST", "/submissions", SubmissionBody(Spec("run-7", 1)));
-    EXPECT_EQ(r.status, 503) << "it can record nothing";
+    EXPECT_EQ(r.status, 503) << "it cannot record the job";
     EXPECT_GT(r.retry_after_s, 0);
     r = co_await Ask(0, "GET", "/submissions/run-6");
-    EXPECT_EQ(r.status, 503) << "what it knows may be old";
-    // Half of the workers' lease of 3 s, counted from its last renewal, and no more.
+    EXPECT_EQ(r.status, 503) << "its cache may be stale";
+    // The bound is half of the workers' lease of 3 s, counted from the last renewal.
     ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(2), 503, "not entitled", 3);
     EXPECT_TRUE(ok);
-    EXPECT_LT(loop_.Now() - cut, 1.5 + 0.5);
+    EXPECT_LT(loop_.Now() - cut_at, 1.5 + 0.5);
     ok = co_await AskUntil(1, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 30);
     EXPECT_TRUE(ok);
     state_->CutSecondary(false);
     ok = co_await AskUntil(0, "GET", "/submissions/run-6", "", 200, R"("done","done":40)", 10);
     EXPECT_TRUE(ok);
     ok = co_await AskUntil(0, "POST", "/checkin", HeartbeatBody(3), 421, "node-", 5);
-    EXPECT_TRUE(ok) << "it names its successor";
+    EXPECT_TRUE(ok) << "it redirects to the new leader";
   }
 };
 
-TEST_F(ApartTest, ALeaderThatIsCutOffGivesWayAndNothingStartsTwice) {
+TEST_F(PartitionedLeaderTest, FollowsItsSuccessorAndNoTaskStartsTwice) {
   Start(3);
-  Run(Apart());
+  Run(PartitionLeader());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-// Machines come and go by the thousand; what is kept open to them must not use up the sockets.
-class PoolTest : public EndToEndTest {
+// Guards against running out of sockets: thousands of machines come and go, and idle connections to
+// them are kept open.
+class ConnectionPoolTest : public EndToEndTest {
  public:
-  async::Task<> Calls() {
-    net::HttpClient bounded(1, 1 << 20, 2);
+  async::Task<> CallAllNodes() {
+    net::HttpClient client(1, 1 << 20, 2);
     for (int round = 0; round < 2; ++round) {
       for (int node = 0; node < 3; ++node) {
         wire::HttpRequest q{.method = "GET", .target = "/ready", .body = ""};
-        auto r = co_await bounded.Call(scope_, AddressAt(2 * node), std::move(q), 2, true);
+        auto r = co_await client.Call(scope_, AddressAt(2 * node), std::move(q), 2, true);
         EXPECT_TRUE(r.has_value());
-        EXPECT_LE(bounded.idle(), 2U);
+        EXPECT_LE(client.idle(), 2U);
       }
     }
-    EXPECT_EQ(bounded.idle(), 2U);
+    EXPECT_EQ(client.idle(), 2U);
   }
 };
 
-TEST_F(PoolTest, KeepsABoundedNumberOfConnectionsInAll) {
+TEST_F(ConnectionPoolTest, BoundsTheTotalNumberOfIdleConnections) {
   Start(3);
-  Run(Calls());
+  Run(CallAllNodes());
 }
 
-// The leader is paused in an outage in which another node has confirmed a cancellation before; its
-// watch has not told it. On waking it gives no order until its copy is known to be complete.
+// Guards against a leader that starts cancelled tasks after a pause: another node acknowledges a
+// cancellation, the leader's watch has not delivered it, and the leader is paused during an outage.
+// After the pause it must send no command until its cache is confirmed to be complete.
 class PausedLeaderTest : public EndToEndTest {
  public:
-  // The answer to the next report that gets one.
-  async::Task<std::string> Answered() {
+  // Sends heartbeats until one is answered and returns the body of the answer.
+  async::Task<std::string> AnswerToHeartbeat() {
     const double end = loop_.Now() + 10;
     while (loop_.Now() < end) {
-      wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", HeartbeatBody(++tick_));
+      wire::HttpResponse r = co_await Ask(0, "POST", "/checkin", HeartbeatBody(++sequence_));
       if (r.status == 200) co_return r.body;
       co_await Pause(0.02);
     }
-    ADD_FAILURE() << "no report was answered";
+    ADD_FAILURE() << "no heartbeat was answered";
     co_return "";
   }
-  async::Task<> Record(bool cancelled) {
+  async::Task<> WriteJobRecord(bool cancelled) {
     store::JobRecord record;
     record.spec = Spec("run-1", 1);
     record.submitted_at = 1;
@@ -274,37 +280,37 @@
     co_await WriteRecord(store::JobKey("run-1"), value);
   }
   async::Task<> Script() {
-    co_await Record(false);
+    co_await WriteJobRecord(false);
     store::TaskGroup task_group;
     task_group.open[0] = {1, "vm-x"};
-    const std::string placed = store::WriteTaskGroup(task_group);
-    co_await WriteRecord(store::TaskGroupKey("run-1", 0), placed);
+    const std::string group_value = store::WriteTaskGroup(task_group);
+    co_await WriteRecord(store::TaskGroupKey("run-1", 0), group_value);
     const double end = loop_.Now() + 10;
     std::string answer;
-    while (!Orders(answer) && loop_.Now() < end) answer = co_await Answered();
-    EXPECT_TRUE(Orders(answer)) << "what is recorded on the machine is started";
+    while (!HasCommandForTask(answer) && loop_.Now() < end) answer = co_await AnswerToHeartbeat();
+    EXPECT_TRUE(HasCommandForTask(answer)) << "a task that is recorded on the machine is started";
     state_->SetWatchLag(20);
-    co_await Record(true);
+    co_await WriteJobRecord(true);
     state_->SetOutage(true);
     co_await Pause(0.3);
     std::this_thread::sleep_for(std::chrono::duration<double>(2.5));
     state_->SetOutage(false);
-    const double woken = loop_.Now();
-    while (loop_.Now() < woken + 1.5) {
-      answer = co_await Answered();
-      EXPECT_FALSE(Orders(answer)) << answer;
+    const double resumed_at = loop_.Now();
+    while (loop_.Now() < resumed_at + 1.5) {
+      answer = co_await AnswerToHeartbeat();
+      EXPECT_FALSE(HasCommandForTask(answer)) << answer;
       co_await Pause(0.05);
     }
   }
 
  private:
-  static bool Orders(const std::string& answer) {
+  static bool HasCommandForTask(const std::string& answer) {
     return answer.find("run-1/0") != std::string::npos;
   }
-  uint64_t tick_ = 0;
+  uint64_t sequence_ = 0;
 };
 
-TEST_F(PausedLeaderTest, GivesNoOrdersBeforeItsCopyIsConfirmed) {
+TEST_F(PausedLeaderTest, SendsNoCommandsBeforeItsCacheIsConfirmed) {
   Start(1);
   Run(Script());
 }
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -1,5 +1,5 @@
-// The election of one leader by way of a key-value store on loopback: pauses of the process,
-// outages and refusals of the store, and answers that are lost.
+// Tests leader election through a fake key-value store on loopback: pauses of the process, outages
+// of the store, requests that the store refuses and lost responses.
 #include "election/leader_election.h"
 
 #include <gtest/gtest.h>
@@ -17,40 +17,41 @@
 
 using namespace testing_support;
 
-// Of a node whose peers confirm an outage when the test says so.
-struct OutagePolicy : election::ElectionPolicy {
+// Policy of a node whose peers confirm an outage if the test sets `outage_confirmed`.
+struct FakeElectionPolicy : election::ElectionPolicy {
   bool OutageConfirmedByAll() const override { return outage_confirmed; }
   bool outage_confirmed = false;
 };
 
-// A node that leads by way of a state client of its own, with nothing else of a controller.
-struct LoneLeader {
-  LoneLeader(async::Scope& scope, config::Settings s, const store::Client::Options& options)
+// Runs a LeaderElection with its state client and watch cache, without the rest of a controller.
+struct ElectionNode {
+  ElectionNode(async::Scope& scope, config::Settings s, const store::Client::Options& options)
       : settings(std::move(s)),
         client(scope, options),
         cache(scope, client, 0.2,
               [this](const std::string& key, const std::string& value) {
-                if (key == store::LeaderKey()) lead.OnLeaderRecord(value);
+                if (key == store::LeaderKey()) leader_election.OnLeaderRecord(value);
               }),
-        lead(scope, settings, operators, client, cache, policy,
-             [this](async::Scope&) { ++terms; }) {
+        leader_election(scope, settings, operators, client, cache, policy,
+                        [this](async::Scope&) { ++terms; }) {
     scope.Spawn(cache.Run());
-    scope.Spawn(lead.Run());
+    scope.Spawn(leader_election.Run());
   }
   const config::Settings settings;
   const config::OperatorOptions operators;
-  OutagePolicy policy;
+  FakeElectionPolicy policy;
   int terms = 0;
   store::Client client;
   store::WatchCache cache;
-  election::LeaderElection lead;
+  election::LeaderElection leader_election;
 };
 
-// The leader's own lease is half a report period.
-constexpr double kReport = 2;
-// Of the workers. A leader that is refused alone renews by way of a peer for a quarter of theirs.
-constexpr double kLease = 60;
-constexpr double kShortLease = 8;
+// The leader's lease lasts half a heartbeat interval.
+constexpr double kHeartbeatIntervalS = 2;
+// Leases of the workers. A leader whose requests alone are refused renews its lease through a peer
+// for a quarter of a worker's lease.
+constexpr double kWorkerLeaseS = 60;
+constexpr double kShortWorkerLeaseS = 8;
 
 config::Settings LeaderSettings(double heartbeat_interval_s, double lease_s) {
   config::Settings s = TestSettings();
@@ -59,131 +60,143 @@
   return s;
 }
 
-// A leader that stood still for longer than its lease must not answer a worker before it knows that
-// nobody has led since.
-class StoodStill : public NetTest {
+// Guards against a leader that is paused for longer than its lease and then answers a worker before
+// it has verified that no other node became leader in the meantime.
+class PausedLeaderElectionTest : public NetTest {
  public:
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
-    LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
-    election::LeaderElection& lead = node.lead;
-    while (!lead.leading()) co_await Pause(0.01);
-    EXPECT_TRUE(lead.MayAct());
-    const model::FencingToken token = lead.token();
-    StandStill(1.6);
-    EXPECT_TRUE(lead.leading()) << "it can't know better yet";
-    EXPECT_FALSE(lead.MayAct()) << "and must find out first";
+    ElectionNode node(scope_, LeaderSettings(kHeartbeatIntervalS, kWorkerLeaseS),
+                      StateClientOptions(3));
+    election::LeaderElection& leader_election = node.leader_election;
+    while (!leader_election.leading()) co_await Pause(0.01);
+    EXPECT_TRUE(leader_election.MayAct());
+    const model::FencingToken token = leader_election.token();
+    BlockThread(1.6);
+    EXPECT_TRUE(leader_election.leading()) << "it has not noticed the pause yet";
+    EXPECT_FALSE(leader_election.MayAct()) << "it must verify its lease first";
     while (node.terms < 2) co_await Pause(0.01);
-    EXPECT_GT(lead.token(), token) << "its lease had ended: it leads anew, or not at all";
-    EXPECT_TRUE(lead.MayAct());
+    EXPECT_GT(leader_election.token(), token)
+        << "its lease had expired, so it was elected again with a new token";
+    EXPECT_TRUE(leader_election.MayAct());
     scope_.Cancel();
     co_await scope_.Join();
   }
 };
 
-TEST_F(StoodStill, ALeaderVerifiesItsLeaseFirst) { Run(Script()); }
+TEST_F(PausedLeaderElectionTest, LeaderDoesNotActBeforeItVerifiesItsLease) { Run(Script()); }
 
-// Paused in an outage, which may be over by now and another node lead: being doubtful before the
-// pause is no leave to answer after it. Once all others say that the outage goes on, nobody leads.
-class PausedInAnOutage : public NetTest {
+// Guards against a leader that is paused during an outage and continues to act afterwards. The
+// outage may have ended during the pause and another node may be the leader, so the permission to
+// act with an unconfirmed lease does not outlast the pause. Once all other nodes report that the
+// outage goes on, no other node can be the leader and it may act.
+class PauseDuringOutageElectionTest : public NetTest {
  public:
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
-    LoneLeader node(scope_, LeaderSettings(kReport, kLease), StateAt(3));
-    loop_.DetectPauses(node.lead.MaxRenewalGapS());
-    election::LeaderElection& lead = node.lead;
-    while (!lead.leading()) co_await Pause(0.01);
+    ElectionNode node(scope_, LeaderSettings(kHeartbeatIntervalS, kWorkerLeaseS),
+                      StateClientOptions(3));
+    loop_.DetectPauses(node.leader_election.MaxRenewalGapS());
+    election::LeaderElection& leader_election = node.leader_election;
+    while (!leader_election.leading()) co_await Pause(0.01);
     state.SetOutage(true);
     co_await Pause(1);
-    EXPECT_TRUE(lead.MayAct()) << "running tasks are carried through an outage";
-    StandStill(1.2 * lead.MaxRenewalGapS());
-    EXPECT_FALSE(lead.MayAct()) << "before the loop has had a turn";
+    EXPECT_TRUE(leader_election.MayAct()) << "running tasks continue through an outage";
+    BlockThread(1.2 * leader_election.MaxRenewalGapS());
+    EXPECT_FALSE(leader_election.MayAct()) << "before the next turn of the event loop";
     co_await Pause(0.5);
-    EXPECT_FALSE(lead.MayAct()) << "and after it, while the service does not answer";
+    EXPECT_FALSE(leader_election.MayAct()) << "and later, while the service does not answer";
     node.policy.outage_confirmed = true;
-    EXPECT_TRUE(lead.MayAct());
+    EXPECT_TRUE(leader_election.MayAct());
     node.policy.outage_confirmed = false;
     state.SetOutage(false);
     const double end = loop_.Now() + 3;
-    while (!lead.MayAct() && loop_.Now() < end) co_await Pause(0.01);
-    EXPECT_TRUE(lead.MayAct()) << "its lease is confirmed, or it leads anew";
+    while (!leader_election.MayAct() && loop_.Now() < end) co_await Pause(0.01);
+    EXPECT_TRUE(leader_election.MayAct()) << "its lease is confirmed or it was elected again";
     scope_.Cancel();
     co_await scope_.Join();
   }
 };
 
-TEST_F(PausedInAnOutage, ALeaderKnowsNothingOfTheServiceAnyMore) { Run(Script()); }
+TEST_F(PauseDuringOutageElectionTest, LeaderDoesNotActUntilTheOutageOrItsLeaseIsConfirmed) {
+  Run(Script());
+}
 
-// The state service refuses the leader alone, again and again. While a peer reaches the service a
-// short refusal does not move the lead; a long one does, since the leader hears of nothing new.
-class RefusedAlone : public NetTest {
+// Guards against leader changes if the state service repeatedly refuses requests of the leader
+// only. While a peer reaches the service, a short refusal must not change the leader; a long one
+// must, since the leader receives no updates.
+class RefusedLeaderElectionTest : public NetTest {
  public:
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
     RequireStarted(state.ListenSecondary(AddressAt(4), &error), "a server", error);
-    store::Client peer(scope_, StateAt(3));
-    LoneLeader node(scope_, LeaderSettings(kReport, kShortLease), StateAt(4));
+    store::Client peer(scope_, StateClientOptions(3));
+    ElectionNode node(scope_, LeaderSettings(kHeartbeatIntervalS, kShortWorkerLeaseS),
+                      StateClientOptions(4));
     node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::RelayResult> {
       net::RelayResult relayed;
       relayed.sent = true;
       relayed.answer = co_await peer.ExecuteForPeer(std::move(request));
       co_return relayed;
     });
-    election::LeaderElection& lead = node.lead;
-    while (!lead.leading()) co_await Pause(0.01);
-    const model::FencingToken token = lead.token();
-    for (int flap = 0; flap < 2; ++flap) {
+    election::LeaderElection& leader_election = node.leader_election;
+    while (!leader_election.leading()) co_await Pause(0.01);
+    const model::FencingToken token = leader_election.token();
+    for (int refusal = 0; refusal < 2; ++refusal) {
       state.CutSecondary(true);
       co_await Pause(1.5);
-      EXPECT_TRUE(lead.MayAct()) << flap;
+      EXPECT_TRUE(leader_election.MayAct()) << refusal;
       state.CutSecondary(false);
       co_await Pause(0.8);
     }
-    EXPECT_EQ(lead.token(), token);
+    EXPECT_EQ(leader_election.token(), token);
     EXPECT_FALSE(state.Value(store::LeaderKey()).empty());
     state.CutSecondary(true);
     const double end = loop_.Now() + 6;
     while (!state.Value(store::LeaderKey()).empty() && loop_.Now() < end) co_await Pause(0.05);
-    EXPECT_TRUE(state.Value(store::LeaderKey()).empty()) << "another node may lead";
+    EXPECT_TRUE(state.Value(store::LeaderKey()).empty()) << "another node may become leader";
     scope_.Cancel();
     co_await scope_.Join();
   }
 };
 
-TEST_F(RefusedAlone, ALeaderKeepsItsLeaseByWayOfAPeerForAShortTime) { Run(Script()); }
+TEST_F(RefusedLeaderElectionTest, LeaderRenewsItsLeaseThroughAPeerForALimitedTime) {
+  Run(Script());
+}
 
-// A leader raises its token, and the answer is lost though it was carried out: the old token is
-// void. A node without peers must notice by itself, or no commit would ever succeed again.
-class LostFence : public NetTest {
+// Guards against a leader that keeps a void fencing token: it raises its token, and the transaction
+// is applied but its response is lost. A node without peers must detect this by itself; otherwise
+// no commit would succeed any more.
+class LostTokenResponseTest : public NetTest {
  public:
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(7), &error), "a server", error);
-    LoneLeader node(scope_, LeaderSettings(1, kLease), StateAt(7));
-    election::LeaderElection& lead = node.lead;
-    while (!lead.leading()) co_await Pause(0.01);
-    const model::FencingToken token = lead.token();
+    ElectionNode node(scope_, LeaderSettings(1, kWorkerLeaseS), StateClientOptions(7));
+    election::LeaderElection& leader_election = node.leader_election;
+    while (!leader_election.leading()) co_await Pause(0.01);
+    const model::FencingToken token = leader_election.token();
     state.LoseAnswers(store::FencingTokenKey(), FakeStateService::Execution::kImmediate);
-    bool raised = co_await lead.RaiseToken();
+    bool raised = co_await leader_election.RaiseToken();
     EXPECT_FALSE(raised);
     EXPECT_EQ(state.lost_answers(), 1);
     const double end = loop_.Now() + 5;
     while (node.terms < 2 && loop_.Now() < end) co_await Pause(0.01);
     EXPECT_EQ(node.terms, 2);
-    EXPECT_GT(lead.token(), token);
+    EXPECT_GT(leader_election.token(), token);
     scope_.Cancel();
     co_await scope_.Join();
   }
 };
 
-TEST_F(LostFence, EndsTheTerm) { Run(Script()); }
+TEST_F(LostTokenResponseTest, NewTermStartsWithAHigherToken) { Run(Script()); }
 
 }  // namespace
 }  // namespace hallpier
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -1,5 +1,6 @@
-// The gap on whole nodes: the state service refuses the leader alone, another node confirms a
-// cancellation, and then the service is out for everybody, for longer than cancel_s.
+// Guards against a cancelled job whose tasks run longer than cancel_s, with whole controllers: the
+// state service refuses requests of the leader only, another node acknowledges a cancellation, and
+// then the service is unavailable to all nodes for longer than cancel_s.
 #include <chrono>
 #include <thread>
 
@@ -13,16 +14,17 @@
 constexpr double kCancelS = 5;   // the workers' lease is 3 s
 constexpr double kPauseS = 2.3;  // LeaderElection::MaxRenewalGapS is 2.03 s
 
-class GapTest : public EndToEndTest {
+class RefusedLeaderCancellationTest : public EndToEndTest {
  public:
-  GapTest() {
+  RefusedLeaderCancellationTest() {
     refused_node_ = 0;
     cancel_s_ = kCancelS;
     run_s_ = 60;
   }
 
-  // Node 0 leads with two jobs at work; all nodes understand vouches.
-  async::Task<> Prepare() {
+  // Makes node 0 the leader with two running jobs. Waits until all nodes support cancellation
+  // reports.
+  async::Task<> StartJobs() {
     co_await StartOthersOnceNode0Leads();
     bool ok = false;
     for (const char* id : {"run-1", "run-2"}) {
@@ -32,8 +34,8 @@
     ok = co_await WaitFor(20, [&] {
       bool all = cloud_->Running("run-1") == 6 && cloud_->Running("run-2") == 6;
       for (int i = 0; i < 3; ++i) {
-        const std::string mark = state_->Value(store::NodeFormatKey("node-" + std::to_string(i)));
-        all = all && store::ReadNodeFormat(mark).value_or(0) >= store::kCancellationReportFormat;
+        const std::string format = state_->Value(store::NodeFormatKey("node-" + std::to_string(i)));
+        all = all && store::ReadNodeFormat(format).value_or(0) >= store::kCancellationReportFormat;
       }
       return all;
     });
@@ -41,30 +43,32 @@
     co_await Pause(3 * kHeartbeatIntervalS);
   }
 
-  // Recorded by a process that tells its user and ends before anybody hears of it.
-  async::Task<> CancelledByAnother() {
+  // Records the cancellation of run-1 like a process that acknowledges it to its user and exits
+  // before any other node learns of it.
+  async::Task<> CancelByExitedProcess() {
     store::JobRecord record;
     record.spec = Spec("run-1", 6);
     record.submitted_at = 1;
     record.cancelled = true;
     const std::string value = store::WriteJob(record);
     co_await WriteRecord(store::JobKey("run-1"), value);
-    told_ = loop_.Now();
+    acknowledged_at_ = loop_.Now();
   }
 
-  // Node 1 knows of it, and only its cancellation report can tell the leader.
-  async::Task<> HandedOver() {
-    co_await Prepare();
+  // Node 1 knows the cancellation. The leader can learn of it only from node 1's cancellation
+  // report.
+  async::Task<> ReportFromWatch() {
+    co_await StartJobs();
     state_->CutSecondary(true);
-    co_await CancelledByAnother();
+    co_await CancelByExitedProcess();
     bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
     ok = co_await WaitFor(kCancelS, [&] { return cloud_->Running("run-1") == 0; });
     EXPECT_TRUE(ok);
-    co_await Pause(told_ + kCancelS + 2 - loop_.Now());
+    co_await Pause(acknowledged_at_ + kCancelS + 2 - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
-    EXPECT_EQ(cloud_->Running("run-2"), 6) << "the outage costs nothing else";
+    EXPECT_EQ(cloud_->Running("run-2"), 6) << "the outage stops no other task";
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetOutage(false);
     state_->CutSecondary(false);
@@ -72,17 +76,17 @@
     EXPECT_TRUE(ok);
   }
 
-  // Node 1 has read it for a user, long before its watch would tell: it must hand over what it
-  // told.
-  async::Task<> OnlyRead() {
-    co_await Prepare();
+  // Node 1 has read the cancellation for a user long before its watch delivers it. Its report must
+  // include each cancellation that it has acknowledged.
+  async::Task<> ReportFromRead() {
+    co_await StartJobs();
     state_->SetWatchLag(10);
     state_->CutSecondary(true);
-    co_await CancelledByAnother();
+    co_await CancelByExitedProcess();
     bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
-    co_await Pause(told_ + kCancelS - loop_.Now());
+    co_await Pause(acknowledged_at_ + kCancelS - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
     EXPECT_EQ(cloud_->Running("run-2"), 6);
     EXPECT_EQ(cloud_->starts(), 12);
@@ -91,49 +95,50 @@
     state_->CutSecondary(false);
   }
 
-  // The whole machine stands still in the outage, for long enough to be a pause. What node 1 then
-  // hands over must be carried out although no copy can be confirmed.
-  async::Task<> HandedOverAfterAPause() {
-    co_await Prepare();
+  // The process, with all nodes and fakes, is blocked during the outage for long enough to count as
+  // paused. The leader must then stop the tasks that node 1 reports as cancelled although no cache
+  // can be confirmed.
+  async::Task<> ReportAfterPause() {
+    co_await StartJobs();
     state_->SetWatchLag(10);
     state_->CutSecondary(true);
-    co_await CancelledByAnother();
+    co_await CancelByExitedProcess();
     bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 2);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
     std::this_thread::sleep_for(std::chrono::duration<double>(kPauseS));
-    co_await Pause(told_ + *cancel_s_ - loop_.Now());
+    co_await Pause(acknowledged_at_ + *cancel_s_ - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
-    EXPECT_EQ(cloud_->Running("run-2"), 6) << "and nothing else is stopped";
+    EXPECT_EQ(cloud_->Running("run-2"), 6) << "no other task is stopped";
     EXPECT_EQ(cloud_->starts(), 12);
     state_->SetWatchLag(0);
     state_->SetOutage(false);
     state_->CutSecondary(false);
   }
 
-  // Whoever told it has ended; its node is back at once and sees the outage like all others, but
-  // does not know what it told before.
-  async::Task<> Forgot() {
-    co_await Prepare();
+  // The process that acknowledged the cancellation has exited. Its node restarts at once and sees
+  // the outage like all others, but no longer knows which cancellations it acknowledged.
+  async::Task<> RestartWithoutReports() {
+    co_await StartJobs();
     state_->CutSecondary(true);
     for (int node : {1, 2}) co_await ShutDownAndWait(node);
-    co_await CancelledByAnother();
+    co_await CancelByExitedProcess();
     state_->SetOutage(true);
     StartNodes(1, 3, 3);
-    co_await Pause(told_ + kCancelS - loop_.Now());
+    co_await Pause(acknowledged_at_ + kCancelS - loop_.Now());
     EXPECT_EQ(cloud_->Running("run-1"), 0);
     state_->SetOutage(false);
     state_->CutSecondary(false);
     bool ok = co_await AskUntil(1, "GET", "/submissions/run-1", "", 200, "cancelled", 10);
     EXPECT_TRUE(ok);
     ok = co_await WaitFor(15, [&] { return cloud_->Running("run-2") == 6; });
-    EXPECT_TRUE(ok) << "the other job goes on afterwards";
+    EXPECT_TRUE(ok) << "the other job continues after the outage";
     EXPECT_EQ(cloud_->Running("run-1"), 0);
   }
 
-  // Nothing at all is cancelled: the outage is carried through.
-  async::Task<> Ordinary() {
-    co_await Prepare();
+  // No job is cancelled: all tasks run through the outage.
+  async::Task<> OutageWithoutCancellation() {
+    co_await StartJobs();
     state_->SetOutage(true);
     co_await Pause(kCancelS + 2);
     EXPECT_EQ(cloud_->Running("run-1"), 6);
@@ -143,47 +148,48 @@
   }
 
  private:
-  double told_ = 0;
+  double acknowledged_at_ = 0;
 };
 
-TEST_F(GapTest, WhatAnotherNodeToldReachesTheOldLeader) {
+TEST_F(RefusedLeaderCancellationTest, CancellationFromAnotherNodesWatchStopsTheTasks) {
   Start(3);
-  Run(HandedOver());
+  Run(ReportFromWatch());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(GapTest, WhatANodeHasReadForAUserIsHandedOverAsWell) {
+TEST_F(RefusedLeaderCancellationTest, CancellationReadForAUserStopsTheTasks) {
   Start(3);
-  Run(OnlyRead());
+  Run(ReportFromRead());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-// Guards against: a leader that was paused renews leases on the word of the others, and holds back
-// the stops of what they hand over until its copy is confirmed (ran_cancelled).
-class PauseInOutageTest : public GapTest {
+// Guards against a cancelled task that keeps running (ran_cancelled): a leader that was paused
+// renews leases because of the other nodes' reports, but delays the stop commands for the reported
+// cancellations until its cache is confirmed.
+class PausedRefusedLeaderTest : public RefusedLeaderCancellationTest {
  public:
-  PauseInOutageTest() {
-    // Workers must outlive the pause, and two tries at nodes that can't answer yet.
+  PausedRefusedLeaderTest() {
+    // Workers' leases must outlast the pause and two attempts at nodes that cannot answer yet.
     lease_s_ = 8;
     cancel_s_ = 11;
   }
 };
 
-TEST_F(PauseInOutageTest, WhatIsHandedOverIsStoppedBeforeTheCopyIsConfirmed) {
+TEST_F(PausedRefusedLeaderTest, ReportedCancellationStopsTasksBeforeTheCacheIsConfirmed) {
   Start(3);
-  Run(HandedOverAfterAPause());
+  Run(ReportAfterPause());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(GapTest, ALeaderThatNobodyVouchesForFallsSilentInTime) {
+TEST_F(RefusedLeaderCancellationTest, LeaderWithoutReportsStopsRenewingLeasesInTime) {
   Start(3);
-  Run(Forgot());
+  Run(RestartWithoutReports());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(GapTest, AnOutageWithoutCancellationsCarriesTasksThrough) {
+TEST_F(RefusedLeaderCancellationTest, OutageWithoutCancellationsStopsNoTask) {
   Start(3);
-  Run(Ordinary());
+  Run(OutageWithoutCancellation());
 }
 
 }  // namespace
--- a/tests/net_fixture.h
+++ b/tests/net_fixture.h
@@ -1,4 +1,4 @@
-// A test that runs one routine on an event loop of its own, with servers and clients on loopback.
+// Fixture that runs one coroutine on a separate event loop, with servers and clients on loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,11 +18,11 @@
   NetTest() : scope_(loop_) {}
 
   void Run(async::Task<> script) {
-    async::Scope own(loop_);
-    own.Spawn(Script(std::move(script)));
+    async::Scope runner(loop_);
+    runner.Spawn(Script(std::move(script)));
     loop_.Run();
     scope_.Cancel();
-    own.Spawn(StopOnceJoined());
+    runner.Spawn(StopOnceJoined());
     loop_.Run();
   }
   async::Task<> Script(async::Task<> script) {
@@ -38,16 +38,17 @@
     async::Sleep pause(scope_, s);
     co_await pause;
   }
-  // As a process does that gets no turn: its clocks run on, and its buffers fill.
-  static void StandStill(double s) {
+  // Blocks the thread of the event loop, like a process that is not scheduled: clocks advance and
+  // receive buffers fill.
+  static void BlockThread(double s) {
     std::this_thread::sleep_for(std::chrono::duration<double>(s));
   }
 
   static std::string AddressAt(int n) { return PortBlock::OfProcess().AddressAt(n); }
 
-  static store::Client::Options StateAt(int n) {
+  static store::Client::Options StateClientOptions(int port_index) {
     store::Client::Options options;
-    options.endpoint = AddressAt(n);
+    options.endpoint = AddressAt(port_index);
     options.rps = options.write_rps = 1000;
     options.timeout_s = 0.25;
     options.max_response_bytes = 1 << 20;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -1,5 +1,6 @@
-// Connections and links on loopback: shares of the sockets, requests that nobody waits for any
-// more, and what a process finds in its buffers after it stood still.
+// Tests connections and peer links on loopback: connection limits for each class of clients,
+// requests whose senders no longer wait, and data that a process finds in its buffers after a
+// pause.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -29,13 +30,13 @@
 
 using namespace testing_support;
 
-constexpr double kQuiet = 0.2;
-constexpr double kNeverQuiet = 60;
+constexpr double kEvictableAfterS = 0.2;
+constexpr double kNeverEvictableS = 60;
 
-class ShareTest : public NetTest {
+class ConnectionClassTest : public NetTest {
  protected:
-  explicit ShareTest(double quiet_s = kQuiet) {
-    net::HttpServer::Limits limits{4, 1024, 30, 5, quiet_s};
+  explicit ConnectionClassTest(double evictable_after_s = kEvictableAfterS) {
+    net::HttpServer::Limits limits{4, 1024, 30, 5, evictable_after_s};
     limits.connection_classes = {{[](const wire::HttpRequest& r) { return r.path() == "/a"; }, 2},
                                  {[](const wire::HttpRequest& r) { return r.path() == "/b"; }, 2}};
     server_.emplace(scope_, limits, [this](wire::HttpRequest r) { return Answer(std::move(r)); });
@@ -46,7 +47,7 @@
     ++handled_;
     co_return wire::HttpResponse{.status = 200, .body = "{}"};
   }
-  // A client of its own is a connection of its own.
+  // Sends a request. Each client has one connection.
   async::Task<wire::HttpResponse> Ask(net::HttpClient& client, std::string target) {
     wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = ""};
     auto r = co_await client.Call(scope_, AddressAt(0), std::move(q), 1, false);
@@ -57,48 +58,49 @@
   int handled_ = 0;
 };
 
-// A crowd of one kind may use what is free; it gives that back to the other kind, and what it can't
-// have it is refused at once and told when to come back.
-class CrowdOfOneKind : public ShareTest {
+// Guards against one class of clients that locks the other out: it may use free connections but
+// must yield them to the other class. Beyond that it is refused at once with 503 and
+// Retry-After.
+class ConnectionReservationTest : public ConnectionClassTest {
  public:
-  CrowdOfOneKind() : ShareTest(kNeverQuiet) {}
+  ConnectionReservationTest() : ConnectionClassTest(kNeverEvictableS) {}
   async::Task<> Script() {
-    std::vector<std::unique_ptr<net::HttpClient>> as, bs;
-    for (int i = 0; i < 5; ++i) as.push_back(std::make_unique<net::HttpClient>(1, 1024));
-    for (int i = 0; i < 2; ++i) bs.push_back(std::make_unique<net::HttpClient>(1, 1024));
+    std::vector<std::unique_ptr<net::HttpClient>> a_clients, b_clients;
+    for (int i = 0; i < 5; ++i) a_clients.push_back(std::make_unique<net::HttpClient>(1, 1024));
+    for (int i = 0; i < 2; ++i) b_clients.push_back(std::make_unique<net::HttpClient>(1, 1024));
     wire::HttpResponse r;
     for (int i = 0; i < 4; ++i) {
-      r = co_await Ask(*as[i], "/a");
+      r = co_await Ask(*a_clients[i], "/a");
       EXPECT_EQ(r.status, 200) << i;
     }
     for (int i = 0; i < 2; ++i) {
-      r = co_await Ask(*bs[i], "/b");
+      r = co_await Ask(*b_clients[i], "/b");
       EXPECT_EQ(r.status, 200) << i;
     }
     co_await Pause(0.05);
     EXPECT_EQ(server_->connections(), 4U);
-    r = co_await Ask(*as[4], "/a");
+    r = co_await Ask(*a_clients[4], "/a");
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
-    r = co_await Ask(*as[3], "/a");
-    EXPECT_EQ(r.status, 200) << "the newest of the crowd kept its place";
-    r = co_await Ask(*bs[0], "/b");
+    r = co_await Ask(*a_clients[3], "/a");
+    EXPECT_EQ(r.status, 200) << "the newest connection of its class is kept";
+    r = co_await Ask(*b_clients[0], "/b");
     EXPECT_EQ(r.status, 200);
   }
 };
 
-TEST_F(CrowdOfOneKind, DoesNotKeepTheOtherOut) { Run(Script()); }
+TEST_F(ConnectionReservationTest, OneClassCannotLockOutTheOther) { Run(Script()); }
 
-// Where a fleet has more machines than its controllers have sockets, every report is answered all
-// the same: who comes beyond the room gets its answer and no connection to keep.
-class CrowdOfWorkers : public NetTest {
+// Guards against unanswered heartbeats if a fleet has more machines than the controllers have
+// sockets: a worker beyond the limit gets its answer, but its connection is not kept.
+class PeriodicClientsTest : public NetTest {
  public:
-  static constexpr int kRoom = 4, kWorkers = 12;
+  static constexpr int kMaxConnections = 4, kWorkers = 12;
   async::Task<> Script() {
-    net::HttpServer::Limits limits{kRoom, 1024, 30, 5, kNeverQuiet};
+    net::HttpServer::Limits limits{kMaxConnections, 1024, 30, 5, kNeverEvictableS};
     limits.connection_classes = {
         {.matches = [](const wire::HttpRequest& /*unused*/) { return true; },
-         .reserved = kRoom,
+         .reserved = kMaxConnections,
          .periodic = true}};
     server_.emplace(scope_, limits,
                     [this](const wire::HttpRequest& /*unused*/) { return Answer(); });
@@ -114,7 +116,7 @@
         wire::HttpRequest q{.method = "POST", .target = "/checkin", .body = "{}"};
         auto r = co_await worker->Call(scope_, AddressAt(0), std::move(q), 1, false);
         EXPECT_TRUE(r && r->status == 200);
-        EXPECT_LE(server_->connections(), kRoom + 1U);
+        EXPECT_LE(server_->connections(), kMaxConnections + 1U);
       }
     }
     EXPECT_EQ(handled_, 3 * kWorkers);
@@ -129,10 +131,11 @@
   int handled_ = 0;
 };
 
-TEST_F(CrowdOfWorkers, IsAnsweredBeyondTheSocketsThereAre) { Run(Script()); }
+TEST_F(PeriodicClientsTest, AllAreAnsweredBeyondTheConnectionLimit) { Run(Script()); }
 
-// Machines that die never close their connections; these must not keep others out for long.
-class DeadConnections : public ShareTest {
+// Guards against connections that failed machines never close and that block other clients: a
+// connection that was idle for kEvictableAfterS is closed if a new client needs its place.
+class IdleConnectionsTest : public ConnectionClassTest {
  public:
   async::Task<> Script() {
     net::HttpClient one(1, 1024), two(1, 1024), three(1, 1024), b1(1, 1024), b2(1, 1024);
@@ -140,7 +143,7 @@
     EXPECT_EQ(r.status, 200);
     r = co_await Ask(two, "/a");
     EXPECT_EQ(r.status, 200);
-    co_await Pause(1.5 * kQuiet);
+    co_await Pause(1.5 * kEvictableAfterS);
     r = co_await Ask(b1, "/b");
     EXPECT_EQ(r.status, 200);
     r = co_await Ask(b2, "/b");
@@ -148,42 +151,43 @@
     r = co_await Ask(two, "/a");
     EXPECT_EQ(r.status, 200);
     r = co_await Ask(three, "/a");
-    EXPECT_EQ(r.status, 200) << "in place of the first, which has been silent";
+    EXPECT_EQ(r.status, 200) << "replaces the first connection, which was idle";
     co_await Pause(0.05);
     EXPECT_EQ(server_->connections(), 4U);
     r = co_await Ask(two, "/a");
-    EXPECT_EQ(r.status, 200) << "the one that was heard of keeps its place";
+    EXPECT_EQ(r.status, 200) << "a connection with recent requests is kept";
   }
 };
 
-TEST_F(DeadConnections, MakeRoomForWhoIsThere) { Run(Script()); }
+TEST_F(IdleConnectionsTest, AreReplacedByNewClients) { Run(Script()); }
 
-// After a standstill the buffers are full of requests whose senders have long gone elsewhere.
-class GoneClient : public ShareTest {
+// Guards against work for clients that no longer wait: after a pause the receive buffers are full
+// of requests whose senders have closed their connections.
+class ClosedConnectionTest : public ConnectionClassTest {
  public:
   async::Task<> Script() {
-    auto to = net::ParseAddress(AddressAt(0));
+    auto server_address = net::ParseAddress(AddressAt(0));
     {
-      auto stream = co_await net::Stream::Connect(scope_, *to, loop_.Now() + 1);
+      auto stream = co_await net::Stream::Connect(scope_, *server_address, loop_.Now() + 1);
       EXPECT_TRUE(stream.has_value());
       co_await Pause(0.05);
       co_await stream->Write(scope_, "GET /a HTTP/1.1\r\n\r\n", loop_.Now() + 1);
     }
-    StandStill(0.05);
+    BlockThread(0.05);
     co_await Pause(0.1);
-    EXPECT_EQ(handled_, 0) << "its connection is closed: nobody waits for the answer";
-    net::HttpClient there(1, 1024);
-    wire::HttpResponse r = co_await Ask(there, "/a");
+    EXPECT_EQ(handled_, 0) << "its connection is closed, so no client waits for the answer";
+    net::HttpClient waiting_client(1, 1024);
+    wire::HttpResponse r = co_await Ask(waiting_client, "/a");
     EXPECT_EQ(r.status, 200);
     EXPECT_EQ(handled_, 1);
   }
 };
 
-TEST_F(GoneClient, IsNotServed) { Run(Script()); }
+TEST_F(ClosedConnectionTest, RequestIsNotHandled) { Run(Script()); }
 
-// A peer that said "no state service here" just before this process stood still has said nothing
-// about now: the answer counts from when it was asked for.
-class OldWord : public NetTest {
+// Guards against stale peer status after a pause: a peer reported an outage of the state service
+// just before this process was paused. A status is valid from the time of its request.
+class StalePeerStatusTest : public NetTest {
  public:
   async::Task<> AnswerPings(net::Listener listener) {
     auto stream = co_await listener.Accept(scope_);
@@ -203,7 +207,7 @@
         ++answered_;
       }
       if (!out.empty()) co_await stream->Write(scope_, out, loop_.Now() + 1);
-      if (stand_still_s_ > 0) StandStill(std::exchange(stand_still_s_, 0));
+      if (block_s_ > 0) BlockThread(std::exchange(block_s_, 0));
     }
   }
   async::Task<> Script() {
@@ -212,7 +216,7 @@
     RequireStarted(listener.has_value(), "a listener", error);
     config::Settings s = TestSettings();
     s.node = "node-0";
-    s.heartbeat_interval_s = 4;  // a beat of 0.5 s
+    s.heartbeat_interval_s = 4;  // a ping interval of 0.5 s
     s.peer_bind = AddressAt(2);
     s.seeds = {{"node-1", "a", AddressAt(1)}};
     net::PeerMesh::Hooks hooks;
@@ -226,36 +230,37 @@
     EXPECT_GE(answered_, 1);
     EXPECT_TRUE(mesh.AllPeersReportOutage());
     const int before = answered_;
-    stand_still_s_ = 2;  // four beats; a status is good for three
+    block_s_ = 2;  // four ping intervals; a status is valid for three
     while (answered_ == before) co_await Pause(0.01);
-    // The answer from before the standstill is read now, and is old.
+    // The answer from before the pause is read now and is too old.
     EXPECT_FALSE(mesh.AllPeersReportOutage());
     co_await Pause(0.7);
-    EXPECT_TRUE(mesh.AllPeersReportOutage()) << "asked anew";
+    EXPECT_TRUE(mesh.AllPeersReportOutage()) << "from a new request";
     scope_.Cancel();
     co_await scope_.Join();
   }
   int answered_ = 0;
-  double stand_still_s_ = 0;
+  double block_s_ = 0;
 };
 
-TEST_F(OldWord, OfAPeerIsNoWordOfNow) { Run(Script()); }
+TEST_F(StalePeerStatusTest, StatusRequestedBeforeAPauseIsIgnored) { Run(Script()); }
 
-// Two nodes: what is new between them is sent to who understands it, and to no other.
-class CancellationReports : public NetTest {
+// Guards against broken links during an upgrade: with two nodes, newer message types are sent only
+// to a peer that supports them.
+class CancellationReportsTest : public NetTest {
  public:
-  static constexpr double kBeat = 0.1;
+  static constexpr double kPingIntervalS = 0.1;
   std::unique_ptr<net::PeerMesh> Mesh(int node, config::Settings& s) {
     s = TestSettings();
     s.node = "node-" + std::to_string(node);
-    s.heartbeat_interval_s = 8 * kBeat;
+    s.heartbeat_interval_s = 8 * kPingIntervalS;
     s.peer_bind = AddressAt(1 + node);
     s.seeds = {{"node-" + std::to_string(1 - node), "a", AddressAt(2 - node)}};
     net::PeerMesh::Hooks hooks;
     hooks.status = [] { return wire::PeerStatus(); };
     hooks.on_status = [](const wire::PeerStatus&) {};
     hooks.on_connection_refused = [](const std::string&) {};
-    hooks.supports_cancellation_reports = [this](const std::string&) { return understood_; };
+    hooks.supports_cancellation_reports = [this](const std::string&) { return supported_; };
     hooks.cancellation_report_request =
         [node](const std::string&) -> std::optional<wire::CancellationReportRequest> {
       if (node == 0) return wire::CancellationReportRequest{40};
@@ -264,65 +269,65 @@
     hooks.cancellation_report = [](const wire::CancellationReportRequest& q) {
       return wire::CancellationReport{true, 50, {{"run-1", q.after_revision + 1}}};
     };
-    hooks.on_cancellation_report = [this](const std::string& from, double asked,
+    hooks.on_cancellation_report = [this](const std::string& from, double requested_at,
                                           const wire::CancellationReport& v) {
       EXPECT_EQ(from, "node-1");
-      EXPECT_LE(asked, loop_.Now());
+      EXPECT_LE(requested_at, loop_.Now());
       EXPECT_EQ(v.cancelled, (std::vector<wire::Cancellation>{{"run-1", 41}}));
-      ++vouches_;
+      ++reports_;
     };
     hooks.on_cancel_notice = [this](const wire::CancelNotice& n) {
-      told_.push_back(n.cancelled.job);
+      notified_jobs_.push_back(n.cancelled.job);
     };
     return std::make_unique<net::PeerMesh>(scope_, s, hooks);
   }
   async::Task<> Script() {
     std::string error;
     config::Settings s0, s1;
-    auto leader = Mesh(0, s0), other = Mesh(1, s1);
+    auto leader = Mesh(0, s0), follower = Mesh(1, s1);
     EXPECT_TRUE(leader->Start(&error)) << error;
-    EXPECT_TRUE(other->Start(&error)) << error;
-    co_await Pause(6 * kBeat);
-    other->BroadcastCancellation({{"run-2", 7}});
-    co_await Pause(3 * kBeat);
-    EXPECT_EQ(vouches_, 0) << "an older version would break the link";
-    EXPECT_EQ(told_, std::vector<std::string>());
-    EXPECT_TRUE(leader->AllPeersReportOutage()) << "while all else goes on";
-    understood_ = true;
-    other->BroadcastCancellation({{"run-3", 8}});
-    co_await Pause(3 * kBeat);
-    EXPECT_GT(vouches_, 0);
-    EXPECT_EQ(told_, std::vector<std::string>{"run-3"});
+    EXPECT_TRUE(follower->Start(&error)) << error;
+    co_await Pause(6 * kPingIntervalS);
+    follower->BroadcastCancellation({{"run-2", 7}});
+    co_await Pause(3 * kPingIntervalS);
+    EXPECT_EQ(reports_, 0) << "an older version would close the link";
+    EXPECT_EQ(notified_jobs_, std::vector<std::string>());
+    EXPECT_TRUE(leader->AllPeersReportOutage()) << "status messages are still exchanged";
+    supported_ = true;
+    follower->BroadcastCancellation({{"run-3", 8}});
+    co_await Pause(3 * kPingIntervalS);
+    EXPECT_GT(reports_, 0);
+    EXPECT_EQ(notified_jobs_, std::vector<std::string>{"run-3"});
     scope_.Cancel();
     co_await scope_.Join();
   }
-  bool understood_ = false;
-  int vouches_ = 0;
-  std::vector<std::string> told_;
+  bool supported_ = false;
+  int reports_ = 0;
+  std::vector<std::string> notified_jobs_;
 };
 
-TEST_F(CancellationReports, IsAskedOfThoseWhoUnderstandIt) { Run(Script()); }
+TEST_F(CancellationReportsTest, AreSentOnlyToPeersThatSupportThem) { Run(Script()); }
 
-// However many users ask at a time, the reads that freshen the warm copy take half of this node's
-// requests at most: submissions and cancellations find room, and none of the questions is held up
-// for long.
-class CrowdOfPolls : public NetTest {
+// Guards against queries that use up the request quota: however many users query at the same time,
+// the reads that refresh the cache take at most half of this node's requests. Submissions and
+// cancellations are still sent at once, and no query waits for long.
+class ConcurrentReadsTest : public NetTest {
  public:
-  async::Task<> AskOften(store::LinearizableRead& linearizable_read, double until) {
+  async::Task<> ReadRepeatedly(store::LinearizableRead& linearizable_read, double until) {
     while (loop_.Now() < until) {
-      const double asked = loop_.Now();
+      const double requested_at = loop_.Now();
       const bool fresh = co_await linearizable_read.CatchUp();
       EXPECT_TRUE(fresh);
-      longest_ = std::max(longest_, loop_.Now() - asked);
+      longest_wait_s_ = std::max(longest_wait_s_, loop_.Now() - requested_at);
       ++answered_;
     }
-    --askers_;
+    --readers_;
   }
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(3), &error), "a server", error);
-    store::Client::Options options = StateAt(3);
+    store::Client::Options options = StateClientOptions(3);
     options.rps = 40;
     options.timeout_s = 1;
     store::Client client(scope_, options);
@@ -331,8 +336,9 @@
     while (!cache.loaded()) co_await Pause(0.01);
     store::LinearizableRead linearizable_read(scope_, client, cache, 0.6);
     const int before = state.requests();
-    askers_ = 300;
-    for (int i = 0; i < askers_; ++i) scope_.Spawn(AskOften(linearizable_read, loop_.Now() + 2));
+    readers_ = 300;
+    for (int i = 0; i < readers_; ++i)
+      scope_.Spawn(ReadRepeatedly(linearizable_read, loop_.Now() + 2));
     co_await Pause(1);
     std::vector<model::Precondition> preconditions;
     std::vector<model::KeyWrite> writes = {{store::JobKey("run-1"), "{}", 0}};
@@ -340,28 +346,29 @@
     auto written = co_await client.Commit(std::move(preconditions), std::move(writes),
                                           store::RequestPriority::kUrgent);
     EXPECT_TRUE(written.ok());
-    EXPECT_LT(loop_.Now() - sent, 0.1) << "a submission's write among the polls";
-    while (askers_ > 0) co_await Pause(0.01);
+    EXPECT_LT(loop_.Now() - sent, 0.1) << "a submission's write among the queries";
+    while (readers_ > 0) co_await Pause(0.01);
     const int reads = state.requests() - before;
-    EXPECT_GT(answered_, 20 * reads) << "they share the reads";
-    EXPECT_LE(reads, 40) << "a rate of 18 a second for 2 s, and the write and the watch";
-    EXPECT_LT(longest_, 0.3);
+    EXPECT_GT(answered_, 20 * reads) << "queries share read requests";
+    EXPECT_LE(reads, 40) << "a rate of 18 a second for 2 s, plus the write and the watch";
+    EXPECT_LT(longest_wait_s_, 0.3);
     scope_.Cancel();
     co_await scope_.Join();
   }
-  int askers_ = 0, answered_ = 0;
-  double longest_ = 0;
+  int readers_ = 0, answered_ = 0;
+  double longest_wait_s_ = 0;
 };
 
-TEST_F(CrowdOfPolls, SharesFewReadsAndLeavesRoomForSubmissions) { Run(Script()); }
+TEST_F(ConcurrentReadsTest, ShareRequestsAndLeaveQuotaForSubmissions) { Run(Script()); }
 
-// A connection is there as the process goes on after a pause, long after its call was given up: a
-// rental request or a command from a plan of before must not go out on it.
-class PausedWhileConnecting : public NetTest {
+// Guards against outdated requests after a pause: the connection is established when the process
+// resumes, long after the call has timed out. A rental request or a command of an outdated plan
+// must not be sent on it.
+class PauseDuringConnectTest : public NetTest {
  public:
-  async::Task<> Accept() {
+  async::Task<> StartServer() {
     std::string error;
-    net::HttpServer::Limits limits{4, 1024, 30, 5, kNeverQuiet};
+    net::HttpServer::Limits limits{4, 1024, 30, 5, kNeverEvictableS};
     server_.emplace(scope_, limits,
                     [this](const wire::HttpRequest& /*unused*/) { return Count(); });
     RequireStarted(server_->Listen(AddressAt(0), &error), "a server", error);
@@ -374,17 +381,17 @@
   async::Task<> Call(double timeout_s) {
     wire::HttpRequest q{.method = "POST", .target = "/rentals", .body = "{}"};
     auto r = co_await http_.Call(scope_, AddressAt(0), std::move(q), timeout_s, false);
-    ++(r ? answered_ : given_up_);
+    ++(r ? answered_ : timed_out_);
   }
   async::Task<> Script() {
-    co_await Accept();
+    co_await StartServer();
     scope_.Spawn(Call(0.2));
     async::Sleep turn(scope_, 0);
-    co_await turn;  // it is connecting now
-    StandStill(0.5);
-    while (answered_ + given_up_ == 0) co_await Pause(0.01);
+    co_await turn;  // now the connection is being established
+    BlockThread(0.5);
+    while (answered_ + timed_out_ == 0) co_await Pause(0.01);
     co_await Pause(0.1);
-    EXPECT_EQ(given_up_, 1);
+    EXPECT_EQ(timed_out_, 1);
     EXPECT_EQ(requests_, 0);
     co_await Call(1);
     EXPECT_EQ(answered_, 1);
@@ -393,23 +400,24 @@
   }
   std::optional<net::HttpServer> server_;
   net::HttpClient http_{1, 1024};
-  int requests_ = 0, answered_ = 0, given_up_ = 0;
+  int requests_ = 0, answered_ = 0, timed_out_ = 0;
 };
 
-TEST_F(PausedWhileConnecting, ACallThatIsOverIsNotSent) { Run(Script()); }
+TEST_F(PauseDuringConnectTest, TimedOutCallIsNotSent) { Run(Script()); }
 
-// A gap between turns counts as a pause from the moment it ends, and is told until the next one.
-class PauseTest : public NetTest {
+// Guards against a pause that is detected too late: a gap between two turns of the event loop
+// counts as a pause from its end, before the next turn. It is reported until the next pause.
+class PauseDetectionTest : public NetTest {
  public:
   async::Task<> Script() {
     loop_.DetectPauses(0.4);
     co_await Pause(0.1);
     EXPECT_LT(loop_.resumed_at(), 0);
-    StandStill(0.2);
+    BlockThread(0.2);
     co_await Pause(0.6);
-    EXPECT_LT(loop_.resumed_at(), 0) << "a short gap, and a long time with nothing to do";
+    EXPECT_LT(loop_.resumed_at(), 0) << "neither a short gap nor a long idle time is a pause";
     const double before = loop_.Now();
-    StandStill(0.5);
+    BlockThread(0.5);
     EXPECT_GE(loop_.resumed_at(), before + 0.5);
     co_await Pause(0.2);
     EXPECT_GE(loop_.resumed_at(), before + 0.5);
@@ -417,11 +425,12 @@
   }
 };
 
-TEST_F(PauseTest, AGapBetweenTurnsIsTold) { Run(Script()); }
+TEST_F(PauseDetectionTest, LongGapBetweenTurnsIsReported) { Run(Script()); }
 
-// A copy that went by way of a peer got no answer, and the service refuses the next: that refusal
-// says nothing of the first copy, which may be carried out at any time yet.
-class RefusedAfterSilence : public NetTest {
+// Guards against a wrong "refused" result: a copy of the request that was relayed through a peer
+// got no response, and the service refuses the next copy. The first copy may still be applied, so
+// the outcome is unknown.
+class RelayedWriteTest : public NetTest {
  public:
   async::Task<store::Status> Write(store::Client& client) {
     std::vector<model::Precondition> preconditions;
@@ -434,7 +443,7 @@
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(6), &error), "a server", error);
-    store::Client client(scope_, StateAt(6));
+    store::Client client(scope_, StateClientOptions(6));
     bool sent = false;
     client.SetRelay([&sent](wire::HttpRequest) -> async::Task<net::RelayResult> {
       net::RelayResult r;
@@ -445,7 +454,7 @@
     store::Status status = store::Status::kOk;
     for (int i = 0; i < 3; ++i) status = co_await Write(client);
     EXPECT_TRUE(client.down());
-    EXPECT_EQ(status, store::Status::kRefused) << "no peer took it";
+    EXPECT_EQ(status, store::Status::kRefused) << "no peer has sent it";
     sent = true;
     status = co_await Write(client);
     EXPECT_EQ(status, store::Status::kUnknown);
@@ -454,18 +463,18 @@
   }
 };
 
-TEST_F(RefusedAfterSilence, IsNoRefusal) { Run(Script()); }
+TEST_F(RelayedWriteTest, RefusalAfterAnUnansweredCopyIsUnknown) { Run(Script()); }
 
-// A job is cancelled by one node and ended by the leader at once: the watch tells of both before
-// the first node's own write is answered. It must not come back then; as a ghost it would make
-// every commit of the next leader fail.
-class LateAnswer : public NetTest {
+// Guards against a removed job that reappears in the cache: one node cancels a job and the leader
+// ends it at once, so the watch delivers both writes before the response to the first node's write.
+// A stale entry would make every commit of the next leader fail.
+class DelayedResponseTest : public NetTest {
  public:
   async::Task<> Script() {
     std::string error;
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(4), &error), "a server", error);
-    store::Client client(scope_, StateAt(4));
+    store::Client client(scope_, StateClientOptions(4));
     std::map<std::string, std::string> copy;
     store::WatchCache cache(scope_, client, 0.5,
                             [&](const std::string& key, const std::string& v) { copy[key] = v; });
@@ -476,9 +485,9 @@
     while (cache.revision() < drop) co_await Pause(0.01);
     EXPECT_EQ(cache.Version(key), 0U);
     cache.ApplyAheadOfWatch(key, "{}", put);
-    EXPECT_EQ(cache.Version(key), 0U) << "the answer of the first write, late";
+    EXPECT_EQ(cache.Version(key), 0U) << "the delayed response to the first write";
     EXPECT_EQ(copy[key], "");
-    // Whatever else may make the copy differ, a key that was overtaken is read anew.
+    // If the cache differs from the service for any other reason, Refresh() reads the key again.
     cache.ApplyAheadOfWatch(key, "{}", drop + 100);
     EXPECT_EQ(copy[key], "{}");
     co_await cache.Refresh(key);
@@ -496,12 +505,12 @@
   }
 };
 
-TEST_F(LateAnswer, BringsNothingBack) { Run(Script()); }
+TEST_F(DelayedResponseTest, DoesNotRestoreARemovedKey) { Run(Script()); }
 
-// The limits go down without notice: what is allowed is used as long as it is, and the first
-// refusal makes the client keep to the lower ones. Before the upgrade is over, a refusal means
-// nothing of the kind.
-class LowerRates : public NetTest {
+// Guards against repeated refusals when the limits are lowered without notice: the client uses the
+// current limits until the first refusal, then keeps to the lower ones. Before the upgrade is
+// complete, a refusal does not indicate lower limits.
+class LoweredRateLimitsTest : public NetTest {
  public:
   async::Task<int> Refusals(store::Client& client, FakeStateService& state, double s) {
     const int before = state.refused();
@@ -520,14 +529,14 @@
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(5), &error), "a server", error);
     state.SetLimits({0, 0, 20});
-    store::Client::Options options = StateAt(5);
+    store::Client::Options options = StateClientOptions(5);
     options.write_rps = 100;
     options.lowered_rps = 1000;
     options.lowered_write_rps = 20;
     store::Client client(scope_, options);
     int refused = co_await Refusals(client, state, 0.6);
     EXPECT_GT(refused, 2);
-    EXPECT_FALSE(client.limits_lowered()) << "no formats have changed yet";
+    EXPECT_FALSE(client.limits_lowered()) << "the upgrade is not complete";
     client.ExpectLoweredLimits();
     refused = co_await Refusals(client, state, 1.5);
     EXPECT_TRUE(client.limits_lowered());
@@ -537,40 +546,42 @@
   }
 };
 
-TEST_F(LowerRates, AreKeptToFromTheFirstRefusalOn) { Run(Script()); }
+TEST_F(LoweredRateLimitsTest, ApplyFromTheFirstRefusal) { Run(Script()); }
 
-// A loop of one thread that sends itself one letter over and over.
+// Runs an event loop on the calling thread that sends one letter to itself repeatedly.
 class LetterLoop {
  public:
   explicit LetterLoop(char letter) : letter_(letter) {
     int ends[2];
-    RequireStarted(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) == 0, "a pair", "");
-    from_.emplace(net::Fd(ends[0]));
-    to_.emplace(net::Fd(ends[1]));
+    RequireStarted(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) == 0, "a socket pair",
+                   "");
+    receiver_.emplace(net::Fd(ends[0]));
+    sender_.emplace(net::Fd(ends[1]));
   }
-  // How many other letters came.
+  // Returns the number of other letters received.
   size_t Run() {
     scope_.Spawn(Send());
     scope_.Spawn(Receive());
     loop_.Run();
-    return others_;
+    return other_letters_;
   }
 
  private:
-  static constexpr size_t kBlock = size_t{64} * 1024;
+  static constexpr size_t kBlockBytes = size_t{64} * 1024;
   static constexpr size_t kBlocks = 300;
 
   async::Task<> Send() {
-    const std::string block(kBlock, letter_);
-    for (size_t i = 0; i < kBlocks; ++i) co_await to_->Write(scope_, block, loop_.Now() + 30);
+    const std::string block(kBlockBytes, letter_);
+    for (size_t i = 0; i < kBlocks; ++i) co_await sender_->Write(scope_, block, loop_.Now() + 30);
   }
   async::Task<> Receive() {
-    for (size_t received = 0; received < kBlocks * kBlock;) {
+    for (size_t received = 0; received < kBlocks * kBlockBytes;) {
       std::string data;
-      bool read = co_await from_->Read(scope_, data, loop_.Now() + 30);
+      bool read = co_await receiver_->Read(scope_, data, loop_.Now() + 30);
       if (!read) break;
       received += data.size();
-      others_ += data.size() - static_cast<size_t>(std::count(data.begin(), data.end(), letter_));
+      other_letters_ +=
+          data.size() - static_cast<size_t>(std::count(data.begin(), data.end(), letter_));
     }
     loop_.Stop();
   }
@@ -578,17 +589,18 @@
   const char letter_;
   async::EventLoop loop_;
   async::Scope scope_{loop_};
-  std::optional<net::Stream> from_, to_;
-  size_t others_ = 0;
+  std::optional<net::Stream> receiver_, sender_;
+  size_t other_letters_ = 0;
 };
 
-// A console's loop in a thread beside a node's once read what the node had just received.
-TEST(StreamTest, LoopsOfTwoThreadsReadWhatWasSentToEach) {
-  size_t others = 0;
-  std::thread console([&] { others = LetterLoop('c').Run(); });
+// Guards against data that is delivered to the wrong stream: the event loop of a console once read
+// the data that a node's event loop on another thread had just received.
+TEST(StreamTest, LoopsOfTwoThreadsReadOnlyTheirOwnData) {
+  size_t other_letters = 0;
+  std::thread console([&] { other_letters = LetterLoop('c').Run(); });
   EXPECT_EQ(LetterLoop('n').Run(), 0U);
   console.join();
-  EXPECT_EQ(others, 0U);
+  EXPECT_EQ(other_letters, 0U);
 }
 
 }  // namespace
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -1,4 +1,5 @@
-// DependencyGraph on whole controllers: nothing starts too early, and no cancellation gets lost.
+// Tests job dependencies with whole controllers: no job starts before the jobs that it awaits are
+// done, and a cancellation reaches all dependents.
 #include "end_to_end.h"
 #include "model/job.h"
 #include "model/task.h"
@@ -13,75 +14,81 @@
 class PipelineTest : public EndToEndTest {
  public:
   template <class... Ids>
-  static model::JobSpec After(const std::string& id, uint32_t tasks, Ids... dependencies) {
+  static model::JobSpec SpecAwaiting(const std::string& id, uint32_t tasks, Ids... dependencies) {
     model::JobSpec s = Spec(id, tasks);
     s.dependencies = {dependencies...};
     return s;
   }
-  async::Task<> Accepted(int node, model::JobSpec spec) {
+  async::Task<> Submit(int node, model::JobSpec spec) {
     bool ok =
         co_await AskUntil(node, "POST", "/submissions", SubmissionBody(spec), 201, "pending", 10);
     EXPECT_TRUE(ok) << spec.id;
   }
-  async::Task<> Says(int node, std::string id, std::string what, double limit_s = 20) {
-    bool ok = co_await AskUntil(node, "GET", "/submissions/" + id, "", 200, what, limit_s);
-    EXPECT_TRUE(ok) << id << " " << what;
+  async::Task<> ExpectAnswer(int node, std::string id, std::string text, double limit_s = 20) {
+    bool ok = co_await AskUntil(node, "GET", "/submissions/" + id, "", 200, text, limit_s);
+    EXPECT_TRUE(ok) << id << " " << text;
   }
-  // Whoever starts must have all that it awaits recorded as done by then.
-  void WatchStarts() {
+  // Records each task start of a job whose awaited jobs are not all recorded as done.
+  void CheckStartOrder() {
     cloud_->WatchStarts([this](const model::TaskId& task) {
-      ++starts_of_[task.job];
-      for (const std::string& a : awaits_[task.job]) {
-        if (state_->Value(store::FinalKey(a)).find("done\"") == std::string::npos) {
-          too_early_.push_back(model::TaskName(task) + " before " + a);
+      ++starts_by_job_[task.job];
+      for (const std::string& awaited : awaits_by_job_[task.job]) {
+        if (state_->Value(store::FinalKey(awaited)).find("done\"") == std::string::npos) {
+          early_starts_.push_back(model::TaskName(task) + " before " + awaited);
         }
       }
     });
   }
-  void Note(const model::JobSpec& spec) { awaits_[spec.id] = spec.dependencies; }
+  void RememberDependencies(const model::JobSpec& spec) {
+    awaits_by_job_[spec.id] = spec.dependencies;
+  }
 
-  // A diamond with a tail, through every node, while nodes are restarted.
-  async::Task<> Chain() {
+  // Submits a diamond of dependencies with one more job at its end through all nodes, then restarts
+  // nodes while the jobs run.
+  async::Task<> DiamondDuringRestarts() {
     for (const auto& spec :
-         {After("run-1", 4), After("run-2", 6, "run-1"), After("run-3", 4, "run-1", "run-1"),
-          After("run-4", 4, "run-2", "run-3"), After("run-5", 4, "run-4")}) {
-      Note(spec);
-      co_await Accepted(static_cast<int>(awaits_.size()) % 3, spec);
+         {SpecAwaiting("run-1", 4), SpecAwaiting("run-2", 6, "run-1"),
+          SpecAwaiting("run-3", 4, "run-1", "run-1"), SpecAwaiting("run-4", 4, "run-2", "run-3"),
+          SpecAwaiting("run-5", 4, "run-4")}) {
+      RememberDependencies(spec);
+      co_await Submit(static_cast<int>(awaits_by_job_.size()) % 3, spec);
     }
     for (int node : {0, 1, 2, 0, 1}) {
       co_await Restart(node, 3);
       co_await Pause(0.25);
     }
-    co_await Says(2, "run-5", R"("done","done":4)", 60);
-    // One that comes when all it awaits is over long since, and a late copy of a submission.
-    const model::JobSpec late = After("run-6", 4, "run-1", "run-5");
-    Note(late);
-    co_await Accepted(1, late);
-    co_await Says(0, "run-6", kDone);
+    co_await ExpectAnswer(2, "run-5", R"("done","done":4)", 60);
+    // A job that is submitted long after the jobs it awaits are done, and its repeated submission.
+    const model::JobSpec late = SpecAwaiting("run-6", 4, "run-1", "run-5");
+    RememberDependencies(late);
+    co_await Submit(1, late);
+    co_await ExpectAnswer(0, "run-6", kDone);
     wire::HttpResponse r = co_await Ask(2, "POST", "/submissions", SubmissionBody(late));
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find(kDone), std::string::npos);
-    EXPECT_EQ(too_early_, std::vector<std::string>());
+    EXPECT_EQ(early_starts_, std::vector<std::string>());
     EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
-  async::Task<> Cancelled() {
-    model::JobSpec other = After("run-3", 4, "run-1");
+  async::Task<> CancelFirstJob() {
+    model::JobSpec other = SpecAwaiting("run-3", 4, "run-1");
     other.team = "other";
-    for (const auto& spec : {After("run-1", 30), After("run-2", 4), After("run-4", 4, "run-3"),
-                             other, After("run-5", 4, "run-2", "run-4")}) {
-      if (spec.id == "run-4") co_await Accepted(1, other);
+    for (const auto& spec :
+         {SpecAwaiting("run-1", 30), SpecAwaiting("run-2", 4), SpecAwaiting("run-4", 4, "run-3"),
+          other, SpecAwaiting("run-5", 4, "run-2", "run-4")}) {
+      if (spec.id == "run-4") co_await Submit(1, other);
       if (spec.id == "run-3") continue;
-      co_await Accepted(static_cast<int>(spec.tasks) % 3, spec);
+      co_await Submit(static_cast<int>(spec.tasks) % 3, spec);
     }
-    co_await Says(0, "run-1", "running");
+    co_await ExpectAnswer(0, "run-1", "running");
     wire::HttpResponse r = co_await Ask(0, "POST", "/submissions/run-1/withdraw");
     EXPECT_EQ(r.status, 200);
-    // Every node says so at once, whatever the leader has written by then, and through takeovers.
+    // Every node reports the dependents as cancelled at once, regardless of what the leader has
+    // written so far, also during failovers.
     for (int round = 0; round < 2; ++round) {
       for (int node = 0; node < 3; ++node) {
         for (const char* id : {"run-3", "run-4", "run-5"}) {
-          co_await Says(node, id, "cancelled", 2);
+          co_await ExpectAnswer(node, id, "cancelled", 2);
         }
       }
       if (round == 0) {
@@ -90,126 +97,130 @@
         StartNodes(0, 1, 3);
       }
     }
-    // Accepted all the same, and cancelled with what it names; so is a copy of it that comes late.
-    const model::JobSpec late = After("run-6", 4, "run-4");
-    co_await Accepted(1, late);
-    co_await Says(2, "run-6", "cancelled", 2);
+    // A new job that awaits a cancelled one is accepted and counts as cancelled; so does its
+    // repeated submission.
+    const model::JobSpec late = SpecAwaiting("run-6", 4, "run-4");
+    co_await Submit(1, late);
+    co_await ExpectAnswer(2, "run-6", "cancelled", 2);
     r = co_await Ask(0, "POST", "/submissions", SubmissionBody(late));
     EXPECT_EQ(r.status, 200);
     EXPECT_NE(r.body.find("cancelled"), std::string::npos);
     r = co_await Ask(2, "POST", "/submissions/run-5/withdraw");
     EXPECT_NE(r.body.find("cancelled"), std::string::npos);
-    // The leader ends all of them, from the last on.
+    // The leader records the final state of all of them, dependents first.
     const double end = loop_.Now() + 20;
     auto recorded = [&](const char* id) {
       return state_->Value(store::FinalKey(id)).find("cancelled") != std::string::npos;
     };
     while (!recorded("run-1") && loop_.Now() < end) co_await Pause(0.05);
     for (const char* id : {"run-1", "run-3", "run-4", "run-5"}) EXPECT_TRUE(recorded(id)) << id;
-    co_await Says(1, "run-2", kDone);
-    EXPECT_EQ(starts_of_.count("run-3") + starts_of_.count("run-4") + starts_of_.count("run-5"),
+    co_await ExpectAnswer(1, "run-2", kDone);
+    EXPECT_EQ(starts_by_job_.count("run-3") + starts_by_job_.count("run-4") +
+                  starts_by_job_.count("run-5"),
               0U);
-    // Once it was told done, a withdrawal changes nothing for those after it.
+    // Withdrawing a job that was reported as done has no effect on its dependents.
     r = co_await Ask(0, "POST", "/submissions/run-2/withdraw");
     EXPECT_NE(r.body.find(kDone), std::string::npos);
-    co_await Accepted(0, After("run-7", 4, "run-2"));
-    co_await Says(1, "run-7", kDone);
+    co_await Submit(0, SpecAwaiting("run-7", 4, "run-2"));
+    co_await ExpectAnswer(1, "run-7", kDone);
   }
 
-  async::Task<> Refused() {
-    co_await Accepted(0, After("run-1", 2));
-    model::JobSpec service = After("run-2", 1);
+  async::Task<> SubmitInvalidDependencies() {
+    co_await Submit(0, SpecAwaiting("run-1", 2));
+    model::JobSpec service = SpecAwaiting("run-2", 1);
     service.kind = model::JobKind::kService;
-    co_await Accepted(1, service);
-    // Accepted by another node a moment ago: no node may deny it.
+    co_await Submit(1, service);
+    // A job that another node has just accepted is known to every node.
     for (int i = 0; i < 5; ++i) {
       const std::string id = "run-" + std::to_string(100 + i);
-      co_await Accepted(i % 3, After(id, 1));
-      co_await Accepted((i + 1) % 3, After("run-" + std::to_string(200 + i), 1, id));
+      co_await Submit(i % 3, SpecAwaiting(id, 1));
+      co_await Submit((i + 1) % 3, SpecAwaiting("run-" + std::to_string(200 + i), 1, id));
     }
-    wire::HttpResponse r = co_await Ask(0, "POST", "/submissions",
-                                        SubmissionBody(After("run-9", 4, "run-1", "run-77")));
+    wire::HttpResponse r = co_await Ask(
+        0, "POST", "/submissions", SubmissionBody(SpecAwaiting("run-9", 4, "run-1", "run-77")));
     EXPECT_EQ(r.status, 422);
     EXPECT_NE(r.body.find("\"field\":\"awaits\""), std::string::npos) << r.body;
-    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-9")));
-    EXPECT_EQ(r.status, 422) << "nor can it await itself";
-    r = co_await Ask(2, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-2")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(SpecAwaiting("run-9", 4, "run-9")));
+    EXPECT_EQ(r.status, 422) << "a job cannot await itself";
+    r = co_await Ask(2, "POST", "/submissions", SubmissionBody(SpecAwaiting("run-9", 4, "run-2")));
     EXPECT_EQ(r.status, 422) << "a service never ends";
-    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "job-1")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(SpecAwaiting("run-9", 4, "job-1")));
     EXPECT_EQ(r.status, 400);
-    std::vector<std::string> many;
-    many.reserve(2000);
-    for (int i = 0; i < 2000; ++i) many.push_back("run-" + std::to_string(10000 + i));
-    model::JobSpec crowd = Spec("run-9", 1);
-    crowd.dependencies = many;
-    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(crowd));
-    EXPECT_EQ(r.status, 400) << "more than a record holds";
-    // What can't be known now is no verdict.
+    std::vector<std::string> ids;
+    ids.reserve(2000);
+    for (int i = 0; i < 2000; ++i) ids.push_back("run-" + std::to_string(10000 + i));
+    model::JobSpec too_many = Spec("run-9", 1);
+    too_many.dependencies = ids;
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(too_many));
+    EXPECT_EQ(r.status, 400) << "more jobs than a record can hold";
+    // During an outage the node cannot know the awaited job, so it must not reject the submission.
     state_->SetOutage(true);
-    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(After("run-9", 4, "run-77")));
+    r = co_await Ask(0, "POST", "/submissions", SubmissionBody(SpecAwaiting("run-9", 4, "run-77")));
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
     state_->SetOutage(false);
-    bool ok = co_await AskUntil(0, "POST", "/submissions",
-                                SubmissionBody(After("run-9", 4, "run-77")), 422, "run-77", 10);
+    bool ok =
+        co_await AskUntil(0, "POST", "/submissions",
+                          SubmissionBody(SpecAwaiting("run-9", 4, "run-77")), 422, "run-77", 10);
     EXPECT_TRUE(ok);
   }
 
-  // A job waits to be released while the state service is out, and then refuses one node alone.
-  async::Task<> ThroughAnOutage() {
-    co_await Accepted(0, After("run-1", 8));
-    const model::JobSpec next = After("run-2", 4, "run-1");
-    Note(next);
-    co_await Accepted(0, next);
-    co_await Says(0, "run-1", "running");
+  // A job waits for its dependency during an outage of the state service and while the service
+  // refuses requests of the leader only.
+  async::Task<> DependencyDuringOutage() {
+    co_await Submit(0, SpecAwaiting("run-1", 8));
+    const model::JobSpec next = SpecAwaiting("run-2", 4, "run-1");
+    RememberDependencies(next);
+    co_await Submit(0, next);
+    co_await ExpectAnswer(0, "run-1", "running");
     state_->SetOutage(true);
     co_await Pause(1);
     state_->SetOutage(false);
     state_->CutSecondary(true);
     co_await Pause(0.5);
     state_->CutSecondary(false);
-    co_await Says(0, "run-2", kDone, 30);
-    EXPECT_EQ(too_early_, std::vector<std::string>());
+    co_await ExpectAnswer(0, "run-2", kDone, 30);
+    EXPECT_EQ(early_starts_, std::vector<std::string>());
     EXPECT_EQ(cloud_->duplicate_starts(), 0);
   }
 
  protected:
-  std::map<std::string, std::vector<std::string>> awaits_;
-  std::map<std::string, int> starts_of_;
-  std::vector<std::string> too_early_;
+  std::map<std::string, std::vector<std::string>> awaits_by_job_;
+  std::map<std::string, int> starts_by_job_;
+  std::vector<std::string> early_starts_;
 };
 
-TEST_F(PipelineTest, EachStepWaitsForTheOneBefore) {
+TEST_F(PipelineTest, JobsStartOnlyAfterTheJobsTheyAwait) {
   Start(3);
-  WatchStarts();
-  Run(Chain());
+  CheckStartOrder();
+  Run(DiamondDuringRestarts());
 }
 
-class CancelledPipelineTest : public PipelineTest {
+class PipelineCancellationTest : public PipelineTest {
  public:
-  CancelledPipelineTest() { run_s_ = 2; }
+  PipelineCancellationTest() { run_s_ = 2; }
 };
 
-TEST_F(CancelledPipelineTest, ReachesEveryJobDownstreamOnEveryNode) {
+TEST_F(PipelineCancellationTest, EveryNodeReportsAllDependentsAsCancelled) {
   Start(3);
-  WatchStarts();
-  Run(Cancelled());
+  CheckStartOrder();
+  Run(CancelFirstJob());
 }
 
-TEST_F(PipelineTest, WhatNamesNobodyIsRefusedAndNothingElse) {
+TEST_F(PipelineTest, OnlyInvalidDependenciesAreRejected) {
   Start(3);
-  Run(Refused());
+  Run(SubmitInvalidDependencies());
 }
 
-class OutagePipelineTest : public PipelineTest {
+class PipelineOutageTest : public PipelineTest {
  public:
-  OutagePipelineTest() { partitioned_node_ = 0; }
+  PipelineOutageTest() { partitioned_node_ = 0; }
 };
 
-TEST_F(OutagePipelineTest, AJobThatWaitsToBeReleasedIsNotForgotten) {
+TEST_F(PipelineOutageTest, WaitingJobIsReleasedAfterTheOutage) {
   Start(3);
-  WatchStarts();
-  Run(ThroughAnOutage());
+  CheckStartOrder();
+  Run(DependencyDuringOutage());
 }
 
 }  // namespace
--- a/tests/port_block.cc
+++ b/tests/port_block.cc
@@ -12,9 +12,9 @@
 namespace hallpier::testing_support {
 namespace {
 
-// Below the ports that the system gives to outgoing connections (ip_local_port_range).
+// Below the ephemeral ports of outgoing connections (ip_local_port_range).
 constexpr int kLowestPort = 10000;
-constexpr int kBlocks = 170;
+constexpr int kBlockCount = 170;
 
 enum class Sharing { kExclusive, kReusable };
 
@@ -32,7 +32,8 @@
   return fd;
 }
 
-// Free now: a socket that listens is refused on a port that somebody else has bound or listens on.
+// Returns true if the port is free: listen() fails if another socket is bound to it or listens on
+// it.
 bool CanListen(int port) {
   const net::Fd fd = Bind(port, Sharing::kReusable);
   return fd && listen(fd.get(), 1) == 0;
@@ -41,36 +42,36 @@
 }  // namespace
 
 const PortBlock& PortBlock::OfProcess() {
-  // Where processes begin to look differs, so that they seldom ask for the same block.
+  // Processes start the search at different offsets, so that they rarely try the same block.
   static const PortBlock kBlock(getpid());
   return kBlock;
 }
 
 PortBlock::PortBlock(int offset) {
-  for (int i = 0; i < kBlocks; ++i) {
-    if (Take(kLowestPort + (offset + i) % kBlocks * kPorts)) return;
+  for (int i = 0; i < kBlockCount; ++i) {
+    if (TryReserve(kLowestPort + (offset + i) % kBlockCount * kPorts)) return;
   }
-  RequireStarted(false, "taking a block of ports", "none is free");
+  RequireStarted(false, "reserving a block of ports", "no block is free");
 }
 
-bool PortBlock::Take(int first) {
+bool PortBlock::TryReserve(int first) {
   net::Fd lock = Bind(first + kPorts - 1, Sharing::kExclusive);
   if (!lock) return false;
-  std::vector<net::Fd> kept;
+  std::vector<net::Fd> bound_ports;
   for (int port = first; port < first + kPorts - 1; ++port) {
     if (!CanListen(port)) return false;
-    kept.push_back(Bind(port, Sharing::kReusable));
-    if (!kept.back()) return false;
+    bound_ports.push_back(Bind(port, Sharing::kReusable));
+    if (!bound_ports.back()) return false;
   }
   first_ = first;
   lock_ = std::move(lock);
-  kept_ = std::move(kept);
+  bound_ports_ = std::move(bound_ports);
   return true;
 }
 
-void RequireStarted(bool started, const std::string& what, const std::string& error) {
+void RequireStarted(bool started, const std::string& step, const std::string& error) {
   if (started) return;
-  ADD_FAILURE() << what << ": " << error;
+  ADD_FAILURE() << step << ": " << error;
   std::fflush(nullptr);
   std::_Exit(EXIT_FAILURE);
 }
--- a/tests/port_block.h
+++ b/tests/port_block.h
@@ -1,4 +1,4 @@
-// Ports on loopback that belong to this process alone for as long as it lives.
+// Reserves loopback ports for this process during its lifetime.
 #pragma once
 
 #include <string>
@@ -8,36 +8,36 @@
 
 namespace hallpier::testing_support {
 
-// A block of consecutive ports that were free when it was taken, and are kept bound from then on:
-// no other program, other run of the tests or outgoing connection can get one of them. Servers of
-// this process and its children can listen on them all the same, as they set SO_REUSEADDR.
+// Holds a block of consecutive ports that were free when it was reserved. They stay bound, so that
+// no other program, concurrent test run or outgoing connection can use them. Servers of this
+// process and its children can still listen on them, since they set SO_REUSEADDR.
 class PortBlock {
  public:
   static constexpr int kPorts = 128;
 
-  // The block of this process, taken when first asked for.
+  // Returns the block of this process, which the first call reserves.
   static const PortBlock& OfProcess();
 
-  // Looks for a free block from the `offset`-th on. The process ends if there is none.
+  // Reserves the first free block at or after index `offset`, wrapping around. Exits the process if
+  // no block is free.
   explicit PortBlock(int offset);
 
   int first() const { return first_; }
-  // Address of the n-th port.
+  // Returns the address of port `n` of the block, counted from 0.
   std::string AddressAt(int n) const { return "127.0.0.1:" + std::to_string(first_ + n); }
 
  private:
-  // True if the block that begins there could be taken.
-  bool Take(int first);
+  // Returns true if the block that begins at port `first` was reserved.
+  bool TryReserve(int first);
 
   int first_ = 0;
-  // The last port of the block, bound so that nobody else can bind it: whoever has it has the
-  // block.
+  // The last port of the block, bound exclusively: it is the lock of the block.
   net::Fd lock_;
-  std::vector<net::Fd> kept_;
+  std::vector<net::Fd> bound_ports_;
 };
 
-// Ends the process, which is this one test, if something that every test stands on has failed:
-// whatever comes after it would only crash.
-void RequireStarted(bool started, const std::string& what, const std::string& error);
+// Fails the test and exits the process, which runs only this test, if `started` is false: the rest
+// of the test would crash without this part. `step` names the part or action that failed.
+void RequireStarted(bool started, const std::string& step, const std::string& error);
 
 }  // namespace hallpier::testing_support
--- a/tests/port_block_test.cc
+++ b/tests/port_block_test.cc
@@ -1,4 +1,4 @@
-// The ports that tests stand on.
+// Tests the reservation of ports for tests (port_block.h).
 #include "port_block.h"
 
 #include <gtest/gtest.h>
@@ -11,14 +11,15 @@
 
 constexpr int kOffset = 3;
 
-// As another program does: without leave for others to share the port.
-bool CanBindAlone(const std::string& address) {
+// Returns true if a socket without SO_REUSEADDR, as of another program, can bind the address.
+bool CanBindExclusively(const std::string& address) {
   const net::Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const auto at = net::ParseAddress(address);
-  return bind(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof(*at)) == 0;
+  const auto socket_address = net::ParseAddress(address);
+  return bind(fd.get(), reinterpret_cast<const sockaddr*>(&*socket_address),
+              sizeof(*socket_address)) == 0;
 }
 
-TEST(PortBlock, ServersOfTheProcessCanListenOnEveryPortOfIt) {
+TEST(PortBlock, ServersOfThisProcessCanListenOnEveryPort) {
   const PortBlock block(kOffset);
   for (int n = 0; n < PortBlock::kPorts - 1; ++n) {
     std::string error;
@@ -26,18 +27,20 @@
   }
 }
 
-TEST(PortBlock, NobodyElseCanBindAPortOfIt) {
+TEST(PortBlock, OtherProgramsCannotBindAPort) {
   const PortBlock block(kOffset);
-  for (int n = 0; n < PortBlock::kPorts; ++n) EXPECT_FALSE(CanBindAlone(block.AddressAt(n))) << n;
+  for (int n = 0; n < PortBlock::kPorts; ++n)
+    EXPECT_FALSE(CanBindExclusively(block.AddressAt(n))) << n;
 }
 
-// Processes whose numbers were a certain multiple apart used to share their ports.
-TEST(PortBlock, TwoThatLookInTheSamePlaceGetDifferentOnes) {
+// Guards against two processes that use the same ports: their offsets came from the process ids,
+// and ids that differed by a certain multiple gave the same ports.
+TEST(PortBlock, SameOffsetGivesDistinctBlocks) {
   const PortBlock one(kOffset), other(kOffset);
   EXPECT_GE(std::abs(one.first() - other.first()), PortBlock::kPorts);
 }
 
-TEST(PortBlock, OneWithAPortInUseIsPassedOver) {
+TEST(PortBlock, SkipsABlockWithAPortInUse) {
   std::string used;
   int first = 0;
   {
