--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -94,7 +94,7 @@
   if (const jobs::Job* job = deps_.job_table->Find(id)) {
     out.kind = JobLookup::Kind::kActive;
     out.job.cancelled = job->cancelled;
-    out.from_local_copy = true;
+    out.from_watch_cache = true;
     co_return out;
   }
   // Not active at the time of the read, so it is final or was never accepted.
@@ -106,7 +106,7 @@
   while (true) {
     JobLookup found = co_await LookupLinearizable(id);
     if (found.kind != JobLookup::Kind::kActive || found.job.cancelled) co_return found;
-    if (!found.from_local_copy) {
+    if (!found.from_watch_cache) {
       // The answer must not contradict a cancellation that another node has reported and this node
       // does not know of. A job that is no longer blocked can't be cancelled through its
       // dependencies any more.
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -52,8 +52,8 @@
   struct JobLookup {
     enum class Kind { kActive, kFinal, kNotFound, kUnknown } kind = Kind::kUnknown;
     store::JobRecord job;
-    uint64_t version = 0;          // of the active job's record
-    bool from_local_copy = false;  // read from the local copy, after it had caught up
+    uint64_t version = 0;           // of the active job's record
+    bool from_watch_cache = false;  // read from the local copy, after it had caught up
     store::FinalRecord final_record;
   };
   // Reads the job's records from the state service.
--- a/src/blocks/block_planner.cc
+++ b/src/blocks/block_planner.cc
@@ -36,9 +36,9 @@
 std::vector<char> FindCapableOwners(const jobs::Job& job, const fleet::WorkerRegistry& registry,
                                     const plan::PlanningContext& context,
                                     const plan::PlacementScope& scope) {
-  std::vector<char> capable(scope.holder_count, 0);
+  std::vector<char> capable(scope.owner_count, 0);
   for (const auto& [name, machine] : registry.machines()) {
-    const std::optional<size_t> owner = scope.holder_of(name);
+    const std::optional<size_t> owner = scope.owner_of(name);
     if (!owner || capable[*owner] != 0 || !machine.has_reported() || machine.cloud.terminating)
       continue;
     const model::MachineType* machine_type = context.FindMachineType(machine.machine_type);
@@ -56,7 +56,7 @@
                                                    const plan::PlanningContext& context,
                                                    const plan::RoundResult& round,
                                                    const plan::PlacementScope& scope) {
-  std::vector<quota::AmountByTeam> reserved_for_others(scope.holder_count);
+  std::vector<quota::AmountByTeam> reserved_for_others(scope.owner_count);
   for (const auto& [team, id] : round.first_job_over_quota) {
     const jobs::Job* job = job_table.Find(id);
     if (job == nullptr) continue;
@@ -73,7 +73,7 @@
 BlockPlanner::BlockPlanner(const config::Settings& settings, const config::BlockOptions& options)
     : settings_(settings),
       eligibility_(EligibilityOptions(settings, options)),
-      assignment_planner_(static_cast<size_t>(options.holders)) {}
+      assignment_planner_(static_cast<size_t>(options.max_owners)) {}
 
 void BlockPlanner::BeginTerm(model::FencingToken token, const BlockRecords& records, double now) {
   assignment_planner_.BeginTerm(token);
@@ -91,8 +91,8 @@
   if (!next) return std::nullopt;
   RecordChange change;
   change.preconditions = {store::FencingTokenPrecondition(cache.token),
-                          {store::DivisionKey(), records.block_assignment_version()}};
-  change.writes = {{store::DivisionKey(), WriteBlockAssignment(*next), 0}};
+                          {store::BlockAssignmentKey(), records.block_assignment_version()}};
+  change.writes = {{store::BlockAssignmentKey(), WriteBlockAssignment(*next), 0}};
   return change;
 }
 
@@ -105,13 +105,13 @@
   // again now would be used twice.
   if (cache.revision < records.newest_revision()) return std::nullopt;
   const BlockAssignmentRecord& block_assignment = records.block_assignment().record();
-  const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.owner_count, scope.owner_of);
   const auto reserved_for_others = ReservedForOthers(job_table, registry, context, round, scope);
   std::vector<quota::OwnerAccount> accounts;
   for (size_t i = 0; i < block_assignment.owners.size(); ++i) {
     const BlockOwner& owner = block_assignment.owners[i];
     accounts.push_back({owner.node, owner.allocation_epoch, records.AllocationOf(owner.node),
-                        usage.by_owner[i], AmountsOf(round.planned_by_holder[i]),
+                        usage.by_owner[i], AmountsOf(round.planned_by_owner[i]),
                         reserved_for_others[i]});
   }
   auto changes = quota::PlanAllocationChanges(settings_.teams,
@@ -126,7 +126,7 @@
                               store::FencingTokenPrecondition(cache.token));
   for (const quota::AllocationChange& allocation : changes) {
     change.writes.push_back(
-        {store::ShareKey(allocation.node), quota::WriteAllocation(allocation.record), 0});
+        {store::AllocationKey(allocation.node), quota::WriteAllocation(allocation.record), 0});
   }
   return change;
 }
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -44,9 +44,10 @@
 }
 
 std::vector<model::Precondition> BlockRecords::AllPreconditions() const {
-  std::vector<model::Precondition> preconditions = {{store::DivisionKey(), assignment_version_}};
+  std::vector<model::Precondition> preconditions = {
+      {store::BlockAssignmentKey(), assignment_version_}};
   for (const BlockOwner& owner : assignment_.record().owners) {
-    preconditions.push_back({store::ShareKey(owner.node), AllocationVersion(owner.node)});
+    preconditions.push_back({store::AllocationKey(owner.node), AllocationVersion(owner.node)});
   }
   return preconditions;
 }
@@ -73,29 +74,29 @@
   const BlockAssignmentRecord& record = assignment_.record();
   const std::string& node = record.owners.at(owner).node;
   return {store::FencingTokenPrecondition(record.token),
-          {store::DivisionKey(), assignment_version_},
-          {store::ShareKey(node), AllocationVersion(node)}};
+          {store::BlockAssignmentKey(), assignment_version_},
+          {store::AllocationKey(node), AllocationVersion(node)}};
 }
 
 plan::PlacementScope BlockRecords::AllMachinesScope(double widen_interval_s,
-                                                    double wall_now) const {
+                                                    double time_of_day) const {
   plan::PlacementScope scope;
-  scope.holder_count = assignment_.record().owners.size();
-  scope.holder_of = [this](const std::string& machine) { return assignment_.OwnerOf(machine); };
-  scope.may_place = [this, widen_interval_s, wall_now](size_t owner, const jobs::Job& job) {
-    return assignment_.MayPlace(owner, job.spec, job.priority, wall_now - job.runnable_since,
+  scope.owner_count = assignment_.record().owners.size();
+  scope.owner_of = [this](const std::string& machine) { return assignment_.OwnerOf(machine); };
+  scope.may_place = [this, widen_interval_s, time_of_day](size_t owner, const jobs::Job& job) {
+    return assignment_.MayPlace(owner, job.spec, job.priority, time_of_day - job.runnable_since,
                                 widen_interval_s);
   };
   return scope;
 }
 
 plan::PlacementScope BlockRecords::OwnerScope(size_t owner, double widen_interval_s,
-                                              double wall_now, const config::Settings& settings,
+                                              double time_of_day, const config::Settings& settings,
                                               const jobs::JobTable& job_table) const {
-  plan::PlacementScope scope = AllMachinesScope(widen_interval_s, wall_now);
-  scope.single_holder = owner;
+  plan::PlacementScope scope = AllMachinesScope(widen_interval_s, time_of_day);
+  scope.single_owner = owner;
   const BlockOwner& self = assignment_.record().owners.at(owner);
-  const quota::Usage usage = quota::CountPlaced(job_table, scope.holder_count, scope.holder_of);
+  const quota::Usage usage = quota::CountPlaced(job_table, scope.owner_count, scope.owner_of);
   for (const config::Team& team : settings.teams) {
     const quota::Amount left = quota::RemainingQuota(team, AllocationOf(self.node),
                                                      self.allocation_epoch, usage.by_owner[owner]);
--- a/src/blocks/block_view_builder.cc
+++ b/src/blocks/block_view_builder.cc
@@ -82,7 +82,7 @@
     views.back().changed.push_back(view_of_machine);
   }
   for (const auto& [machine, hash] : sent_hashes_) {
-    if (!hashes.contains(machine)) views.back().gone.push_back(machine);
+    if (!hashes.contains(machine)) views.back().removed.push_back(machine);
   }
   views.back().failures = std::move(failures);
   sent_hashes_ = std::move(hashes);
--- a/src/blocks/machine_state_replica.cc
+++ b/src/blocks/machine_state_replica.cc
@@ -22,7 +22,7 @@
     return 0;
   }
   sequence_ = view.sequence;
-  for (const std::string& machine : view.gone) registry_.Remove(machine);
+  for (const std::string& machine : view.removed) registry_.Remove(machine);
   for (const model::MachineView& machine : view.changed)
     fleet::ApplyMachineView(registry_, machine, now);
   registry_.failure_tracker().ApplyFailures(view.failures, now);
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -82,10 +82,11 @@
 }
 
 // Runs the controller until SIGTERM or SIGINT. Returns the exit status.
-int Serve(hallpier::config::Settings settings, const hallpier::config::OperatorOptions& operators) {
+int Serve(hallpier::config::Settings settings,
+          const hallpier::config::OperatorOptions& operator_options) {
   SetUpLog(settings.node);
   signal(SIGPIPE, SIG_IGN);
-  Node node{{}, {node.loop, std::move(settings), operators}};
+  Node node{{}, {node.loop, std::move(settings), operator_options}};
   std::string error;
   if (!node.controller.Start(&error)) {
     spdlog::error("start: can't listen reason={}", error);
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -38,7 +38,7 @@
 }
 
 // Parses a controller's answer; returns an error if it is not a members report.
-MembersAnswer ReadAnswer(const std::string& node, const std::string& payload) {
+MembersResponse ReadAnswer(const std::string& node, const std::string& payload) {
   auto message = wire::ReadPeerMessage(payload);
   if (!message) {
     return {node, std::nullopt, "gives an answer that can't be read: " + message.error().reason};
@@ -49,13 +49,13 @@
   return {node, std::nullopt, fmt::format("answers with {}", wire::PeerMessageName(*message))};
 }
 
-async::Task<MembersAnswer> Ask(async::Scope& scope, Target target, double deadline) {
+async::Task<MembersResponse> Ask(async::Scope& scope, Target target, double deadline) {
   auto address = net::ParseAddress(target.endpoint);
   int error = 0;
   std::optional<net::Stream> stream =
       co_await net::Stream::Connect(scope, *address, deadline, &error);
   if (!stream) {
-    co_return MembersAnswer{target.node, std::nullopt, "can't be reached at " + target.endpoint};
+    co_return MembersResponse{target.node, std::nullopt, "can't be reached at " + target.endpoint};
   }
   const std::string request = wire::EncodeFrame(wire::WritePeerMessage(wire::MembersRequest{}));
   bool connected = co_await stream->Write(scope, request, deadline);
@@ -66,22 +66,23 @@
     connected = co_await stream->Read(scope, data, deadline);
     frames.Feed(data);
   }
-  co_return MembersAnswer{target.node, std::nullopt, "gives no answer; its version may be older"};
+  co_return MembersResponse{target.node, std::nullopt, "gives no answer; its version may be older"};
 }
 
-// Asks one controller and stores its answer in `answer`.
-async::Task<> AskInto(async::Scope& scope, Target target, double deadline, MembersAnswer* answer) {
-  MembersAnswer received = co_await Ask(scope, std::move(target), deadline);
-  *answer = std::move(received);
+// Asks one controller and stores its answer in `response`.
+async::Task<> AskInto(async::Scope& scope, Target target, double deadline,
+                      MembersResponse* response) {
+  MembersResponse received = co_await Ask(scope, std::move(target), deadline);
+  *response = std::move(received);
 }
 
 // Asks all controllers at once, then stops the loop.
 async::Task<> AskAll(async::EventLoop& loop, const std::vector<Target>& targets, double timeout_s,
-                     std::vector<MembersAnswer>* answers) {
+                     std::vector<MembersResponse>* responses) {
   async::Scope scope(loop);
   const double deadline = loop.Now() + timeout_s;
   for (size_t i = 0; i < targets.size(); ++i) {
-    scope.Spawn(AskInto(scope, targets[i], deadline, &answers->at(i)));
+    scope.Spawn(AskInto(scope, targets[i], deadline, &responses->at(i)));
   }
   co_await scope.Join();
   loop.Stop();
@@ -130,72 +131,72 @@
   writer.EndObject();
 }
 
-void WriteAnswer(wire::JsonWriter& writer, const MembersAnswer& answer) {
+void WriteResponse(wire::JsonWriter& writer, const MembersResponse& response) {
   writer.StartObject();
-  writer.Field("node").Text(answer.node);
-  writer.Field("answered").Bool(answer.report.has_value());
-  writer.Field("error").TextOrNull(answer.error);
-  if (answer.report) {
-    writer.Field("enabled").Bool(answer.report->enabled);
+  writer.Field("node").Text(response.node);
+  writer.Field("answered").Bool(response.report.has_value());
+  writer.Field("error").TextOrNull(response.error);
+  if (response.report) {
+    writer.Field("enabled").Bool(response.report->enabled);
     writer.Field("members").StartArray();
-    for (const wire::MemberRow& row : answer.report->rows) WriteRow(writer, row);
+    for (const wire::MemberRow& row : response.report->rows) WriteRow(writer, row);
     writer.EndArray();
-    WriteHandover(writer, *answer.report);
+    WriteHandover(writer, *response.report);
   }
   writer.EndObject();
 }
 
 }  // namespace
 
-std::vector<MembersAnswer> AskMembers(const config::Settings& settings, double timeout_s) {
+std::vector<MembersResponse> AskMembers(const config::Settings& settings, double timeout_s) {
   const std::vector<Target> targets = Targets(settings);
-  std::vector<MembersAnswer> answers(targets.size());
+  std::vector<MembersResponse> responses(targets.size());
   async::EventLoop loop;
   async::Scope scope(loop);
-  scope.Spawn(AskAll(loop, targets, timeout_s, &answers));
+  scope.Spawn(AskAll(loop, targets, timeout_s, &responses));
   loop.Run();
-  return answers;
+  return responses;
 }
 
-std::string MembersText(const std::vector<MembersAnswer>& answers) {
+std::string MembersText(const std::vector<MembersResponse>& responses) {
   std::string text;
-  for (const MembersAnswer& answer : answers) {
-    if (!answer.report) {
-      text += fmt::format("{}: {}\n", answer.node, answer.error);
+  for (const MembersResponse& response : responses) {
+    if (!response.report) {
+      text += fmt::format("{}: {}\n", response.node, response.error);
       continue;
     }
-    if (!answer.report->enabled) {
-      text += fmt::format("{}: membership is disabled on this controller\n", answer.node);
+    if (!response.report->enabled) {
+      text += fmt::format("{}: membership is disabled on this controller\n", response.node);
       continue;
     }
-    text += fmt::format("members as seen by {}:\n", answer.node);
-    for (const wire::MemberRow& row : answer.report->rows) text += RowText(row);
-    if (!answer.report->handover_to.empty()) {
-      const std::string& from = answer.report->handover_from;
+    text += fmt::format("members as seen by {}:\n", response.node);
+    for (const wire::MemberRow& row : response.report->rows) text += RowText(row);
+    if (!response.report->handover_to.empty()) {
+      const std::string& from = response.report->handover_from;
       text +=
           fmt::format("  last handover: {} to {}, {:.1f} s ago\n", from.empty() ? "nobody" : from,
-                      answer.report->handover_to, Seconds(answer.report->handover_ms_ago));
+                      response.report->handover_to, Seconds(response.report->handover_ms_ago));
     }
   }
   return text;
 }
 
-std::string MembersJson(const std::vector<MembersAnswer>& answers) {
+std::string MembersJson(const std::vector<MembersResponse>& responses) {
   wire::JsonWriter writer;
   writer.StartObject();
   writer.Field("controllers").StartArray();
-  for (const MembersAnswer& answer : answers) WriteAnswer(writer, answer);
+  for (const MembersResponse& response : responses) WriteResponse(writer, response);
   writer.EndArray();
   writer.EndObject();
   return writer.Take();
 }
 
 int RunMembersCommand(const config::Settings& settings, bool json) {
-  const std::vector<MembersAnswer> answers = AskMembers(settings, kTimeoutS);
-  const std::string text = json ? MembersJson(answers) + "\n" : MembersText(answers);
+  const std::vector<MembersResponse> responses = AskMembers(settings, kTimeoutS);
+  const std::string text = json ? MembersJson(responses) + "\n" : MembersText(responses);
   std::fputs(text.c_str(), stdout);
-  for (const MembersAnswer& answer : answers) {
-    if (answer.report) return kAnswered;
+  for (const MembersResponse& response : responses) {
+    if (response.report) return kAnswered;
   }
   std::fputs("no controller answered\n", stderr);
   return kNoAnswer;
--- a/src/cli/members_command.h
+++ b/src/cli/members_command.h
@@ -13,7 +13,7 @@
 namespace hallpier::cli {
 
 // The answer of one controller, or the reason why there is none.
-struct MembersAnswer {
+struct MembersResponse {
   std::string node;
   std::optional<wire::MembersReport> report;  // std::nullopt if there is an error
   std::string error;                          // empty if there is a report
@@ -21,11 +21,11 @@
 
 // Asks all controllers of the settings concurrently, for at most `timeout_s` seconds. Returns the
 // answers with this node's first, the others in the order of the settings.
-std::vector<MembersAnswer> AskMembers(const config::Settings& settings, double timeout_s);
+std::vector<MembersResponse> AskMembers(const config::Settings& settings, double timeout_s);
 
 // Formats the answers as human-readable lines or as one JSON document.
-std::string MembersText(const std::vector<MembersAnswer>& answers);
-std::string MembersJson(const std::vector<MembersAnswer>& answers);
+std::string MembersText(const std::vector<MembersResponse>& responses);
+std::string MembersJson(const std::vector<MembersResponse>& responses);
 
 // Runs the command: asks the controllers and prints their answers to standard output. Returns the
 // exit status: 0 if at least one controller sent a report, 1 if none did.
--- a/src/config/operator_options.cc
+++ b/src/config/operator_options.cc
@@ -91,16 +91,16 @@
 
 std::vector<NumberOption> BlockNumbers(BlockOptions* blocks) {
   return {
-      {"holders", &blocks->holders, 2, 64},
+      {"holders", &blocks->max_owners, 2, 64},
       {"lease_ratio", &blocks->lease_ratio, 0.25, 100},
       {"widen_ratio", &blocks->widen_ratio, 0.01, 100},
   };
 }
 
 void ValidateBlocks(const OperatorOptions& options, std::vector<ConfigError>* errors) {
-  if (options.blocks.holders != std::floor(options.blocks.holders)) {
+  if (options.blocks.max_owners != std::floor(options.blocks.max_owners)) {
     errors->push_back(
-        {"blocks.holders", std::to_string(options.blocks.holders) + " is not a whole number"});
+        {"blocks.holders", std::to_string(options.blocks.max_owners) + " is not a whole number"});
   }
   if (options.blocks.enabled && !options.membership.enabled) {
     errors->push_back({"blocks.enabled", "needs membership.enabled"});
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -22,7 +22,7 @@
 // Enforcement of team limits across controllers (docs/team-limits.md).
 struct BlockOptions {
   bool enabled = false;
-  double holders = 9;        // maximum number of controllers that hold a block of machines
+  double max_owners = 9;     // maximum number of controllers that hold a block of machines
   double lease_ratio = 1;    // silence after which a holder loses its block / heartbeat_interval_s
   double widen_ratio = 0.5;  // waiting time per additional holder of a job / heartbeat_interval_s
 };
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -28,7 +28,7 @@
     : services_(services),
       registry_(registry),
       context_(context),
-      lending_(*services.settings, services.operator_options->blocks) {
+      block_planner_(*services.settings, services.operator_options->blocks) {
   for (const std::string& node : services.settings->OtherNodes()) links_[node];
 }
 
@@ -37,7 +37,7 @@
   retry_grants_.clear();
   for (auto& [node, link] : links_) link = Link();
   last_pause_end_ = Now();
-  lending_.BeginTerm(services_.election->token(), *services_.block_records, Now());
+  block_planner_.BeginTerm(services_.election->token(), *services_.block_records, Now());
   term.Spawn(SendViewsPeriodically());
 }
 
@@ -46,7 +46,7 @@
   // A suspect may still refute the suspicion; if it doesn't respond, its lease expires first.
   const bool present = record && (record->state == model::MemberState::kAlive ||
                                   record->state == model::MemberState::kSuspect);
-  lending_.eligibility().OnMember(
+  block_planner_.eligibility().OnMember(
       node, present ? std::optional(record->incarnation.session) : std::nullopt);
 }
 
@@ -60,14 +60,14 @@
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
-  link.sender.OnAcknowledged(answer.sequence);
+  link.view_builder.OnAcknowledged(answer.sequence);
   auto sent = link.unacknowledged.find(answer.sequence);
   if (sent == link.unacknowledged.end()) return;
-  lending_.eligibility().OnAcknowledged(node, answer.session, answer.can_place, sent->second);
+  block_planner_.eligibility().OnAcknowledged(node, answer.session, answer.can_place, sent->second);
   link.unacknowledged.erase(link.unacknowledged.begin(), std::next(sent));
 }
 
-blocks::CacheState BlockCoordinator::CurrentCopyState() const {
+blocks::CacheState BlockCoordinator::CurrentCacheState() const {
   return {services_.cache->revision(), services_.election->token()};
 }
 
@@ -81,20 +81,20 @@
 }
 
 bool BlockCoordinator::MayPlaceOnAllMachines() const {
-  return !divided() && services_.cache->revision() >= services_.block_records->newest_revision();
+  return !has_owners() && services_.cache->revision() >= services_.block_records->newest_revision();
 }
 
-std::optional<size_t> BlockCoordinator::HolderIndex(uint64_t session) const {
+std::optional<size_t> BlockCoordinator::OwnerIndex(uint64_t session) const {
   return services_.block_records->ActiveOwnerIndex(services_.settings->node, session,
-                                                   CurrentCopyState());
+                                                   CurrentCacheState());
 }
 
-plan::PlacementScope BlockCoordinator::WholeScope() const {
+plan::PlacementScope BlockCoordinator::AllMachinesScope() const {
   return services_.block_records->AllMachinesScope(WideningIntervalS(), services_.time_of_day());
 }
 
-plan::PlacementScope BlockCoordinator::HolderScope(size_t holder) const {
-  return services_.block_records->OwnerScope(holder, WideningIntervalS(), services_.time_of_day(),
+plan::PlacementScope BlockCoordinator::OwnerScope(size_t owner) const {
+  return services_.block_records->OwnerScope(owner, WideningIntervalS(), services_.time_of_day(),
                                              *services_.settings, *services_.job_table);
 }
 
@@ -102,42 +102,42 @@
   const double resumed_at = term_->loop().resumed_at();
   if (resumed_at <= last_pause_end_) return;
   last_pause_end_ = resumed_at;
-  lending_.eligibility().OnPause(Now());
+  block_planner_.eligibility().OnPause(Now());
 }
 
 async::Task<> BlockCoordinator::ReviewAfterRound(const plan::RoundResult& round,
                                                  const plan::PlacementScope* scope) {
   HandlePause();
-  co_await ReviewDivision();
+  co_await UpdateBlockAssignment();
   if (term_->cancelled()) co_return;
   // The shares of the current holders can't be derived from a plan for a different number of
   // holders.
-  const size_t holders = services_.block_records->block_assignment().record().owners.size();
-  if (scope != nullptr && scope->holder_count == holders) {
+  const size_t owners = services_.block_records->block_assignment().record().owners.size();
+  if (scope != nullptr && scope->owner_count == owners) {
     GrantRetries(round, *scope);
-    co_await ReviewShares(round, *scope);
+    co_await UpdateAllocations(round, *scope);
     if (term_->cancelled()) co_return;
   }
-  if (divided() || Now() - views_sent_at_ >= ViewIntervalS()) SendViews();
+  if (has_owners() || Now() - views_sent_at_ >= ViewIntervalS()) SendViews();
 }
 
-async::Task<> BlockCoordinator::ReviewDivision() {
-  const bool all_understand = services_.formats->AllNodesSupportBlocks();
-  auto change = lending_.PlanAssignmentChange(*services_.block_records, CurrentCopyState(),
-                                              all_understand, Now());
+async::Task<> BlockCoordinator::UpdateBlockAssignment() {
+  const bool all_nodes_support_blocks = services_.formats->AllNodesSupportBlocks();
+  auto change = block_planner_.PlanAssignmentChange(*services_.block_records, CurrentCacheState(),
+                                                    all_nodes_support_blocks, Now());
   if (!change) co_return;
   spdlog::info("blocks: division record={}", change->writes[0].value);
   co_await CommitChange(std::move(*change));
 }
 
-async::Task<> BlockCoordinator::ReviewShares(const plan::RoundResult& round,
-                                             const plan::PlacementScope& scope) {
+async::Task<> BlockCoordinator::UpdateAllocations(const plan::RoundResult& round,
+                                                  const plan::PlacementScope& scope) {
   const blocks::WriteLimits limits = {
       static_cast<size_t>(services_.formats->max_transaction_writes()),
       services_.formats->max_value_bytes()};
-  auto change = lending_.PlanAllocationChange(*services_.block_records, CurrentCopyState(),
-                                              *services_.job_table, registry_, context_, round,
-                                              scope, limits);
+  auto change = block_planner_.PlanAllocationChange(*services_.block_records, CurrentCacheState(),
+                                                    *services_.job_table, registry_, context_,
+                                                    round, scope, limits);
   if (!change) co_return;
   for (const model::KeyWrite& write : change->writes) {
     spdlog::debug("blocks: share key={} record={}", write.key, write.value);
@@ -171,32 +171,32 @@
   const std::set<std::string> retried(round.retried_jobs.begin(), round.retried_jobs.end());
   for (const jobs::TaskTransition& placement : round.placements) {
     if (!retried.contains(placement.task.job)) continue;
-    const std::optional<size_t> holder = scope.holder_of(placement.machine);
-    if (!holder) continue;
-    retry_grants_[placement.task.job] = {*holder, Now() + services_.settings->heartbeat_interval_s};
+    const std::optional<size_t> owner = scope.owner_of(placement.machine);
+    if (!owner) continue;
+    retry_grants_[placement.task.job] = {*owner, Now() + services_.settings->heartbeat_interval_s};
   }
 }
 
-std::set<std::string> BlockCoordinator::RetriesGrantedTo(size_t holder) const {
+std::set<std::string> BlockCoordinator::RetriesGrantedTo(size_t owner) const {
   std::set<std::string> granted;
   for (const auto& [job, grant] : retry_grants_) {
-    if (grant.holder == holder) granted.insert(job);
+    if (grant.owner == owner) granted.insert(job);
   }
   return granted;
 }
 
 void BlockCoordinator::SendViews() {
   views_sent_at_ = Now();
-  const blocks::BlockAssignment& division = services_.block_records->block_assignment();
+  const blocks::BlockAssignment& block_assignment = services_.block_records->block_assignment();
   std::vector<model::MachineView> machines;
-  if (divided()) machines = blocks::DescribeMachines(registry_, *services_.job_table, Now());
+  if (has_owners()) machines = blocks::DescribeMachines(registry_, *services_.job_table, Now());
   for (auto& [node, link] : links_) {
     if (!services_.formats->SupportsBlocks(node)) continue;
-    const std::optional<size_t> holder = division.IndexOf(node);
+    const std::optional<size_t> owner = block_assignment.IndexOf(node);
     std::vector<model::JobFailures> failures;
-    if (holder) failures = registry_.failure_tracker().DescribeFailures(RetriesGrantedTo(*holder));
-    for (const wire::BlockView& view : link.sender.BuildViews(
-             services_.election->token(), division, holder, machines, std::move(failures))) {
+    if (owner) failures = registry_.failure_tracker().DescribeFailures(RetriesGrantedTo(*owner));
+    for (const wire::BlockView& view : link.view_builder.BuildViews(
+             services_.election->token(), block_assignment, owner, machines, std::move(failures))) {
       link.unacknowledged[view.sequence] = Now();
       services_.send(node, view);
     }
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -38,16 +38,16 @@
   void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
 
   // True while blocks have holders, according to the records known to this node.
-  bool divided() const { return services_.block_records->block_assignment().has_owners(); }
+  bool has_owners() const { return services_.block_records->block_assignment().has_owners(); }
   // True if the leader may place on all machines, limited by the full quotas: no block has a
   // holder, and the watch cache contains every placement that was made while some block had one.
   bool MayPlaceOnAllMachines() const;
   // Returns this node's index among the holders, or std::nullopt if it may not place on a block
   // now. `session` is the membership session of this process.
-  std::optional<size_t> HolderIndex(uint64_t session) const;
+  std::optional<size_t> OwnerIndex(uint64_t session) const;
   // Return the scope of a plan over all machines and of a plan over one holder's block.
-  plan::PlacementScope WholeScope() const;
-  plan::PlacementScope HolderScope(size_t holder) const;
+  plan::PlacementScope AllMachinesScope() const;
+  plan::PlacementScope OwnerScope(size_t owner) const;
 
   // Called after a plan over all machines: writes the necessary changes of the division and the
   // shares, and sends holders their updates. `scope` is the scope of the plan, null if the machines
@@ -57,26 +57,27 @@
  private:
   // The views that were sent to a node over its current link.
   struct Link {
-    blocks::BlockViewBuilder sender;
+    blocks::BlockViewBuilder view_builder;
     // When the views without an acknowledgement were sent (steady time), by sequence number.
     std::map<uint64_t, double> unacknowledged;
   };
   // Permits a holder to retry a job that fails on every machine.
   struct RetryGrant {
-    size_t holder = 0;
+    size_t owner = 0;
     double expires_at = 0;  // steady time
   };
   // Sends views at regular intervals, so that holders' leases are renewed even without rounds.
   async::Task<> SendViewsPeriodically();
   // Tells the lending state about a pause of this process that it has not handled yet.
   void HandlePause();
-  async::Task<> ReviewDivision();
-  async::Task<> ReviewShares(const plan::RoundResult& round, const plan::PlacementScope& scope);
+  async::Task<> UpdateBlockAssignment();
+  async::Task<> UpdateAllocations(const plan::RoundResult& round,
+                                  const plan::PlacementScope& scope);
   async::Task<> CommitChange(blocks::RecordChange change);
   void GrantRetries(const plan::RoundResult& round, const plan::PlacementScope& scope);
-  std::set<std::string> RetriesGrantedTo(size_t holder) const;
+  std::set<std::string> RetriesGrantedTo(size_t owner) const;
   void SendViews();
-  blocks::CacheState CurrentCopyState() const;
+  blocks::CacheState CurrentCacheState() const;
   // Seconds after which one more holder may place a waiting job
   // (blocks::BlockAssignment::MayPlace).
   double WideningIntervalS() const;
@@ -87,7 +88,7 @@
   const NodeServices& services_;
   const fleet::WorkerRegistry& registry_;
   const plan::PlanningContext& context_;
-  blocks::BlockPlanner lending_;
+  blocks::BlockPlanner block_planner_;
   async::Scope* term_ = nullptr;
   std::map<std::string, Link> links_;               // to all other nodes in the settings
   std::map<std::string, RetryGrant> retry_grants_;  // by job
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -38,7 +38,7 @@
       machines_(RegistryOptions(*services.settings)),
       committer_(services, CommitHooks(trigger_)) {
   context_.settings = services.settings;
-  context_.operators = services.operator_options;
+  context_.operator_options = services.operator_options;
 }
 
 bool BlockPlacementLoop::CanPlace() const {
@@ -55,16 +55,17 @@
   return wire::BlockAcknowledgement{*sequence, services_.session(), CanPlace()};
 }
 
-std::optional<size_t> BlockPlacementLoop::HolderIndex() const {
+std::optional<size_t> BlockPlacementLoop::OwnerIndex() const {
   // A leader places in its own rounds. After a pause the watch cache must first catch up: tasks may
   // have been cancelled in the meantime.
   const bool paused = services_.cache->current_as_of() < services_.scope->loop().resumed_at();
   if (services_.election->leading() || paused || services_.formats->change_pending()) {
     return std::nullopt;
   }
-  const blocks::CacheState copy = {services_.cache->revision(), services_.cache->fencing_token()};
+  const blocks::CacheState cache_state = {services_.cache->revision(),
+                                          services_.cache->fencing_token()};
   return services_.block_records->ActiveOwnerIndex(services_.settings->node, services_.session(),
-                                                   copy);
+                                                   cache_state);
 }
 
 async::Task<> BlockPlacementLoop::Run() {
@@ -84,14 +85,14 @@
   }
 }
 
-plan::RoundResult BlockPlacementLoop::Plan(size_t holder) {
+plan::RoundResult BlockPlacementLoop::Plan(size_t owner) {
   const double now = Now();
   const double time_of_day = services_.time_of_day();
   context_.machine_types = *services_.machine_types;
   const double widening_interval_s =
       services_.operator_options->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
   const plan::PlacementScope scope = services_.block_records->OwnerScope(
-      holder, widening_interval_s, time_of_day, *services_.settings, *services_.job_table);
+      owner, widening_interval_s, time_of_day, *services_.settings, *services_.job_table);
   plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, machines_.registry(),
                                            now, time_of_day, &scope);
   last_planning_s_ = Now() - now;
@@ -109,17 +110,17 @@
     RequestRound();
     co_return;
   }
-  const std::optional<size_t> holder = HolderIndex();
-  if (!holder) co_return;
-  plan::RoundResult plan = Plan(*holder);
+  const std::optional<size_t> owner = OwnerIndex();
+  if (!owner) co_return;
+  plan::RoundResult plan = Plan(*owner);
   for (const std::string& job : plan.retried_jobs) {
     machines_.registry().failure_tracker().OnRetry(job, Now());
   }
   if (plan.placements.empty()) co_return;
-  spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *holder, plan.waiting_tasks,
+  spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *owner, plan.waiting_tasks,
                plan.placements.size(), last_planning_s_ * kMsPerS);
   jobs::TransactionLimits limits =
-      committer_.Limits(services_.block_records->PlacementPreconditions(*holder));
+      committer_.Limits(services_.block_records->PlacementPreconditions(*owner));
   limits.placements_only = true;
   limits.concurrent_placement = true;
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -31,10 +31,10 @@
  private:
   async::Task<> RunRound();
   // Returns this node's index among the holders, or std::nullopt if it may not place now.
-  std::optional<size_t> HolderIndex() const;
+  std::optional<size_t> OwnerIndex() const;
   // True if the key-value store responds to this node and the watch cache is current.
   bool CanPlace() const;
-  plan::RoundResult Plan(size_t holder);
+  plan::RoundResult Plan(size_t owner);
   double Now() const { return services_.scope->loop().Now(); }
 
   const NodeServices& services_;
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -16,13 +16,13 @@
                   services.settings->heartbeat_interval_s},
                  services.settings->OtherNodes()) {}
 
-std::optional<wire::CancellationReportRequest> CancellationExchange::RequestFor(
+std::optional<wire::CancellationReportRequest> CancellationExchange::BuildReportRequest(
     const std::string& node) {
   watermark_.OnCacheConfirmed(services_.cache->current_as_of());
   const double now = services_.scope->loop().Now();
   const bool needs_reports = services_.client->down() || watermark_.CacheIsStale(now);
   if (!services_.election->leading() || !needs_reports) return std::nullopt;
-  return watermark_.RequestFor(node, services_.cache->revision());
+  return watermark_.BuildReportRequest(node, services_.cache->revision());
 }
 
 wire::CancellationReport CancellationExchange::Report(
--- a/src/controller/cancellation_exchange.h
+++ b/src/controller/cancellation_exchange.h
@@ -22,7 +22,7 @@
 
   // Returns the request to send to a node now, or std::nullopt if no report is needed or this node
   // does not lead.
-  std::optional<wire::CancellationReportRequest> RequestFor(const std::string& node);
+  std::optional<wire::CancellationReportRequest> BuildReportRequest(const std::string& node);
   // Returns the response to a leader that can't reach the key-value store.
   wire::CancellationReport Report(const wire::CancellationReportRequest& request) const;
   // Handles a node's response to a request that was sent at `requested_at` (steady time, s).
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -85,12 +85,12 @@
       term, worker->endpoint, std::move(request),
       kCommandTimeoutRatio * services_.settings->heartbeat_interval_s, false);
   const bool answered = response && (response->status == kOk || response->status == kConflict);
-  if (answered) OnWorkerReport(response->body, token);
+  if (answered) OnStatusReport(response->body, token);
   fleet::OnDirectCommandFinished(registry_, machine, commands, token, answered);
   co_return true;
 }
 
-void CommandDispatcher::OnWorkerReport(const std::string& body, model::FencingToken token) {
+void CommandDispatcher::OnStatusReport(const std::string& body, model::FencingToken token) {
   auto report = wire::ReadHeartbeat(body);
   if (!report) return;
   if (report->token > token) services_.election->OnTokenSeen(report->token);
--- a/src/controller/command_dispatcher.h
+++ b/src/controller/command_dispatcher.h
@@ -35,7 +35,7 @@
   // True if a machine is known, has reported, and has answered its last direct command.
   static bool IsReachable(const fleet::Machine* machine);
   // Handles the report in a worker's response. `token` is the token that the command was sent with.
-  void OnWorkerReport(const std::string& body, model::FencingToken token);
+  void OnStatusReport(const std::string& body, model::FencingToken token);
 
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -62,7 +62,7 @@
   const auto users = static_cast<size_t>(settings.max_sockets * kUserSocketShare);
   net::HttpServer::Limits limits;
   limits.max_connections = workers + users;
-  limits.max_body = kMaxRequestBodyBytes;
+  limits.max_body_bytes = kMaxRequestBodyBytes;
   // A worker that sends nothing for this long has lost its lease; users send requests far more
   // often.
   limits.idle_s = settings.lease_s;
@@ -211,9 +211,9 @@
   hooks->on_member_probe = [this](const wire::MemberProbe& probe) {
     return membership_->OnProbe(probe);
   };
-  hooks->on_member_answer = [this](const std::string& node,
-                                   const wire::MemberProbeResponse& answer) {
-    membership_->OnAnswer(node, answer);
+  hooks->on_member_probe_response = [this](const std::string& node,
+                                           const wire::MemberProbeResponse& answer) {
+    membership_->OnProbeResponse(node, answer);
   };
   hooks->members_report = [this] { return membership_->Report(); };
 }
@@ -223,7 +223,7 @@
     return formats_.SupportsCancellationReports(node);
   };
   hooks->cancellation_report_request = [this](const std::string& node) {
-    return cancellations_.RequestFor(node);
+    return cancellations_.BuildReportRequest(node);
   };
   hooks->cancellation_report = [this](const wire::CancellationReportRequest& request) {
     return cancellations_.Report(request);
--- a/src/controller/finished_jobs.cc
+++ b/src/controller/finished_jobs.cc
@@ -30,7 +30,7 @@
     lines.push_back(fmt::format(
         "job {}: job={} class={} seconds={:.1f} tasks={} cpus={} mean_run_seconds={:.1f}",
         job->cancelled ? "cancelled" : "done", job_key->job, job->spec.job_class,
-        time_of_day - job->submitted, job->spec.tasks, job->spec.cpus,
+        time_of_day - job->submitted_at, job->spec.tasks, job->spec.cpus,
         job->MeanRunTimeS().value_or(0)));
   }
   return lines;
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -30,7 +30,7 @@
 plan::PlanningContext MakeContext(const NodeServices& services) {
   plan::PlanningContext context;
   context.settings = services.settings;
-  context.operators = services.operator_options;
+  context.operator_options = services.operator_options;
   return context;
 }
 
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -22,12 +22,12 @@
                      CancellationExchange& cancellations, const net::PeerMesh& peers)
       : membership_(membership), cancellations_(cancellations), peers_(peers) {}
 
-  bool MayBecomeLeader() const override { return !membership_ || membership_->MayLead(); }
+  bool MayBecomeLeader() const override { return !membership_ || membership_->MayBecomeLeader(); }
   std::vector<model::Precondition> AcquirePreconditions() const override {
     return membership_ ? membership_->LeadershipPreconditions()
                        : std::vector<model::Precondition>();
   }
-  double AcquireDelayS() const override { return membership_ ? membership_->TakeDelayS() : 0; }
+  double AcquireDelayS() const override { return membership_ ? membership_->AcquireDelayS() : 0; }
   // Only with a membership does a leader yield because the key-value store refuses it alone.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -10,8 +10,8 @@
   std::visit(store::Overloaded{
                  [&](const store::LeaderKeyName&) { OnLeader(value); },
                  [&](const store::MemberKeyName& name) { OnMember(name.node, value); },
-                 [&](const store::DivisionKeyName&) { OnDivision(key, value); },
-                 [&](const store::ShareKeyName& name) { OnShare(name.node, key, value); },
+                 [&](const store::BlockAssignmentKeyName&) { OnBlockAssignment(key, value); },
+                 [&](const store::AllocationKeyName& name) { OnAllocation(name.node, key, value); },
                  [&](const store::MachineTypesKeyName& name) { OnMachineTypes(name.page, value); },
                  [&](const store::FormatKeyName& name) {
                    services_.job_table->Apply(name, value);
@@ -48,7 +48,7 @@
                                    value.empty() ? std::nullopt : membership::ReadMember(value));
 }
 
-void RecordDispatcher::OnDivision(const std::string& key, const std::string& value) {
+void RecordDispatcher::OnBlockAssignment(const std::string& key, const std::string& value) {
   blocks::BlockRecords& records = *services_.block_records;
   records.SetBlockAssignment(value, services_.cache->Version(key));
   services_.client->SetOtherNodesPlaceTasks(services_.operator_options->blocks.enabled &&
@@ -56,8 +56,8 @@
   RequestBlockRound();
 }
 
-void RecordDispatcher::OnShare(const std::string& node, const std::string& key,
-                               const std::string& value) {
+void RecordDispatcher::OnAllocation(const std::string& node, const std::string& key,
+                                    const std::string& value) {
   services_.block_records->SetAllocation(node, value, services_.cache->Version(key));
   RequestBlockRound();
 }
--- a/src/controller/record_dispatcher.h
+++ b/src/controller/record_dispatcher.h
@@ -36,8 +36,8 @@
  private:
   void OnLeader(const std::string& value);
   void OnMember(const std::string& node, const std::string& value);
-  void OnDivision(const std::string& key, const std::string& value);
-  void OnShare(const std::string& node, const std::string& key, const std::string& value);
+  void OnBlockAssignment(const std::string& key, const std::string& value);
+  void OnAllocation(const std::string& node, const std::string& key, const std::string& value);
   void OnMachineTypes(uint32_t page, const std::string& value);
   void OnJob(const store::JobKeyName& key, const std::string& value);
   void OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value);
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -100,7 +100,7 @@
 }
 
 wire::HttpResponse RequestRouter::HandleHeartbeat(const std::string& body) {
-  if (membership_) membership_->OnWorkerReport();
+  if (membership_) membership_->OnHeartbeat();
   const election::LeaderElection& election = *services_.election;
   if (!election.leading()) {
     const std::string leader = election.leader();
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -135,7 +135,8 @@
       fleet::CollectTaskTransitions(parts_.registry, *services_.job_table, started_at);
   LogRequeued(transitions);
   std::optional<plan::PlacementScope> scope;
-  if (parts_.blocks != nullptr && parts_.blocks->divided()) scope = parts_.blocks->WholeScope();
+  if (parts_.blocks != nullptr && parts_.blocks->has_owners())
+    scope = parts_.blocks->AllMachinesScope();
   const plan::PlacementScope* plan_scope = scope ? &*scope : nullptr;
   plan::RoundResult plan = Plan(started_at, plan_scope);
   parts_.scaling.SetDemands(std::move(plan.demands));
@@ -184,22 +185,22 @@
     decision.placements = std::move(plan.placements);
     co_return decision;
   }
-  const std::optional<size_t> holder = parts_.blocks->HolderIndex(services_.session());
-  if (!holder) {
+  const std::optional<size_t> owner = parts_.blocks->OwnerIndex(services_.session());
+  if (!owner) {
     // The watch cache has not passed the latest writes yet, or this node holds no block.
     parts_.trigger.Request();
     co_return decision;
   }
-  co_return PlaceOnOwnBlock(*holder);
+  co_return PlaceOnOwnBlock(*owner);
 }
 
-RoundRunner::PlacementDecision RoundRunner::PlaceOnOwnBlock(size_t holder) {
-  const plan::PlacementScope own_scope = parts_.blocks->HolderScope(holder);
+RoundRunner::PlacementDecision RoundRunner::PlaceOnOwnBlock(size_t owner) {
+  const plan::PlacementScope own_scope = parts_.blocks->OwnerScope(owner);
   const double started_at = services_.scope->loop().Now();
   plan::RoundResult plan = plan::PlanRound(parts_.context, *services_.job_table, parts_.registry,
                                            started_at, services_.time_of_day(), &own_scope);
   last_planning_s_ += services_.scope->loop().Now() - started_at;
-  return {std::move(plan.placements), services_.block_records->PlacementPreconditions(holder)};
+  return {std::move(plan.placements), services_.block_records->PlacementPreconditions(owner)};
 }
 
 async::Task<> RoundRunner::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
@@ -209,7 +210,7 @@
     co_return;
   }
   jobs::TransactionLimits limits = committer_.Limits(std::move(preconditions));
-  limits.concurrent_placement = parts_.blocks != nullptr && parts_.blocks->divided();
+  limits.concurrent_placement = parts_.blocks != nullptr && parts_.blocks->has_owners();
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
   auto transactions = jobs::BuildTransactions(*services_.job_table, transitions, limits, version);
   LogTransactions(transactions);
--- a/src/controller/round_runner.h
+++ b/src/controller/round_runner.h
@@ -63,7 +63,7 @@
   async::Task<PlacementDecision> DecidePlacements(async::Scope& term, plan::RoundResult& plan,
                                                   const plan::PlacementScope* scope);
   // Returns the placements on this node's own block.
-  PlacementDecision PlaceOnOwnBlock(size_t holder);
+  PlacementDecision PlaceOnOwnBlock(size_t owner);
   // Builds transactions from the transitions of a round and sends them.
   async::Task<> Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                        std::vector<model::Precondition> preconditions);
--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -38,8 +38,8 @@
   cache_confirmed_at_ = std::max(cache_confirmed_at_, as_of);
 }
 
-wire::CancellationReportRequest CancellationWatermark::RequestFor(const std::string& node,
-                                                                  uint64_t revision) const {
+wire::CancellationReportRequest CancellationWatermark::BuildReportRequest(const std::string& node,
+                                                                          uint64_t revision) const {
   // Revisions are the same on all nodes. Therefore this node knows what one process of the other
   // node has reported, even if another process of that node answers the next request.
   return {std::max(revision, reports_.at(node).known_through)};
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -36,7 +36,8 @@
   // Called when this node's copy of the state is known to contain everything recorded by `as_of`.
   void OnCacheConfirmed(double as_of);
   // Returns the request to a node. `revision`: this node's copy is complete up to it.
-  wire::CancellationReportRequest RequestFor(const std::string& node, uint64_t revision) const;
+  wire::CancellationReportRequest BuildReportRequest(const std::string& node,
+                                                     uint64_t revision) const;
   // Called with a node's answer to a request that was sent at `requested_at`. Requires that the
   // caller has applied the cancellations in the answer.
   void OnCancellationReport(const std::string& node, double requested_at,
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -17,25 +17,25 @@
 }  // namespace
 
 LeaderElection::LeaderElection(async::Scope& scope, const config::Settings& settings,
-                               const config::OperatorOptions& operators, store::Client& client,
-                               store::WatchCache& cache, const ElectionPolicy& policy,
-                               TermStarter start_term)
+                               const config::OperatorOptions& operator_options,
+                               store::Client& client, store::WatchCache& cache,
+                               const ElectionPolicy& policy, TermStarter start_term)
     : scope_(scope),
       settings_(settings),
-      operators_(operators),
+      operator_options_(operator_options),
       client_(client),
       cache_(cache),
       policy_(policy),
       start_term_(std::move(start_term)) {}
 
 double LeaderElection::LeaseTtlS() const {
-  return operators_.leader_ttl_ratio * settings_.heartbeat_interval_s;
+  return operator_options_.leader_ttl_ratio * settings_.heartbeat_interval_s;
 }
 
 double LeaderElection::RenewalIntervalS() const { return LeaseTtlS() / kRenewalsPerLease; }
 
 double LeaderElection::OutageAnswerWindowS() const {
-  return operators_.blind_ratio * settings_.lease_s;
+  return operator_options_.blind_ratio * settings_.lease_s;
 }
 
 double LeaderElection::MaxRenewalGapS() const {
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -36,7 +36,7 @@
 
   // All references must outlive the election. `policy` is not queried before Run() is started.
   LeaderElection(async::Scope& scope, const config::Settings& settings,
-                 const config::OperatorOptions& operators, store::Client& client,
+                 const config::OperatorOptions& operator_options, store::Client& client,
                  store::WatchCache& cache, const ElectionPolicy& policy, TermStarter start_term);
 
   // The coroutine of the election. Runs until the scope is cancelled.
@@ -107,7 +107,7 @@
 
   async::Scope& scope_;
   const config::Settings& settings_;
-  const config::OperatorOptions& operators_;
+  const config::OperatorOptions& operator_options_;
   store::Client& client_;
   store::WatchCache& cache_;
   const ElectionPolicy& policy_;
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -21,11 +21,12 @@
 // The last state that a worker reported for a task.
 struct ReportedTask {
   uint64_t attempt = 0;
-  model::TaskPhase state = model::TaskPhase::kFetching;
+  model::TaskPhase phase = model::TaskPhase::kFetching;
   model::ExitCause cause = model::ExitCause::kNone;
-  double since = 0;               // time of the first report of this state
-  bool start_observed = false;    // this leader observed the start, so `since` gives the run time
-  double run_s = 0;               // run time of an exited task; 0 if unknown
+  double phase_since = 0;  // time of the first report of this state
+  bool start_observed =
+      false;         // this leader observed the start, so `phase_since` gives the run time
+  double run_s = 0;  // run time of an exited task; 0 if unknown
   bool run_time_sampled = false;  // the slowness estimate already includes its run time
 };
 
--- a/src/fleet/machine_views.cc
+++ b/src/fleet/machine_views.cc
@@ -17,20 +17,20 @@
   model::TaskView view;
   view.task = task;
   view.attempt = reported.attempt;
-  view.phase = reported.state;
+  view.phase = reported.phase;
   view.cause = reported.cause;
   view.start_observed = reported.start_observed;
-  view.phase_age_ms = static_cast<uint64_t>(std::max(0.0, now - reported.since) * kMsPerS);
+  view.phase_age_ms = static_cast<uint64_t>(std::max(0.0, now - reported.phase_since) * kMsPerS);
   return view;
 }
 
 ReportedTask TaskFromView(const model::TaskView& view, double now) {
   ReportedTask reported;
   reported.attempt = view.attempt;
-  reported.state = view.phase;
+  reported.phase = view.phase;
   reported.cause = view.cause;
   reported.start_observed = view.start_observed;
-  reported.since = now - static_cast<double>(view.phase_age_ms) / kMsPerS;
+  reported.phase_since = now - static_cast<double>(view.phase_age_ms) / kMsPerS;
   return reported;
 }
 
--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -30,7 +30,7 @@
                                                          const model::TaskId& task,
                                                          const ReportedTask& reported,
                                                          model::FencingToken token) {
-  if (reported.state != model::TaskPhase::kExited) {
+  if (reported.phase != model::TaskPhase::kExited) {
     return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, 0};
   }
   // While a start command may still arrive, the agent ignores it only because it still has the
@@ -48,11 +48,11 @@
 std::optional<model::WorkerCommand> StopCommandFor(const model::TaskId& task,
                                                    const ReportedTask& reported, bool cancelled,
                                                    const StopRequests& stop_requests) {
-  if (reported.state == model::TaskPhase::kExited) return std::nullopt;
+  if (reported.phase == model::TaskPhase::kExited) return std::nullopt;
   if (!cancelled && !stop_requests.Contains(task, reported.attempt)) return std::nullopt;
   const double grace_s = cancelled ? 0 : stop_requests.GraceSeconds(task);
   // A task that is already writing its checkpoint needs no second command.
-  if (grace_s > 0 && reported.state == model::TaskPhase::kCheckpointing) return std::nullopt;
+  if (grace_s > 0 && reported.phase == model::TaskPhase::kCheckpointing) return std::nullopt;
   return model::WorkerCommand{model::CommandKind::kStop, task, reported.attempt, grace_s};
 }
 
@@ -124,7 +124,7 @@
                                                        const jobs::JobTable& job_table) {
   std::vector<model::WorkerCommand> commands;
   for (const auto& [task, reported] : machine.reported_tasks) {
-    if (reported.state == model::TaskPhase::kExited) continue;
+    if (reported.phase == model::TaskPhase::kExited) continue;
     const jobs::Job* job = job_table.Find(task.job);
     // An unknown job may have been submitted after the table was read.
     if (job == nullptr || !job->cancelled) continue;
--- a/src/fleet/slowness_estimate.cc
+++ b/src/fleet/slowness_estimate.cc
@@ -15,12 +15,12 @@
 
 // Returns the run time in seconds to compare with the mean of the job; 0 if there is none yet.
 double ComparableRunTime(const Machine& machine, const ReportedTask& reported, double mean_s) {
-  if (reported.state == model::TaskPhase::kExited && reported.cause == model::ExitCause::kDone) {
+  if (reported.phase == model::TaskPhase::kExited && reported.cause == model::ExitCause::kDone) {
     return reported.run_s;
   }
-  if (reported.state != model::TaskPhase::kRunning || !reported.start_observed) return 0;
+  if (reported.phase != model::TaskPhase::kRunning || !reported.start_observed) return 0;
   // Ends at the last status report, not now: the task may have exited since.
-  const double run_s = machine.agent.last_status - reported.since;
+  const double run_s = machine.agent.last_status - reported.phase_since;
   // The run time of a running task is a lower bound: it is a sample only once it is far too long.
   return run_s > kSlowRatio * mean_s ? run_s : 0;
 }
--- a/src/fleet/task_outcomes.cc
+++ b/src/fleet/task_outcomes.cc
@@ -37,7 +37,7 @@
   transition.machine = placement.machine;
   transition.run_s = exit.run_s;
   transition.machine_type = machine.machine_type;
-  transition.known_for_s = now - exit.since;
+  transition.known_for_s = now - exit.phase_since;
   return transition;
 }
 
@@ -59,7 +59,7 @@
     auto reported = machine->reported_tasks.find(placement.task);
     const bool is_reported =
         reported != machine->reported_tasks.end() && reported->second.attempt == placement.attempt;
-    if (is_reported && reported->second.state == model::TaskPhase::kExited) {
+    if (is_reported && reported->second.phase == model::TaskPhase::kExited) {
       return OutcomeOfExit(placement, *machine, reported->second, all_tasks_ended);
     }
     if (!is_reported && IsProvenNeverStarted(placement, *machine)) {
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -96,7 +96,7 @@
 }
 
 bool IsUnchanged(const ReportedTask* previous, const model::TaskStatus& status) {
-  return previous != nullptr && previous->state == status.state && previous->cause == status.cause;
+  return previous != nullptr && previous->phase == status.phase && previous->cause == status.cause;
 }
 
 // Returns the entry for a newly reported state. `previous`: the attempt's last report, or null.
@@ -104,15 +104,15 @@
                               bool start_was_sent, double now) {
   ReportedTask reported;
   reported.attempt = status.attempt;
-  reported.state = status.state;
+  reported.phase = status.phase;
   reported.cause = status.cause;
-  reported.since = now;
-  if (status.state == model::TaskPhase::kRunning) {
+  reported.phase_since = now;
+  if (status.phase == model::TaskPhase::kRunning) {
     reported.start_observed = previous != nullptr || start_was_sent;
   }
-  if (status.state == model::TaskPhase::kExited && previous != nullptr &&
-      previous->state == model::TaskPhase::kRunning && previous->start_observed) {
-    reported.run_s = now - previous->since;
+  if (status.phase == model::TaskPhase::kExited && previous != nullptr &&
+      previous->phase == model::TaskPhase::kRunning && previous->start_observed) {
+    reported.run_s = now - previous->phase_since;
   }
   return reported;
 }
@@ -122,7 +122,7 @@
   return std::any_of(after.begin(), after.end(), [&](const auto& entry) {
     const auto& [task, reported] = entry;
     auto old = before.find(task);
-    return old == before.end() || old->second.state != reported.state ||
+    return old == before.end() || old->second.phase != reported.phase ||
            old->second.attempt != reported.attempt;
   });
 }
@@ -233,7 +233,7 @@
 void WorkerRegistry::CountFailure(const Machine& machine, const model::TaskStatus& status,
                                   double now) {
   // A task that fails before any heartbeat has reported it alive counts like any other failure.
-  if (status.state != model::TaskPhase::kExited) return;
+  if (status.phase != model::TaskPhase::kExited) return;
   if (status.cause == model::ExitCause::kDone) {
     failure_tracker_.OnSuccess(status.task.job, machine.name);
   }
@@ -351,7 +351,7 @@
   for (auto& [name, machine] : machines_) {
     for (const auto& [task, reported] : machine.reported_tasks) {
       const jobs::Job* job = job_table.Find(task.job);
-      const bool runs = reported.state == model::TaskPhase::kRunning;
+      const bool runs = reported.phase == model::TaskPhase::kRunning;
       if (job != nullptr && runs) RecordImage(machine, job->spec.image);
     }
     UpdateSlowness(machine, job_table);
--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -110,13 +110,13 @@
           std::max(node.state.runnable_since, awaited.final_record.recorded_at);
       continue;
     }
-    ++node.pending_awaits;
+    ++node.pending_dependencies;
     auto unfinished = nodes_.find(awaited_id);
     const bool is_cancelled =
         awaited.ended || (unfinished != nodes_.end() && unfinished->second.state.cancelled);
     upstream_cancelled = upstream_cancelled || is_cancelled;
   }
-  node.state.blocked = node.pending_awaits > 0;
+  node.state.blocked = node.pending_dependencies > 0;
   // The initial load delivers records in any order: dependents may have been added before this job.
   RecomputeUrgency(id, node);
   if (upstream_cancelled) {
@@ -222,8 +222,8 @@
   auto entry = nodes_.find(id);
   if (entry == nodes_.end()) return;
   Node& node = entry->second;
-  --node.pending_awaits;
-  node.state.blocked = node.pending_awaits > 0;
+  --node.pending_dependencies;
+  node.state.blocked = node.pending_dependencies > 0;
   // A final record without a time was written before the change of record formats. Jobs that await
   // others are submitted after that change, so the submission is the later of both and is kept.
   node.state.runnable_since = std::max(node.state.runnable_since, final_record.recorded_at);
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -70,7 +70,7 @@
   // An unfinished job.
   struct Node {
     std::vector<std::string> dependencies;  // no duplicates
-    size_t pending_awaits = 0;              // those not known to be done
+    size_t pending_dependencies = 0;        // those not known to be done
     bool cancelled_by_record = false;       // in its own record
     // The job's own values, without those of its dependents.
     model::Priority own_priority = model::Priority::kBestEffort;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -16,7 +16,7 @@
   explicit Job(TaskGroups task_groups) : groups(std::move(task_groups)) {}
 
   model::JobSpec spec;
-  double submitted = 0;            // seconds since the Unix epoch
+  double submitted_at = 0;         // seconds since the Unix epoch
   bool uses_common_layout = true;  // its record has no group size
   // In its own record, or because it depends on a cancelled job. Its tasks are no longer placed.
   bool cancelled = false;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -144,7 +144,7 @@
   Job& job = known == jobs_.end() ? AddJob(*record) : known->second;
   dependency_graph_.AddOrUpdate(*record);
   job.spec = std::move(record->spec);
-  job.submitted = record->submitted_at;
+  job.submitted_at = record->submitted_at;
 }
 
 TaskGroups* JobTable::FindGroups(const std::string& id) {
@@ -161,11 +161,11 @@
   groups.Set(number, std::move(group));
 }
 
-void JobTable::SetGroupsOfWhole(const std::string& id, TaskGroups& groups, uint32_t whole,
-                                const std::optional<store::TaskGroup>& value) {
+void JobTable::SetGroupsOfBaseGroup(const std::string& id, TaskGroups& groups, uint32_t base_group,
+                                    const std::optional<store::TaskGroup>& value) {
   const store::TaskGroupLayout& layout = groups.layout();
   for (uint32_t part = 0; part < layout.parts_per_base_group; ++part) {
-    const uint32_t number = whole * layout.parts_per_base_group + part;
+    const uint32_t number = base_group * layout.parts_per_base_group + part;
     if (groups.PartStored(number)) continue;
     std::optional<store::TaskGroup> group;
     const bool with_runs = part == 0;
@@ -195,7 +195,7 @@
   } else if (parts == 1) {
     SetGroup(key.job, *groups, key.task_group, std::move(task_group));
   } else {
-    SetGroupsOfWhole(key.job, *groups, key.task_group, task_group);
+    SetGroupsOfBaseGroup(key.job, *groups, key.task_group, task_group);
   }
   auto without_job = groups_without_job_.find(key.job);
   if (without_job != groups_without_job_.end() && without_job->second.StoredKeys(key.job).empty()) {
@@ -261,7 +261,7 @@
 std::optional<store::JobRecord> JobTable::Record(const std::string& id) const {
   const Job* job = Find(id);
   if (job == nullptr) return std::nullopt;
-  return store::JobRecord{job->spec, job->submitted, dependency_graph_.CancelledByOwnRecord(id),
+  return store::JobRecord{job->spec, job->submitted_at, dependency_graph_.CancelledByOwnRecord(id),
                           job->uses_common_layout ? 0 : job->groups.layout().tasks_per_base_group};
 }
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -83,8 +83,8 @@
   void SetGroup(const std::string& id, TaskGroups& groups, uint32_t number,
                 std::optional<store::TaskGroup> group);
   // Sets the groups of a whole from its value, except for those stored under separate keys.
-  void SetGroupsOfWhole(const std::string& id, TaskGroups& groups, uint32_t whole,
-                        const std::optional<store::TaskGroup>& value);
+  void SetGroupsOfBaseGroup(const std::string& id, TaskGroups& groups, uint32_t base_group,
+                            const std::optional<store::TaskGroup>& value);
   void SetCommonLayout(const store::TaskGroupLayout& layout);
   // Updates placements_by_machine_ for a group that changes from `before` to `after`; nullptr
   // stands for a group without tasks.
--- a/src/jobs/task_groups.cc
+++ b/src/jobs/task_groups.cc
@@ -74,7 +74,7 @@
 }
 
 void TaskGroups::SetStored(const store::TaskGroupKeyName& key, bool stored) {
-  std::set<uint32_t>& keys = key.part ? stored_parts_ : stored_wholes_;
+  std::set<uint32_t>& keys = key.part ? stored_parts_ : stored_base_groups_;
   const uint32_t number =
       key.part ? key.task_group * layout_.parts_per_base_group + *key.part : key.task_group;
   if (stored) {
@@ -92,22 +92,23 @@
 
 std::vector<std::string> TaskGroups::StoredKeys(const std::string& id, uint32_t number) const {
   std::vector<std::string> keys;
-  const uint32_t whole = number / layout_.parts_per_base_group;
-  if (stored_wholes_.contains(whole)) keys.push_back(store::TaskGroupKey(id, whole));
+  const uint32_t base_group = number / layout_.parts_per_base_group;
+  if (stored_base_groups_.contains(base_group)) keys.push_back(store::TaskGroupKey(id, base_group));
   if (stored_parts_.contains(number)) keys.push_back(KeyOf(id, number));
   return keys;
 }
 
 std::vector<std::string> TaskGroups::StoredKeys(const std::string& id) const {
   std::vector<std::string> keys;
-  for (uint32_t whole : stored_wholes_) keys.push_back(store::TaskGroupKey(id, whole));
+  for (uint32_t base_group : stored_base_groups_)
+    keys.push_back(store::TaskGroupKey(id, base_group));
   for (uint32_t number : stored_parts_) keys.push_back(KeyOf(id, number));
   return keys;
 }
 
-bool TaskGroups::HasUnmigratedPart(uint32_t whole) const {
+bool TaskGroups::HasUnmigratedPart(uint32_t base_group) const {
   for (uint32_t part = 0; part < layout_.parts_per_base_group; ++part) {
-    const uint32_t number = whole * layout_.parts_per_base_group + part;
+    const uint32_t number = base_group * layout_.parts_per_base_group + part;
     if (groups_.contains(number) && !stored_parts_.contains(number)) return true;
   }
   return false;
@@ -116,8 +117,8 @@
 std::vector<std::string> TaskGroups::SupersededKeys(const std::string& id) const {
   std::vector<std::string> keys;
   if (stored_parts_.empty()) return keys;
-  for (uint32_t whole : stored_wholes_) {
-    if (!HasUnmigratedPart(whole)) keys.push_back(store::TaskGroupKey(id, whole));
+  for (uint32_t base_group : stored_base_groups_) {
+    if (!HasUnmigratedPart(base_group)) keys.push_back(store::TaskGroupKey(id, base_group));
   }
   return keys;
 }
--- a/src/jobs/task_groups.h
+++ b/src/jobs/task_groups.h
@@ -57,11 +57,11 @@
   // Removes all groups and returns their contents as one group.
   store::TaskGroup TakeAllAsOneGroup();
   // Returns true if the whole holds state of a part that has no key yet.
-  bool HasUnmigratedPart(uint32_t whole) const;
+  bool HasUnmigratedPart(uint32_t base_group) const;
 
   store::TaskGroupLayout layout_;
   std::map<uint32_t, store::TaskGroup> groups_;
-  std::set<uint32_t> stored_wholes_;
+  std::set<uint32_t> stored_base_groups_;
   std::set<uint32_t> stored_parts_;  // by group number; empty if a whole is one part
   // The totals are updated with each change, since every round reads them many times.
   uint32_t done_ = 0;
--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -9,18 +9,18 @@
 constexpr double kMsPerS = 1000;
 // A leader has lost most of its workers if it receives less than this share of the reports that are
 // due...
-constexpr double kMinReportShare = 0.5;
+constexpr double kMinHeartbeatShare = 0.5;
 // ...and other nodes receive at least this share of the reports that it misses.
 constexpr double kMinElsewhereShare = 0.5;
 // With fewer machines, a few late reports would be enough to meet both conditions.
 constexpr size_t kMinMachines = 4;
 // The event loop is delayed if it runs later than this part of a heartbeat period...
-constexpr double kMaxLoopDelayPeriods = 0.25;
+constexpr double kMaxLoopDelayIntervals = 0.25;
 // ...and a node whose delay is smaller by more than this factor is better placed.
 constexpr double kLoopDelayImprovement = 4;
 // How many heartbeat periods a reason must persist before it leads to a handover.
-constexpr double kSustainPeriods = 0.75;
-constexpr double kSustainLoopDelayPeriods = 4;
+constexpr double kSustainIntervals = 0.75;
+constexpr double kSustainLoopDelayIntervals = 4;
 // A change of the leader is recent for so many leases. Recent changes double the minimum interval
 // at most kMaxDoublings times.
 constexpr double kRecentLeases = 8;
@@ -51,9 +51,9 @@
     case Reason::kStateServiceLost:
       return options_.max_relayed_leases * options_.lease_s;
     case Reason::kWorkersLost:
-      return kSustainPeriods * options_.heartbeat_interval_s;
+      return kSustainIntervals * options_.heartbeat_interval_s;
     case Reason::kLoopDelay:
-      return kSustainLoopDelayPeriods * options_.heartbeat_interval_s;
+      return kSustainLoopDelayIntervals * options_.heartbeat_interval_s;
   }
   return 0;
 }
@@ -73,36 +73,36 @@
 std::optional<HandoverPolicy::Candidate> HandoverPolicy::FindCandidate(
     const model::LeadershipFitness& own, size_t machines,
     const std::map<std::string, model::LeadershipFitness>& others) const {
-  const double expected = kReportCountPeriods * static_cast<double>(machines);
+  const double expected = kHeartbeatCountIntervals * static_cast<double>(machines);
   const auto received = static_cast<double>(own.recent_heartbeats);
   // A worker that can't reach the leader tries the other nodes one after another, so the reports of
   // all of them are counted together.
   double elsewhere = 0;
-  for (const auto& [node, vitals] : others) {
-    elsewhere += static_cast<double>(vitals.recent_heartbeats);
+  for (const auto& [node, fitness] : others) {
+    elsewhere += static_cast<double>(fitness.recent_heartbeats);
   }
-  const bool workers_lost = machines >= kMinMachines && received < kMinReportShare * expected &&
+  const bool workers_lost = machines >= kMinMachines && received < kMinHeartbeatShare * expected &&
                             elsewhere >= kMinElsewhereShare * (expected - received);
   const bool loop_delayed = static_cast<double>(own.event_loop_lag_ms) / kMsPerS >
-                            kMaxLoopDelayPeriods * options_.heartbeat_interval_s;
+                            kMaxLoopDelayIntervals * options_.heartbeat_interval_s;
   std::optional<Candidate> best;
-  uint64_t best_reports = 0;
-  for (const auto& [node, vitals] : others) {
-    if (!vitals.reaches_state_service) continue;
+  uint64_t most_heartbeats = 0;
+  for (const auto& [node, fitness] : others) {
+    if (!fitness.reaches_state_service) continue;
     const bool smaller_delay =
-        static_cast<double>(vitals.event_loop_lag_ms) * kLoopDelayImprovement <
+        static_cast<double>(fitness.event_loop_lag_ms) * kLoopDelayImprovement <
         static_cast<double>(own.event_loop_lag_ms);
     std::optional<Reason> reason;
     if (!own.reaches_state_service) {
       reason = Reason::kStateServiceLost;
-    } else if (workers_lost && vitals.recent_heartbeats > 0) {
+    } else if (workers_lost && fitness.recent_heartbeats > 0) {
       reason = Reason::kWorkersLost;
     } else if (loop_delayed && smaller_delay) {
       reason = Reason::kLoopDelay;
     }
-    if (!reason || (best && vitals.recent_heartbeats <= best_reports)) continue;
+    if (!reason || (best && fitness.recent_heartbeats <= most_heartbeats)) continue;
     best = Candidate{*reason, node};
-    best_reports = vitals.recent_heartbeats;
+    most_heartbeats = fitness.recent_heartbeats;
   }
   return best;
 }
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -36,7 +36,7 @@
   void OnPause();
   // Part of a heartbeat period over which nodes count the reports that reach them
   // (LeadershipFitness).
-  static constexpr double kReportCountPeriods = 0.5;
+  static constexpr double kHeartbeatCountIntervals = 0.5;
 
   // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough.
   // Requires that this node leads. `own` are the vitals of this node, `machines` the number of
--- a/src/membership/report_counter.h
+++ b/src/membership/heartbeat_counter.h
@@ -5,9 +5,9 @@
 
 namespace hallpier::membership {
 
-class ReportCounter {
+class HeartbeatCounter {
  public:
-  ReportCounter(double interval_s, double now) : interval_s_(interval_s), interval_start_(now) {}
+  HeartbeatCounter(double interval_s, double now) : interval_s_(interval_s), interval_start_(now) {}
 
   void Add(double now) {
     Advance(now);
@@ -23,7 +23,7 @@
     Advance(now);
     return complete_intervals_ > 0;
   }
-  void Reset(double now) { *this = ReportCounter(interval_s_, now); }
+  void Reset(double now) { *this = HeartbeatCounter(interval_s_, now); }
 
  private:
   void Advance(double now) {
--- a/src/membership/liveness_tracker.cc
+++ b/src/membership/liveness_tracker.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void LivenessTracker::OnAnswer(double sent_at, double now) {
+void LivenessTracker::OnProbeResponse(double sent_at, double now) {
   OnAliveAt(sent_at);
   round_trip_.Add(now - sent_at);
 }
--- a/src/membership/liveness_tracker.h
+++ b/src/membership/liveness_tracker.h
@@ -19,7 +19,7 @@
 
   // Records an answer to a probe that was sent at `sent_at`. Since answers may have been delayed,
   // an answer proves only that the node was alive when it received the probe.
-  void OnAnswer(double sent_at, double now);
+  void OnProbeResponse(double sent_at, double now);
   // Records that the node was alive at `at`, as known from another source than a probe.
   void OnAliveAt(double at);
   // Restarts the silence at `now`, because the silence so far was, or may have been, caused by this
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -128,7 +128,7 @@
   if (FindMember(status.node) != nullptr) ApplyRefutations(status);
 }
 
-void MemberTable::OnAnswer(const wire::MemberStatus& status, double sent_at, double now) {
+void MemberTable::OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now) {
   Member* member = FindMember(status.node);
   if (member == nullptr) return;
   // A delayed answer from a process that has ended since.
@@ -136,10 +136,10 @@
       member->record && status.incarnation.session < member->record->incarnation.session;
   if (from_former_process) return;
   member->leaving = status.state == model::MemberState::kLeft;
-  member->liveness.OnAnswer(sent_at, now);
+  member->liveness.OnProbeResponse(sent_at, now);
   member->connection_refused = false;
-  member->vitals = status.vitals;
-  member->successor = status.yields_to;
+  member->fitness = status.fitness;
+  member->successor = status.successor;
   ApplyRefutations(status);
   RecordObservations(status, sent_at);
 }
@@ -355,8 +355,8 @@
   status.node = options_.node;
   status.incarnation = own_incarnation_;
   status.state = leaving_ ? model::MemberState::kLeft : model::MemberState::kAlive;
-  status.vitals = vitals_;
-  status.yields_to = successor_;
+  status.fitness = fitness_;
+  status.successor = successor_;
   for (const auto& [node, member] : members_) {
     model::MemberObservation observation;
     observation.node = node;
@@ -390,12 +390,12 @@
          own_record_->incarnation.session == own_incarnation_.session;
 }
 
-std::map<std::string, model::LeadershipFitness> MemberTable::ResponsiveMemberVitals(
+std::map<std::string, model::LeadershipFitness> MemberTable::ResponsiveMemberFitness(
     double now) const {
   std::map<std::string, model::LeadershipFitness> out;
   for (const auto& [node, member] : members_) {
     if (IsResponsive(member, now) && member.record->state == model::MemberState::kAlive) {
-      out.emplace(node, member.vitals);
+      out.emplace(node, member.fitness);
     }
   }
   return out;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -58,7 +58,7 @@
   // not prove that its sender is alive.
   void OnProbe(const wire::MemberStatus& status);
   // Called with the answer to a probe that was sent at `sent_at`.
-  void OnAnswer(const wire::MemberStatus& status, double sent_at, double now);
+  void OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now);
   // Called when a node has answered the status exchange of net/peer_mesh.h, which versions without
   // membership answer as well.
   void OnStatusAnswered(const std::string& node, double requested_at);
@@ -83,7 +83,7 @@
   // Returns the status of this node and its observations of all others, as sent in probes and
   // answers.
   wire::MemberStatus Status(double now) const;
-  void SetVitals(const model::LeadershipFitness& vitals) { vitals_ = vitals; }
+  void SetFitness(const model::LeadershipFitness& fitness) { fitness_ = fitness; }
   // Names the node that should lead next; empty if there is none.
   void SetSuccessor(const std::string& node) { successor_ = node; }
   void SetLeaving() { leaving_ = true; }
@@ -101,7 +101,7 @@
   const model::Incarnation& incarnation() const { return own_incarnation_; }
 
   // Returns the vitals of all other nodes that are responsive and recorded as alive.
-  std::map<std::string, model::LeadershipFitness> ResponsiveMemberVitals(double now) const;
+  std::map<std::string, model::LeadershipFitness> ResponsiveMemberFitness(double now) const;
   // Returns the successor that another node, which leads or led until just now, has named; empty if
   // there is none.
   std::string SuccessorNamedByOthers(double now) const;
@@ -129,7 +129,7 @@
     model::MemberState reported_state = model::MemberState::kAlive;
     double reported_state_since;
     std::map<std::string, ObserverReport> reports;  // by observer
-    model::LeadershipFitness vitals;
+    model::LeadershipFitness fitness;
     std::string successor;  // named by this member
   };
 
@@ -170,7 +170,7 @@
   model::Incarnation own_incarnation_;  // session 0: this process has not joined yet
   bool superseded_ = false;
   bool leaving_ = false;
-  model::LeadershipFitness vitals_;
+  model::LeadershipFitness fitness_;
   std::string successor_;
   double last_tick_;
   std::set<std::string> pending_proposals_;         // nodes with a proposal in flight
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -25,7 +25,7 @@
 // Probe intervals for which other nodes leave the leadership to a named successor.
 constexpr double kSuccessorHeadStartProbes = 4;
 // A shutdown waits at most this part of a heartbeat period for the leader's lease to be revoked.
-constexpr double kLeaveTimeoutPeriods = 0.5;
+constexpr double kLeaveTimeoutIntervals = 0.5;
 constexpr double kLeasePollsBeforeLeaving = 20;
 
 MemberTable::Options TableOptions(const config::Settings& settings,
@@ -71,8 +71,8 @@
       probe_s_(deps_.options->probe_ratio * deps_.settings->heartbeat_interval_s),
       table_(TableOptions(*deps_.settings, *deps_.options), Now()),
       handover_policy_(HandoverOptions(*deps_.settings, *deps_.options)),
-      worker_reports_(HandoverPolicy::kReportCountPeriods * deps_.settings->heartbeat_interval_s,
-                      Now()),
+      heartbeat_counter_(
+          HandoverPolicy::kHeartbeatCountIntervals * deps_.settings->heartbeat_interval_s, Now()),
       next_tick_at_(Now() + probe_s_),
       last_handled_pause_(Now()) {
   for (const std::string& node : deps_.settings->OtherNodes()) links_[node];
@@ -98,7 +98,7 @@
   loop_delay_s_ += kLoopDelayWeight * (late_s - loop_delay_s_);
   next_tick_at_ = now + probe_s_;
   HandlePause(now);
-  table_.SetVitals(Vitals(now));
+  table_.SetFitness(CurrentFitness(now));
   for (Proposal& proposal : table_.Tick(now, !deps_.client->down())) {
     scope_.Spawn(ExecuteProposal(std::move(proposal)));
   }
@@ -112,16 +112,16 @@
   last_handled_pause_ = resumed_at;
   table_.OnPause(now);
   handover_policy_.OnPause();
-  worker_reports_.Reset(now);
+  heartbeat_counter_.Reset(now);
 }
 
-model::LeadershipFitness Service::Vitals(double now) {
-  model::LeadershipFitness vitals;
-  vitals.leading = deps_.election->leading();
-  vitals.reaches_state_service = deps_.cache->loaded() && !deps_.client->down();
-  vitals.event_loop_lag_ms = static_cast<uint64_t>(loop_delay_s_ * kMsPerS);
-  vitals.recent_heartbeats = worker_reports_.Last(now);
-  return vitals;
+model::LeadershipFitness Service::CurrentFitness(double now) {
+  model::LeadershipFitness fitness;
+  fitness.leading = deps_.election->leading();
+  fitness.reaches_state_service = deps_.cache->loaded() && !deps_.client->down();
+  fitness.event_loop_lag_ms = static_cast<uint64_t>(loop_delay_s_ * kMsPerS);
+  fitness.recent_heartbeats = heartbeat_counter_.Last(now);
+  return fitness;
 }
 
 bool Service::MayProbe(const std::string& node, const Link& link, double now) const {
@@ -165,24 +165,24 @@
   return {probe.sequence, table_.Status(Now())};
 }
 
-void Service::OnAnswer(const std::string& node, const wire::MemberProbeResponse& answer) {
+void Service::OnProbeResponse(const std::string& node, const wire::MemberProbeResponse& response) {
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
-  auto sent = link.sent_probes.find(answer.sequence);
+  auto sent = link.sent_probes.find(response.sequence);
   if (sent == link.sent_probes.end()) return;
-  if (answer.status.node != node) {
+  if (response.status.node != node) {
     spdlog::warn("membership: answer from an unexpected node: node={} reported={}", node,
-                 answer.status.node);
+                 response.status.node);
     return;
   }
   const double sent_at = sent->second;
   link.sent_probes.erase(sent);
   link.answered = true;
-  table_.OnAnswer(answer.status, sent_at, Now());
+  table_.OnProbeResponse(response.status, sent_at, Now());
 }
 
-void Service::OnWorkerReport() { worker_reports_.Add(Now()); }
+void Service::OnHeartbeat() { heartbeat_counter_.Add(Now()); }
 
 void Service::OnRecord(const std::string& node, const std::string& value) {
   const std::optional<MemberRecord> record = value.empty() ? std::nullopt : ReadMember(value);
@@ -224,17 +224,17 @@
   if (table_.Superseded()) {
     election.Resign(deps_.settings->lease_s, "another process runs under this node's name");
   }
-  if (now < next_review_at_ || !worker_reports_.Complete(now)) return;
+  if (now < next_review_at_ || !heartbeat_counter_.Complete(now)) return;
   next_review_at_ = now + deps_.settings->heartbeat_interval_s / kReviewsPerHeartbeat;
-  auto handover = handover_policy_.Decide(Vitals(now), deps_.expected_machines(),
-                                          table_.ResponsiveMemberVitals(now), now);
+  auto handover = handover_policy_.Decide(CurrentFitness(now), deps_.expected_machines(),
+                                          table_.ResponsiveMemberFitness(now), now);
   if (!handover) return;
   table_.SetSuccessor(handover->to);
   SendProbes(now);
   election.Resign(deps_.settings->lease_s, handover->reason + "; " + handover->to + " takes over");
 }
 
-double Service::TakeDelayS() const {
+double Service::AcquireDelayS() const {
   const std::string successor = table_.SuccessorNamedByOthers(Now());
   const bool names_another = !successor.empty() && successor != deps_.settings->node;
   return names_another ? kSuccessorHeadStartProbes * probe_s_ : 0;
@@ -276,7 +276,7 @@
   table_.SetLeaving();
   SendProbes(Now());
   deps_.election->Resign(deps_.settings->lease_s, "this node is shutting down");
-  const double limit_s = kLeaveTimeoutPeriods * deps_.settings->heartbeat_interval_s;
+  const double limit_s = kLeaveTimeoutIntervals * deps_.settings->heartbeat_interval_s;
   const double end = Now() + limit_s;
   while (!scope_.cancelled() && deps_.election->holds_lease() && Now() < end) {
     async::Sleep pause(scope_, limit_s / kLeasePollsBeforeLeaving);
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -13,8 +13,8 @@
 #include "config/settings.h"
 #include "election/leader_election.h"
 #include "membership/handover_policy.h"
+#include "membership/heartbeat_counter.h"
 #include "membership/member_table.h"
-#include "membership/report_counter.h"
 #include "model/key_value.h"
 #include "model/member.h"
 #include "store/client.h"
@@ -54,16 +54,16 @@
   void OnStatusAnswered(const std::string& node, double requested_at);
   wire::MemberProbeResponse OnProbe(const wire::MemberProbe& probe);
   // `node` is the node whose link delivered the answer.
-  void OnAnswer(const std::string& node, const wire::MemberProbeResponse& answer);
+  void OnProbeResponse(const std::string& node, const wire::MemberProbeResponse& response);
   // Called for every worker report that reaches this node, whether or not it is accepted.
-  void OnWorkerReport();
+  void OnHeartbeat();
 
   // The session of this process; 0 while it is not an active member (IsActiveMember()).
   uint64_t session() const { return table_.IsActiveMember() ? table_.incarnation().session : 0; }
-  bool MayLead() const { return table_.IsActiveMember(); }
+  bool MayBecomeLeader() const { return table_.IsActiveMember(); }
   // Returns how long this node waits before it tries to lead, so that the successor named by the
   // former leader can go first; 0 if no other node was named.
-  double TakeDelayS() const;
+  double AcquireDelayS() const;
   std::vector<model::Precondition> LeadershipPreconditions() const {
     return table_.ActiveMemberPreconditions();
   }
@@ -87,7 +87,7 @@
   bool MayProbe(const std::string& node, const Link& link, double now) const;
   // Revokes the lease of a failed leader, and resigns if this node must or should not lead.
   void ReviewLeadership(double now);
-  model::LeadershipFitness Vitals(double now);
+  model::LeadershipFitness CurrentFitness(double now);
   // Commits a proposal, logs it and reports the outcome to the member table.
   async::Task<> ExecuteProposal(Proposal proposal);
   // Returns true if the transaction succeeded. After a conflict, refreshes the copies that differ.
@@ -99,7 +99,7 @@
   const double probe_s_;
   MemberTable table_;
   HandoverPolicy handover_policy_;
-  ReportCounter worker_reports_;
+  HeartbeatCounter heartbeat_counter_;
   std::map<std::string, Link> links_;
   uint64_t sequence_ = 0;
   double next_tick_at_;
--- a/src/model/task.h
+++ b/src/model/task.h
@@ -36,7 +36,7 @@
 struct TaskStatus {
   TaskId task;
   uint64_t attempt = 0;
-  TaskPhase state = TaskPhase::kFetching;
+  TaskPhase phase = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
   bool checkpoint_saved = false;  // a checkpoint was written before the task exited
 };
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -66,7 +66,7 @@
       // passed. A request that is no longer wanted must not be sent.
       if (!stream || scope.loop().Now() >= deadline) co_return std::nullopt;
     }
-    wire::HttpParser parser(wire::HttpParser::Kind::kResponse, max_body_);
+    wire::HttpParser parser(wire::HttpParser::Kind::kResponse, max_body_bytes_);
     bool written = co_await stream->Write(scope, bytes, deadline);
     auto state = wire::HttpParser::State::kNeedMore;
     while (written && state == wire::HttpParser::State::kNeedMore) {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -14,16 +14,16 @@
 // The outcome of a request that was to be relayed by another node.
 struct RelayResult {
   bool sent = false;  // if so, it may be executed even if there is no answer
-  std::optional<wire::HttpResponse> answer;
+  std::optional<wire::HttpResponse> response;
 };
 
 class HttpClient {
  public:
   // Keeps up to `max_idle` idle connections per endpoint, and up to `max_total` connections in all,
-  // including those in use. `max_body` limits the size of an answer's body. Callers limit the
+  // including those in use. `max_body_bytes` limits the size of an answer's body. Callers limit the
   // number of concurrent calls.
-  HttpClient(size_t max_idle, size_t max_body, size_t max_total = 64)
-      : max_idle_(max_idle), max_body_(max_body), max_total_(max_total) {}
+  HttpClient(size_t max_idle, size_t max_body_bytes, size_t max_total = 64)
+      : max_idle_(max_idle), max_body_bytes_(max_body_bytes), max_total_(max_total) {}
   size_t idle() const { return idle_count_; }
 
   // Returns std::nullopt if no answer arrived in time: the request may have been executed, or may
@@ -41,7 +41,7 @@
   void EvictIdle();
 
   const size_t max_idle_;
-  const size_t max_body_;
+  const size_t max_body_bytes_;
   const size_t max_total_;
   std::map<std::string, std::vector<Stream>> idle_streams_;  // no empty entries
   size_t idle_count_ = 0;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -101,7 +101,7 @@
   c.last_active = scope_.loop().Now();
   c.position = least_recently_active_.insert(least_recently_active_.end(), &c);
   c.tracked = true;
-  wire::HttpParser parser(wire::HttpParser::Kind::kRequest, limits_.max_body);
+  wire::HttpParser parser(wire::HttpParser::Kind::kRequest, limits_.max_body_bytes);
   bool open = true;
   double deadline = c.last_active + limits_.idle_s;
   bool started = false, answered = false;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -26,7 +26,7 @@
   };
   struct Limits {
     size_t max_connections;
-    size_t max_body;
+    size_t max_body_bytes;
     double idle_s;     // a connection without a request is closed after this
     double request_s;  // a request must be complete this long after its first byte
     // A connection without a request for this long is closed if another one needs its place.
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -89,7 +89,7 @@
   best->pending_relays.erase(id);
   RelayResult out;
   out.sent = true;
-  out.answer = std::move(pending_relay->answer);
+  out.response = std::move(pending_relay->response);
   co_return out;
 }
 
@@ -214,11 +214,12 @@
   } else if (auto* a = std::get_if<wire::RelayResponse>(&*m)) {
     auto it = peer->pending_relays.find(a->id);
     if (it == peer->pending_relays.end()) return true;
-    if (a->has_response) it->second->answer = std::move(a->response);
+    if (a->has_response) it->second->response = std::move(a->response);
     it->second->done = true;
     it->second->event.Notify();
-  } else if (auto* answer = std::get_if<wire::MemberProbeResponse>(&*m)) {
-    if (hooks_.on_member_answer) hooks_.on_member_answer(peer->seed.node, *answer);
+  } else if (auto* response = std::get_if<wire::MemberProbeResponse>(&*m)) {
+    if (hooks_.on_member_probe_response)
+      hooks_.on_member_probe_response(peer->seed.node, *response);
   } else if (auto* acknowledged = std::get_if<wire::BlockAcknowledgement>(&*m)) {
     if (hooks_.on_block_acknowledged) hooks_.on_block_acknowledged(peer->seed.node, *acknowledged);
   }
@@ -262,12 +263,12 @@
     spdlog::warn("peer message refused: node=unknown reason={}", m.error().reason);
     co_return std::nullopt;
   }
-  std::optional<wire::PeerMessage> answer;
+  std::optional<wire::PeerMessage> response;
   if (auto* s = std::get_if<wire::PeerStatus>(&*m)) {
     hooks_.on_status(*s);
-    answer = hooks_.status();
+    response = hooks_.status();
   } else if (auto* v = std::get_if<wire::CancellationReportRequest>(&*m)) {
-    answer = hooks_.cancellation_report(*v);
+    response = hooks_.cancellation_report(*v);
   } else if (auto* n = std::get_if<wire::CancelNotice>(&*m)) {
     hooks_.on_cancel_notice(*n);
   } else if (auto* q = std::get_if<wire::RelayRequest>(&*m)) {
@@ -276,17 +277,17 @@
     auto r = co_await hooks_.execute(std::move(q->request));
     relayed.has_response = r.has_value();
     if (r) relayed.response = std::move(*r);
-    answer = std::move(relayed);
+    response = std::move(relayed);
   } else if (auto* probe = std::get_if<wire::MemberProbe>(&*m)) {
-    if (hooks_.on_member_probe) answer = hooks_.on_member_probe(*probe);
+    if (hooks_.on_member_probe) response = hooks_.on_member_probe(*probe);
   } else if (auto* view = std::get_if<wire::BlockView>(&*m)) {
-    if (hooks_.on_block_view) answer = hooks_.on_block_view(*view);
+    if (hooks_.on_block_view) response = hooks_.on_block_view(*view);
   } else if (std::holds_alternative<wire::MembersRequest>(*m)) {
     wire::MembersReport off;
     off.node = settings_.node;
-    answer = hooks_.members_report ? hooks_.members_report() : std::move(off);
+    response = hooks_.members_report ? hooks_.members_report() : std::move(off);
   }
-  co_return answer ? wire::EncodeFrame(wire::WritePeerMessage(*answer)) : std::string();
+  co_return response ? wire::EncodeFrame(wire::WritePeerMessage(*response)) : std::string();
 }
 
 async::Task<> PeerMesh::Serve(Stream stream) {
@@ -294,9 +295,9 @@
   while (!scope_.cancelled() && !frames.corrupt()) {
     std::string out;
     while (auto payload = frames.Next()) {
-      auto answer = co_await HandleRequest(std::move(*payload));
-      if (!answer) co_return;
-      out += *answer;
+      auto response = co_await HandleRequest(std::move(*payload));
+      if (!response) co_return;
+      out += *response;
     }
     const double deadline = scope_.loop().Now() + kDeadLinkPings * PingIntervalS();
     if (!out.empty()) {
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -2,7 +2,7 @@
 // carries the messages of membership, blocks and cancellations.
 //
 // Every node connects to every other one. The connecting node sends its own status as a ping and
-// receives the other node's status as the answer; relayed requests use the same links.
+// receives the other node's status as the response; relayed requests use the same links.
 #pragma once
 
 #include <deque>
@@ -33,7 +33,8 @@
     // Called when the link to a node is established (`up`) or broken.
     std::function<void(const std::string& node, bool up)> on_link;
     std::function<wire::MemberProbeResponse(const wire::MemberProbe&)> on_member_probe;
-    std::function<void(const std::string& node, const wire::MemberProbeResponse&)> on_member_answer;
+    std::function<void(const std::string& node, const wire::MemberProbeResponse&)>
+        on_member_probe_response;
     std::function<wire::MembersReport()> members_report;
     // Blocks of machines (src/blocks); empty if they are disabled.
     std::function<std::optional<wire::BlockAcknowledgement>(const wire::BlockView&)> on_block_view;
@@ -75,7 +76,7 @@
  private:
   struct PendingRelay {
     bool done = false;
-    std::optional<wire::HttpResponse> answer;
+    std::optional<wire::HttpResponse> response;
     async::Event event;
   };
   struct Peer {
@@ -99,7 +100,7 @@
   // Handles a message on a link that this node opened; returns false if it is malformed.
   bool HandleAnswer(Peer* peer, const std::string& payload);
   void OnStatus(Peer* peer, const wire::PeerStatus& status);
-  // Returns the frame that answers a peer's message, empty if it needs no answer; std::nullopt if
+  // Returns the frame that answers a peer's message, empty if it needs no response; std::nullopt if
   // the message is malformed.
   async::Task<std::optional<std::string>> HandleRequest(std::string payload);
   void SetLink(Peer* peer, bool up);
--- a/src/plan/job_order.cc
+++ b/src/plan/job_order.cc
@@ -75,8 +75,9 @@
 bool JobOrder::HasAged(const jobs::Job& job) const {
   const config::Objective* objective =
       context_.settings->FindObjective("finished", job.spec.job_class);
-  return objective != nullptr && time_of_day_ - job.runnable_since >
-                                     context_.operators->patience_ratio * objective->within_s;
+  return objective != nullptr &&
+         time_of_day_ - job.runnable_since >
+             context_.operator_options->patience_ratio * objective->within_s;
 }
 
 }  // namespace hallpier::plan
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -19,7 +19,7 @@
                   const std::vector<const jobs::Job*>& jobs)
       : input_(input),
         order_(order),
-        quotas_(input.IsSingleHolder()
+        quotas_(input.IsSingleOwner()
                     ? TeamQuotas::FromAllowances(input.scope->team_allowances)
                     : TeamQuotas::FromTeamLimits(input.context.settings->teams, jobs,
                                                  machines.reported_done_by_team)),
@@ -60,7 +60,7 @@
   }
 
   bool MayPlaceHere(const jobs::Job& job) const {
-    return !input_.IsSingleHolder() || input_.scope->may_place(*input_.scope->single_holder, job);
+    return !input_.IsSingleOwner() || input_.scope->may_place(*input_.scope->single_owner, job);
   }
 
   // Drops tasks that exceed their team's quota, which is granted in queue order.
--- a/src/plan/latency_reservation.cc
+++ b/src/plan/latency_reservation.cc
@@ -39,7 +39,8 @@
                                 std::vector<MachineAvailability>& machines) {
   for (const auto& [name, job_class] : context.latency_sensitive_classes) {
     if (job_class.need.cpus <= 0) continue;
-    const double max_tasks = context.operators->urgent_reserve * total_cpus / job_class.need.cpus;
+    const double max_tasks =
+        context.operator_options->urgent_reserve * total_cpus / job_class.need.cpus;
     TaskClass reservation;
     reservation.need = job_class.need;
     reservation.count = static_cast<size_t>(
--- a/src/plan/placement_scope.h
+++ b/src/plan/placement_scope.h
@@ -15,17 +15,17 @@
 namespace hallpier::plan {
 
 struct PlacementScope {
-  size_t holder_count = 0;
-  // Returns the index of a machine's holder, below `holder_count`; std::nullopt if no round may use
+  size_t owner_count = 0;
+  // Returns the index of a machine's holder, below `owner_count`; std::nullopt if no round may use
   // the machine.
-  std::function<std::optional<size_t>(const std::string& machine)> holder_of;
+  std::function<std::optional<size_t>(const std::string& machine)> owner_of;
   // Returns true if the holder may place tasks of the job.
-  std::function<bool(size_t holder, const jobs::Job& job)> may_place;
+  std::function<bool(size_t owner, const jobs::Job& job)> may_place;
   // If set, the round is planned for this holder only: on the holder's machines and for the jobs
   // that it may place. Such a round neither preempts tasks nor requests machines; both are decided
   // in the round that considers all machines.
-  std::optional<size_t> single_holder;
-  // If `single_holder` is set: the part of each team's quota that may still be placed. A team
+  std::optional<size_t> single_owner;
+  // If `single_owner` is set: the part of each team's quota that may still be placed. A team
   // without an entry has no limit.
   std::map<std::string, Resources> team_allowances;
 };
--- a/src/plan/planning_context.cc
+++ b/src/plan/planning_context.cc
@@ -11,7 +11,7 @@
 }
 
 double ReactionTime(const PlanningContext& context) {
-  return config::ReactionTimeS(*context.settings, *context.operators);
+  return config::ReactionTimeS(*context.settings, *context.operator_options);
 }
 
 double LongestBootTime(const PlanningContext& context) {
--- a/src/plan/planning_context.h
+++ b/src/plan/planning_context.h
@@ -20,8 +20,8 @@
     double tasks = 0;  // moving average of the number of tasks per job
   };
 
-  const config::Settings* settings = nullptr;          // never null in a round
-  const config::OperatorOptions* operators = nullptr;  // never null in a round
+  const config::Settings* settings = nullptr;                 // never null in a round
+  const config::OperatorOptions* operator_options = nullptr;  // never null in a round
   std::vector<model::MachineType> machine_types;
   std::map<std::string, LatencySensitiveClass> latency_sensitive_classes;  // by job class
 
--- a/src/plan/preemption.cc
+++ b/src/plan/preemption.cc
@@ -108,7 +108,7 @@
   for (const auto& [task, attempt] : input_.job_table.PlacementsOn(machine.name)) {
     const jobs::Job* job = input_.job_table.Find(task.job);
     const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
-    if (job == nullptr || reported == nullptr || reported->state != model::TaskPhase::kRunning ||
+    if (job == nullptr || reported == nullptr || reported->phase != model::TaskPhase::kRunning ||
         input_.registry.stop_requests().Contains(task, attempt)) {
       continue;
     }
@@ -121,7 +121,7 @@
     const double unobserved_s =
         reported->start_observed ? 0
                                  : kUnobservedRunRatio * PredictRunTime(*job, machine.machine_type);
-    victims.push_back({task, attempt, job, tier, unobserved_s + input_.now - reported->since,
+    victims.push_back({task, attempt, job, tier, unobserved_s + input_.now - reported->phase_since,
                        RequirementOf(job->spec)});
   }
   return victims;
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -47,8 +47,8 @@
         queue_(BuildJobQueue(input, machines_, order_, jobs)),
         task_classes_(input, machines_),
         preemption_(input, machines_, queue_, order_) {
-    if (input_.scope != nullptr) result_.planned_by_holder.resize(input_.scope->holder_count);
-    if (!input_.IsSingleHolder()) result_.preemptions = PlanSpotEvictions(input_);
+    if (input_.scope != nullptr) result_.planned_by_owner.resize(input_.scope->owner_count);
+    if (!input_.IsSingleOwner()) result_.preemptions = PlanSpotEvictions(input_);
     result_.waiting_tasks = queue_.waiting_tasks;
     result_.first_job_over_quota = std::move(queue_.first_job_over_quota);
   }
@@ -67,7 +67,7 @@
       tasks_left -= std::min(tasks_left, PlanRank(begin, end, tasks_left));
       begin = end;
     }
-    if (!input_.IsSingleHolder()) {
+    if (!input_.IsSingleOwner()) {
       auto demands = DemandForUnmapped(queue_, begin, input_.context, machines_.total_cpus);
       std::move(demands.begin(), demands.end(), std::back_inserter(result_.demands));
     }
@@ -93,7 +93,7 @@
     for (const Assignment& assignment : mapping.assignments) {
       const QueuedJob& queued = queue_.jobs[begin + assignment.task_class];
       MappedJob& mapped_job = mapped[assignment.task_class];
-      AddToPlannedByHolder(queued, assignment);
+      AddToPlannedByOwner(queued, assignment);
       if (assignment.start > kStartToleranceS) {
         Defer(assignment, mapped_job);
       } else {
@@ -106,11 +106,11 @@
     return mapping.assignments.size();
   }
 
-  void AddToPlannedByHolder(const QueuedJob& queued, const Assignment& assignment) {
+  void AddToPlannedByOwner(const QueuedJob& queued, const Assignment& assignment) {
     if (input_.scope == nullptr) return;
-    const size_t holder = machines_.holders[assignment.machine];
+    const size_t owner = machines_.owners[assignment.machine];
     const model::JobSpec& spec = queued.job->spec;
-    result_.planned_by_holder[holder][spec.team] += RequirementOf(spec);
+    result_.planned_by_owner[owner][spec.team] += RequirementOf(spec);
   }
 
   void Defer(const Assignment& assignment, MappedJob& mapped) const {
@@ -145,7 +145,7 @@
   void HandleUnstartedTasks(const QueuedJob& queued, const TaskClass& task_class,
                             MappedJob mapped) {
     // A retry justifies neither a new machine nor a preemption.
-    if (queued.is_retry || input_.IsSingleHolder()) return;
+    if (queued.is_retry || input_.IsSingleOwner()) return;
     const size_t unstarted = queued.tasks - mapped.started;
     const size_t unmet = unstarted - mapped.starting_soon;
     if (unmet > 0) {
--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -18,7 +18,7 @@
   const PlacementScope* scope = nullptr;  // null if machines are not divided
 
   // Returns true if the round is planned for one holder only.
-  bool IsSingleHolder() const { return scope != nullptr && scope->single_holder.has_value(); }
+  bool IsSingleOwner() const { return scope != nullptr && scope->single_owner.has_value(); }
   // Returns the seconds since the job became runnable, that is, since its submission or, if it has
   // dependencies, since the last of them was done.
   double AgeOf(const jobs::Job& job) const { return time_of_day - job.runnable_since; }
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -38,7 +38,7 @@
       if (job == nullptr) continue;
       const Resources need = RequirementOf(job->spec);
       const fleet::ReportedTask* reported = FindReported(machine_, task, attempt);
-      if (reported != nullptr && reported->state == model::TaskPhase::kExited) {
+      if (reported != nullptr && reported->phase == model::TaskPhase::kExited) {
         // The attempt has ended, even if that is not recorded yet, so its resources on the machine
         // are free at once. Its part of the team's quota is free only if the task is done:
         // otherwise a later leader may find the attempt recorded as placed, and start the task
@@ -57,7 +57,7 @@
   void SubtractUnrecordedTasks() {
     const jobs::JobTable::Placements& placements = input_.job_table.PlacementsOn(machine_.name);
     for (const auto& [task, reported] : machine_.reported_tasks) {
-      if (placements.contains(task) || reported.state == model::TaskPhase::kExited) continue;
+      if (placements.contains(task) || reported.phase == model::TaskPhase::kExited) continue;
       const jobs::Job* job = input_.job_table.Find(task.job);
       if (job == nullptr) continue;
       Occupy(RequirementOf(job->spec), ReactionTime(input_.context));
@@ -86,15 +86,15 @@
 
 // Returns the index of the machine's holder, 0 if machines are not divided; std::nullopt if this
 // round does not use the machine.
-std::optional<size_t> HolderInScope(const PlacementScope* scope, const std::string& machine) {
+std::optional<size_t> OwnerInScope(const PlacementScope* scope, const std::string& machine) {
   if (scope == nullptr) return 0;
-  const std::optional<size_t> holder = scope->holder_of(machine);
-  if (scope->single_holder && holder != scope->single_holder) return std::nullopt;
-  return holder;
+  const std::optional<size_t> owner = scope->owner_of(machine);
+  if (scope->single_owner && owner != scope->single_owner) return std::nullopt;
+  return owner;
 }
 
 void AddMachine(const RoundInput& input, const fleet::Machine& machine,
-                const model::MachineType& machine_type, size_t holder,
+                const model::MachineType& machine_type, size_t owner,
                 RoundMachines& round_machines) {
   const bool usable = input.registry.AcceptsTasks(machine, input.now);
   const bool booting = !machine.has_reported() && machine.cloud.booting &&
@@ -109,7 +109,7 @@
   builder.SubtractUnrecordedTasks();
   round_machines.machines.push_back(&machine);
   round_machines.machine_types.push_back(&machine_type);
-  round_machines.holders.push_back(holder);
+  round_machines.owners.push_back(owner);
   round_machines.availability.push_back(
       {builder.Build(), round_machines.zones.NumberOf(machine.zone)});
 }
@@ -121,8 +121,8 @@
   for (const auto& [name, machine] : input.registry.machines()) {
     const model::MachineType* machine_type = input.context.FindMachineType(machine.machine_type);
     if (machine_type == nullptr) continue;
-    const std::optional<size_t> holder = HolderInScope(input.scope, name);
-    if (holder) AddMachine(input, machine, *machine_type, *holder, round_machines);
+    const std::optional<size_t> owner = OwnerInScope(input.scope, name);
+    if (owner) AddMachine(input, machine, *machine_type, *owner, round_machines);
   }
   return round_machines;
 }
--- a/src/plan/round_result.h
+++ b/src/plan/round_result.h
@@ -46,7 +46,7 @@
   size_t waiting_tasks = 0;
   // If a scope is set, by holder and team: the resources of all mapped tasks, whether they start
   // now or later.
-  std::vector<std::map<std::string, Resources>> planned_by_holder;
+  std::vector<std::map<std::string, Resources>> planned_by_owner;
   // By team, the id of the first job in queue order with tasks that exceed the team's quota.
   std::map<std::string, std::string> first_job_over_quota;
 };
--- a/src/plan/run_time.cc
+++ b/src/plan/run_time.cc
@@ -35,8 +35,8 @@
   }
   const double run_s = PredictRunTime(job, machine.machine_type);
   const fleet::ReportedTask* reported = FindReported(machine, task, attempt);
-  if (reported == nullptr || reported->state != model::TaskPhase::kRunning) return run_s;
-  return std::max(run_s - (input.now - reported->since), kOverrunRatio * run_s);
+  if (reported == nullptr || reported->phase != model::TaskPhase::kRunning) return run_s;
+  return std::max(run_s - (input.now - reported->phase_since), kOverrunRatio * run_s);
 }
 
 }  // namespace hallpier::plan
--- a/src/plan/starvation.cc
+++ b/src/plan/starvation.cc
@@ -17,13 +17,13 @@
 }  // namespace
 
 size_t StarvationGuard::TasksServedFirst(const jobs::Job& job) {
-  const config::OperatorOptions& operators = *input_.context.operators;
+  const config::OperatorOptions& operator_options = *input_.context.operator_options;
   const bool has_started = job.done() + job.placed() > 0;
-  const double bound_s = (has_started ? kStartedJobBoundFactor : 1) * operators.starve_s;
+  const double bound_s = (has_started ? kStartedJobBoundFactor : 1) * operator_options.starve_s;
   if (input_.AgeOf(job) < bound_s) return 0;
   const double need = std::max(job.spec.cpus, kMinAccountedCpus);
-  const double cpus_left =
-      operators.starve_share * total_cpus_ - used_cpus_ - static_cast<double>(job.placed()) * need;
+  const double cpus_left = operator_options.starve_share * total_cpus_ - used_cpus_ -
+                           static_cast<double>(job.placed()) * need;
   // A job that has not started gets at least one task if no other job has used the share, so that
   // jobs do not starve on small sites either.
   const size_t min_tasks = used_cpus_ == 0 && !has_started ? 1 : 0;
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -76,11 +76,11 @@
 
 // Returns, by holder, whether it may place tasks of the job; empty if the job may use all machines
 // of the round.
-std::vector<char> TaskClassBuilder::AllowedHolders(const jobs::Job& job) const {
+std::vector<char> TaskClassBuilder::AllowedOwners(const jobs::Job& job) const {
   std::vector<char> allowed;
-  if (input_.scope == nullptr || input_.scope->single_holder) return allowed;
-  for (size_t holder = 0; holder < input_.scope->holder_count; ++holder) {
-    allowed.push_back(input_.scope->may_place(holder, job) ? 1 : 0);
+  if (input_.scope == nullptr || input_.scope->single_owner) return allowed;
+  for (size_t owner = 0; owner < input_.scope->owner_count; ++owner) {
+    allowed.push_back(input_.scope->may_place(owner, job) ? 1 : 0);
   }
   return allowed;
 }
@@ -96,15 +96,15 @@
     predicted[&machine_type] = PredictRunTime(job, machine_type.name);
   }
   const std::optional<size_t> image = input_.registry.image_index().Find(spec.image);
-  const std::vector<char> allowed_holders = AllowedHolders(job);
+  const std::vector<char> allowed_owners = AllowedOwners(job);
   std::vector<double> run_times;
   run_times.reserve(machines_.size());
   for (size_t i = 0; i < machines_.size(); ++i) {
     const fleet::Machine& machine = *machines_.machines[i];
     const model::MachineType& machine_type = *machines_.machine_types[i];
-    const bool holder_forbidden =
-        !allowed_holders.empty() && allowed_holders[machines_.holders[i]] == 0;
-    if (holder_forbidden || !AllowsMachine(spec, machine) ||
+    const bool owner_not_allowed =
+        !allowed_owners.empty() && allowed_owners[machines_.owners[i]] == 0;
+    if (owner_not_allowed || !AllowsMachine(spec, machine) ||
         (failed_on != nullptr && failed_on->contains(machine.name))) {
       run_times.push_back(kNotAllowed);
       continue;
--- a/src/plan/task_classes.h
+++ b/src/plan/task_classes.h
@@ -25,7 +25,7 @@
  private:
   bool FailedOnAllMachines(const model::JobSpec& spec,
                            const std::set<std::string>& failed_on) const;
-  std::vector<char> AllowedHolders(const jobs::Job& job) const;
+  std::vector<char> AllowedOwners(const jobs::Job& job) const;
   std::vector<double> RunTimes(const jobs::Job& job, const std::set<std::string>* failed_on) const;
   void ConstrainZones(const jobs::Job& job, TaskClass& task_class);
 
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -199,7 +199,7 @@
   };
   if (relayable && down()) {
     net::RelayResult relayed = co_await relay_(request);
-    if (relayed.answer) co_return std::move(relayed.answer);
+    if (relayed.response) co_return std::move(relayed.response);
     copy_pending = relayed.sent;
   }
   std::optional<wire::HttpResponse> response =
@@ -208,8 +208,8 @@
   if (relayable && down()) {
     copy_pending = copy_pending || !response;
     net::RelayResult relayed = co_await relay_(std::move(request));
-    if (relayed.answer && conclusive(*relayed.answer)) co_return std::move(relayed.answer);
-    copy_pending = copy_pending || (relayed.sent && !relayed.answer);
+    if (relayed.response && conclusive(*relayed.response)) co_return std::move(relayed.response);
+    copy_pending = copy_pending || (relayed.sent && !relayed.response);
   }
   if (response && !conclusive(*response)) response.reset();
   co_return response;
--- a/src/store/keys.cc
+++ b/src/store/keys.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view kTaskGroupPrefix = "hallpier/a/t/";
 constexpr std::string_view kNodeFormatPrefix = "hallpier/a/node/";
 constexpr std::string_view kMemberPrefix = "hallpier/a/member/";
-constexpr std::string_view kSharePrefix = "hallpier/a/share/";
+constexpr std::string_view kAllocationPrefix = "hallpier/a/share/";
 constexpr std::string_view kFinalPrefix = "hallpier/f/";
 
 std::optional<uint32_t> ParseNumber(std::string_view text) {
@@ -90,9 +90,11 @@
 
 std::string MemberKey(std::string_view node) { return std::string(kMemberPrefix).append(node); }
 
-std::string DivisionKey() { return std::string(kActivePrefix) + "division"; }
+std::string BlockAssignmentKey() { return std::string(kActivePrefix) + "division"; }
 
-std::string ShareKey(std::string_view node) { return std::string(kSharePrefix).append(node); }
+std::string AllocationKey(std::string_view node) {
+  return std::string(kAllocationPrefix).append(node);
+}
 
 ParsedKey ParseKey(std::string_view key) {
   if (key == LeaderKey()) return LeaderKeyName{};
@@ -102,8 +104,8 @@
   if (key == FormatKey()) return FormatKeyName{};
   if (auto node = SuffixAfter(kNodeFormatPrefix, key)) return NodeFormatKeyName{std::string(*node)};
   if (auto node = SuffixAfter(kMemberPrefix, key)) return MemberKeyName{std::string(*node)};
-  if (key == DivisionKey()) return DivisionKeyName{};
-  if (auto node = SuffixAfter(kSharePrefix, key)) return ShareKeyName{std::string(*node)};
+  if (key == BlockAssignmentKey()) return BlockAssignmentKeyName{};
+  if (auto node = SuffixAfter(kAllocationPrefix, key)) return AllocationKeyName{std::string(*node)};
   if (auto job = SuffixAfter(kFinalPrefix, key)) return FinalKeyName{std::string(*job)};
   if (auto job = SuffixAfter(kJobPrefix, key)) return JobKeyName{std::string(*job)};
   if (auto name = SuffixAfter(kTaskGroupPrefix, key)) return ParseTaskGroup(*name);
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -38,10 +38,10 @@
 // Key of the membership record of a node (membership/member_record.h).
 std::string MemberKey(std::string_view node);
 // Key of the record that assigns machines to controllers (blocks/block_assignment.h).
-std::string DivisionKey();
+std::string BlockAssignmentKey();
 // Key of the record of the share of the team quotas that the holder of a block may use
 // (quota/allocation_record.h).
-std::string ShareKey(std::string_view node);
+std::string AllocationKey(std::string_view node);
 
 // ParseResult keys: one type per kind of key, holding the variable parts of the key.
 struct UnknownKeyName {  // not a key that this version defines
@@ -68,12 +68,12 @@
   std::string node;
   bool operator==(const MemberKeyName&) const = default;
 };
-struct DivisionKeyName {
-  bool operator==(const DivisionKeyName&) const = default;
+struct BlockAssignmentKeyName {
+  bool operator==(const BlockAssignmentKeyName&) const = default;
 };
-struct ShareKeyName {
+struct AllocationKeyName {
   std::string node;
-  bool operator==(const ShareKeyName&) const = default;
+  bool operator==(const AllocationKeyName&) const = default;
 };
 struct JobKeyName {
   std::string job;
@@ -92,8 +92,8 @@
 
 using ParsedKey =
     std::variant<UnknownKeyName, LeaderKeyName, FencingTokenKeyName, MachineTypesKeyName,
-                 FormatKeyName, NodeFormatKeyName, MemberKeyName, DivisionKeyName, ShareKeyName,
-                 JobKeyName, TaskGroupKeyName, FinalKeyName>;
+                 FormatKeyName, NodeFormatKeyName, MemberKeyName, BlockAssignmentKeyName,
+                 AllocationKeyName, JobKeyName, TaskGroupKeyName, FinalKeyName>;
 
 // Returns UnknownKeyName if this version defines no such key.
 ParsedKey ParseKey(std::string_view key);
--- a/src/wire/block_codec.cc
+++ b/src/wire/block_codec.cc
@@ -80,7 +80,7 @@
   PutVarint(out, view.sequence);
   PutVarint(out, view.changed.size());
   for (const model::MachineView& machine : view.changed) PutMachineView(out, machine);
-  PutStrings(out, view.gone);
+  PutStrings(out, view.removed);
   PutVarint(out, view.failures.size());
   for (const model::JobFailures& failures : view.failures) PutJobFailures(out, failures);
 }
@@ -90,7 +90,7 @@
   view.token = model::FencingToken(reader.Varint());
   view.sequence = reader.Varint();
   view.changed = reader.List("machine count", kMaxEntries, ReadMachineView);
-  view.gone = reader.Strings("removed machine count", kMaxEntries);
+  view.removed = reader.Strings("removed machine count", kMaxEntries);
   view.failures = reader.List("failing job count", kMaxEntries, ReadJobFailures);
   return view;
 }
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -58,20 +58,20 @@
   return observation;
 }
 
-void PutVitals(std::string& out, const model::LeadershipFitness& vitals) {
-  PutFlag(out, vitals.leading);
-  PutFlag(out, vitals.reaches_state_service);
-  PutVarint(out, vitals.event_loop_lag_ms);
-  PutVarint(out, vitals.recent_heartbeats);
+void PutFitness(std::string& out, const model::LeadershipFitness& fitness) {
+  PutFlag(out, fitness.leading);
+  PutFlag(out, fitness.reaches_state_service);
+  PutVarint(out, fitness.event_loop_lag_ms);
+  PutVarint(out, fitness.recent_heartbeats);
 }
 
-model::LeadershipFitness ReadVitals(VarintReader& reader) {
-  model::LeadershipFitness vitals;
-  vitals.leading = reader.Flag();
-  vitals.reaches_state_service = reader.Flag();
-  vitals.event_loop_lag_ms = reader.Varint();
-  vitals.recent_heartbeats = reader.Varint();
-  return vitals;
+model::LeadershipFitness ReadFitness(VarintReader& reader) {
+  model::LeadershipFitness fitness;
+  fitness.leading = reader.Flag();
+  fitness.reaches_state_service = reader.Flag();
+  fitness.event_loop_lag_ms = reader.Varint();
+  fitness.recent_heartbeats = reader.Varint();
+  return fitness;
 }
 
 void PutMemberRow(std::string& out, const MemberRow& row) {
@@ -104,8 +104,8 @@
   PutBytes(out, status.node);
   PutIncarnation(out, status.incarnation);
   PutEnum(out, status.state);
-  PutVitals(out, status.vitals);
-  PutBytes(out, status.yields_to);
+  PutFitness(out, status.fitness);
+  PutBytes(out, status.successor);
   PutVarint(out, status.observations.size());
   for (const model::MemberObservation& observation : status.observations) {
     PutObservation(out, observation);
@@ -117,8 +117,8 @@
   status.node = reader.Bytes();
   status.incarnation = ReadIncarnation(reader);
   status.state = ReadMemberState(reader);
-  status.vitals = ReadVitals(reader);
-  status.yields_to = reader.Bytes();
+  status.fitness = ReadFitness(reader);
+  status.successor = reader.Bytes();
   status.observations = reader.List("observation count", kMaxMembers, ReadObservation);
   return status;
 }
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -76,8 +76,8 @@
   std::string node;
   model::Incarnation incarnation;
   model::MemberState state = model::MemberState::kAlive;  // kLeft: the node is shutting down
-  model::LeadershipFitness vitals;
-  std::string yields_to;  // the successor that a resigning leader names; otherwise empty
+  model::LeadershipFitness fitness;
+  std::string successor;  // the successor that a resigning leader names; otherwise empty
   std::vector<model::MemberObservation> observations;
   bool operator==(const MemberStatus&) const = default;
 };
@@ -127,7 +127,7 @@
   model::FencingToken token;  // of the sending leader; views with a lower one are outdated
   uint64_t sequence = 0;      // 1 starts over: all earlier views are void
   std::vector<model::MachineView> changed;
-  std::vector<std::string> gone;             // removed machines
+  std::vector<std::string> removed;          // removed machines
   std::vector<model::JobFailures> failures;  // the complete list, not only changes
   bool operator==(const BlockView&) const = default;
 };
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -27,14 +27,14 @@
 std::optional<model::TaskStatus> ReadTaskStatus(const JsonValue& object) {
   auto name = GetText(object, "piece");
   auto attempt = GetCount(object, "try");
-  auto state = GetEnum(kTaskPhases, object, "phase");
-  if (!name || !attempt || !state) return std::nullopt;
+  auto phase = GetEnum(kTaskPhases, object, "phase");
+  if (!name || !attempt || !phase) return std::nullopt;
   auto task = model::ParseTaskName(*name);
   if (!task) return std::nullopt;
   model::TaskStatus status;
   status.task = std::move(*task);
   status.attempt = *attempt;
-  status.state = *state;
+  status.phase = *phase;
   status.cause = GetEnum(kExitCauses, object, "cause").value_or(model::ExitCause::kNone);
   status.checkpoint_saved = GetFlag(object, "stored").value_or(false);
   return status;
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -19,7 +19,7 @@
  protected:
   AutoscalerTest() : settings_(TestSettings()), job_table_(64), registry_({3, 30, 3, 3}) {
     context_.settings = &settings_;
-    context_.operators = &operator_options_;
+    context_.operator_options = &operator_options_;
     context_.machine_types = {MakeMachineType("c4", 4)};
   }
   void Heartbeat(int vm, uint64_t sequence, double now) {
--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -22,11 +22,11 @@
     cluster_.emplace(options);
     ASSERT_TRUE(cluster_->RunUntil([&] { return Settled(options); }, 30));
     leader_ = cluster_->Leader();
-    other_ = cluster_->HolderOtherThan(leader_);
+    other_ = cluster_->OwnerOtherThan(leader_);
   }
   void Start() { Start(Options()); }
   bool Settled(const Options& options) const {
-    const auto owners = cluster_->Division().owners;
+    const auto owners = cluster_->CurrentAssignment().owners;
     return owners.size() == static_cast<size_t>(options.nodes) &&
            std::all_of(owners.begin(), owners.end(),
                        [&](const auto& h) { return cluster_->ShareCpus(h.node) > 0; });
@@ -91,10 +91,10 @@
     Submit(12, 4);
     cluster_->SetNextPlacementFault(
         other_, GetParam(), [&] { cluster_->At(0.001, [this] { cluster_->Kill(other_); }); });
-    ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
+    ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->OwnsBlock(other_); }, 20));
     if (restarts) cluster_->Restart(other_);
     ExpectAllJobsEnd();
-    EXPECT_EQ(cluster_->HoldsBlock(other_), restarts);
+    EXPECT_EQ(cluster_->OwnsBlock(other_), restarts);
   }
 }
 
@@ -108,7 +108,7 @@
   cluster_->RunFor(2);
   cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
   Submit(12, 4);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->OwnsBlock(other_); }, 20));
   cluster_->TakePlacements(other_);
   cluster_->RunFor(9);
   cluster_->Resume(other_);
@@ -116,7 +116,7 @@
   EXPECT_EQ(cluster_->TakePlacements(other_), 0);
   ExpectAllJobsEnd();
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->HoldsBlock(other_)) << "it must get a block again after it has recovered";
+  EXPECT_TRUE(cluster_->OwnsBlock(other_)) << "it must get a block again after it has recovered";
 }
 
 // A placement of `other_` is carried out long after the node froze. By then urgent work takes the
@@ -130,7 +130,7 @@
     options.min_late_s = 10;
     options.max_late_s = 12;
     Start(options);
-    const blocks::BlockAssignment division(cluster_->Division());
+    const blocks::BlockAssignment division(cluster_->CurrentAssignment());
     const size_t owner = *division.IndexOf(other_);
     model::JobSpec spec = Spec("run-900", 4);
     for (int i = 901; !division.MayPlace(owner, spec, spec.priority, 0, 1); ++i) {
@@ -175,7 +175,7 @@
   Submit(20, 4);
   cluster_->RunFor(2);
   cluster_->CutFromState(other_, true);
-  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->HoldsBlock(other_); }, 20));
+  ASSERT_TRUE(cluster_->RunUntil([&] { return !cluster_->OwnsBlock(other_); }, 20));
   cluster_->TakePlacements(other_);
   cluster_->RunFor(2);
   cluster_->CutFromState(other_, false);
@@ -191,7 +191,8 @@
   cluster_->Kill(leader_);
   cluster_->Kill(other_);
   cluster_->RunFor(5);
-  EXPECT_TRUE(cluster_->Division().owners.empty()) << "a single remaining node owns no block";
+  EXPECT_TRUE(cluster_->CurrentAssignment().owners.empty())
+      << "a single remaining node owns no block";
   cluster_->Restart(leader_);
   cluster_->Restart(other_);
   ExpectAllJobsEnd();
@@ -204,7 +205,7 @@
 // the answer. The parameter is true for the block assignment.
 TEST_P(LeaderFailureDuringWriteTest, AllocatesNoAmountTwice) {
   Start();
-  const std::string key = GetParam() ? store::DivisionKey() : store::ShareKey("");
+  const std::string key = GetParam() ? store::BlockAssignmentKey() : store::AllocationKey("");
   bool killed = false;
   cluster_->OnBlockRecordWrite([&](const std::string& written) {
     if (!written.starts_with(key) || killed) return;
@@ -291,7 +292,7 @@
   Start();
   Submit(10, 4);
   cluster_->OnBlockRecordWrite([&](const std::string& key) {
-    if (key == store::DivisionKey()) cluster_->Cancel("run-9");
+    if (key == store::BlockAssignmentKey()) cluster_->Cancel("run-9");
   });
   cluster_->RunFor(1);
   cluster_->Kill(other_);
@@ -315,7 +316,7 @@
   cluster_->RunFor(2);
   bool out = false;
   cluster_->OnBlockRecordWrite([&](const std::string& key) {
-    if (key == store::DivisionKey() && !std::exchange(out, true)) cluster_->SetOutage(true);
+    if (key == store::BlockAssignmentKey() && !std::exchange(out, true)) cluster_->SetOutage(true);
   });
   cluster_->Kill(other_);
   cluster_->RunFor(30);
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -18,8 +18,8 @@
   static constexpr int kLimit = 12;
 
   BlocksNodesTest() {
-    operators_.membership.enabled = true;
-    operators_.blocks.enabled = true;
+    operator_options_.membership.enabled = true;
+    operator_options_.blocks.enabled = true;
     cpus_max_ = kLimit;
     run_s_ = 0.4;
   }
@@ -35,23 +35,23 @@
       peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
     });
     state_->Watch([this](const std::string& key, const std::string& value) {
-      if (key == store::DivisionKey()) ++assignment_writes_;
-      if (store::IsKeyOfKind<store::ShareKeyName>(key) && !value.empty()) ++allocation_writes_;
+      if (key == store::BlockAssignmentKey()) ++assignment_writes_;
+      if (store::IsKeyOfKind<store::AllocationKeyName>(key) && !value.empty()) ++allocation_writes_;
     });
   }
-  blocks::BlockAssignmentRecord Division() const {
-    return blocks::ReadBlockAssignment(state_->Value(store::DivisionKey()))
+  blocks::BlockAssignmentRecord CurrentAssignment() const {
+    return blocks::ReadBlockAssignment(state_->Value(store::BlockAssignmentKey()))
         .value_or(blocks::BlockAssignmentRecord());
   }
   bool OwnsBlock(int node) const {
-    const auto record = Division();
+    const auto record = CurrentAssignment();
     return std::any_of(record.owners.begin(), record.owners.end(), [&](const auto& owner) {
       return owner.node == "node-" + std::to_string(node);
     });
   }
   async::Task<bool> WaitForBlockOwners(size_t count) {
-    bool ok = co_await WaitFor(10, [&] { return Division().owners.size() == count; });
-    EXPECT_TRUE(ok) << state_->Value(store::DivisionKey());
+    bool ok = co_await WaitFor(10, [&] { return CurrentAssignment().owners.size() == count; });
+    EXPECT_TRUE(ok) << state_->Value(store::BlockAssignmentKey());
     co_return ok;
   }
   static std::string JobId(int i) { return "run-" + std::to_string(100 + i); }
@@ -94,8 +94,8 @@
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(3);
     ShutDownNode(leader);
-    bool ok =
-        co_await WaitFor(10, [&] { return Leader() != leader && Division().owners.size() == 2; });
+    bool ok = co_await WaitFor(
+        10, [&] { return Leader() != leader && CurrentAssignment().owners.size() == 2; });
     EXPECT_TRUE(ok);
     co_await WaitUntilAllDone(20, other, 40);
     EXPECT_LE(peak_, kLimit);
@@ -107,12 +107,12 @@
     co_await SubmitAll(10, 4, 3);
     const int other = (Leader() + 1) % 3;
     co_await ShutDownAndWait(other);
-    operators_.blocks.enabled = false;
+    operator_options_.blocks.enabled = false;
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(0);
     co_await WaitUntilAllDone(10, other, 40);
     co_await ShutDownAndWait(other);
-    operators_.blocks.enabled = true;
+    operator_options_.blocks.enabled = true;
     StartNodes(other, other + 1, 3);
     co_await WaitForBlockOwners(3);
     EXPECT_LE(peak_, kLimit);
@@ -124,18 +124,19 @@
     co_await WaitForBlockOwners(3);
     bool ok = co_await WaitFor(5, [&] { return allocation_writes_ >= 3; });
     EXPECT_TRUE(ok);
-    const blocks::BlockOwner owner = Division().owners.back();
+    const blocks::BlockOwner owner = CurrentAssignment().owners.back();
     quota::AllocationRecord excessive;
     excessive.allocation_epoch = owner.allocation_epoch;
     excessive.allocated["team"].cpus = 10.0 * kLimit;
-    co_await WriteRecord(store::ShareKey(owner.node), quota::WriteAllocation(excessive));
+    co_await WriteRecord(store::AllocationKey(owner.node), quota::WriteAllocation(excessive));
     ok = co_await WaitFor(5, [&] {
-      const auto allocation = quota::ReadAllocation(state_->Value(store::ShareKey(owner.node)));
+      const auto allocation =
+          quota::ReadAllocation(state_->Value(store::AllocationKey(owner.node)));
       return allocation && allocation->allocated.contains("team") &&
              allocation->allocated.at("team").cpus <= kLimit;
     });
-    EXPECT_TRUE(ok) << state_->Value(store::ShareKey(owner.node));
-    co_await WriteRecord(store::DivisionKey(), R"({"odd":1})");
+    EXPECT_TRUE(ok) << state_->Value(store::AllocationKey(owner.node));
+    co_await WriteRecord(store::BlockAssignmentKey(), R"({"odd":1})");
     co_await WaitForBlockOwners(3);
     co_await SubmitAll(6, 4, 3);
     co_await WaitUntilAllDone(6, 0, 30);
@@ -180,7 +181,7 @@
 }
 
 TEST_F(BlocksNodesTest, WritesNoBlockRecordsWhenOff) {
-  operators_.blocks.enabled = false;
+  operator_options_.blocks.enabled = false;
   StartWithRecorder(3);
   Run(RunWithBlocksOff());
 }
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -232,9 +232,9 @@
   ASSERT_EQ(preconditions.size(), 3U);
   EXPECT_EQ(preconditions[0].key, store::FencingTokenKey());
   EXPECT_EQ(preconditions[0].version, 40U);
-  EXPECT_EQ(preconditions[1].key, store::DivisionKey());
+  EXPECT_EQ(preconditions[1].key, store::BlockAssignmentKey());
   EXPECT_EQ(preconditions[1].version, 50U);
-  EXPECT_EQ(preconditions[2].key, store::ShareKey("b"));
+  EXPECT_EQ(preconditions[2].key, store::AllocationKey("b"));
   EXPECT_EQ(preconditions[2].version, 60U);
   EXPECT_EQ(records_.PlacementPreconditions(0)[2].version, 0U) << "there is no allocation record";
 }
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -54,7 +54,7 @@
 
   void RequestReports(double now) {
     for (auto& [node, peer] : peers_) {
-      const wire::CancellationReportRequest request = watermark_.RequestFor(node, 100);
+      const wire::CancellationReportRequest request = watermark_.BuildReportRequest(node, 100);
       const auto cancellation_report = peer(now, request.after_revision);
       if (!cancellation_report) continue;
       for (const wire::Cancellation& c : cancellation_report->cancelled) {
@@ -204,8 +204,8 @@
   EXPECT_EQ(watermark.Watermark(21), 18) << "the oldest report counts";
   watermark.OnCancellationReport("node-2", 25, {false, 500, {}});
   EXPECT_EQ(watermark.Watermark(26), 18) << "an incomplete report does not count";
-  EXPECT_EQ(watermark.RequestFor("node-2", 90).after_revision, 100U);
-  EXPECT_EQ(watermark.RequestFor("node-2", 120).after_revision, 120U);
+  EXPECT_EQ(watermark.BuildReportRequest("node-2", 90).after_revision, 100U);
+  EXPECT_EQ(watermark.BuildReportRequest("node-2", 120).after_revision, 120U);
   // A lease that starts with the last answer expires before cancel_s.
   EXPECT_LT(watermark.renewal_bound_s() + kLeaseS, kCancelS);
   EXPECT_GT(watermark.renewal_bound_s() + kLeaseS, kCancelS - kHeartbeatIntervalS / 2);
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -114,11 +114,11 @@
 TEST(CheckConsistency, GuaranteeOverTheLimitIsAFaultIfBlocksAreOn) {
   config::Settings settings;
   settings.teams = {{"well", 4, 4, 1, 0}, {"beyond", 5, 4, 0, 0}};
-  config::OperatorOptions operators;
-  EXPECT_TRUE(config::CheckConsistency(settings, operators).empty())
+  config::OperatorOptions operator_options;
+  EXPECT_TRUE(config::CheckConsistency(settings, operator_options).empty())
       << "no fault while blocks are off";
-  operators.blocks.enabled = true;
-  const auto inconsistencies = config::CheckConsistency(settings, operators);
+  operator_options.blocks.enabled = true;
+  const auto inconsistencies = config::CheckConsistency(settings, operator_options);
   ASSERT_EQ(inconsistencies.size(), 1U);
   EXPECT_EQ(inconsistencies[0].Text(),
             "params.teams: beyond is guaranteed 5 cpus, more than its limit of 4");
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -28,7 +28,7 @@
     PutJob(job_table_, SpecAwaiting(id, std::move(dependencies)), at);
   }
   void Cancel(const std::string& id) {
-    PutJob(job_table_, job_table_.Find(id)->spec, job_table_.Find(id)->submitted, true);
+    PutJob(job_table_, job_table_.Find(id)->spec, job_table_.Find(id)->submitted_at, true);
   }
   void DeleteRecord(const std::string& id) {
     job_table_.Apply(store::ParseKey(store::JobKey(id)), "");
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -125,8 +125,8 @@
     std::string error;
     for (int i = first; i < end; ++i) {
       current_process_[i] = nodes_.size();
-      nodes_.push_back(
-          std::make_unique<controller::Controller>(loop_, NodeSettings(i, count), operators_));
+      nodes_.push_back(std::make_unique<controller::Controller>(loop_, NodeSettings(i, count),
+                                                                operator_options_));
       RequireStarted(nodes_.back()->Start(&error), "node " + std::to_string(i), error);
     }
   }
@@ -252,7 +252,7 @@
   double cpus_max_ = 0;         // quota of the team; 0: no limit
   double run_s_ = 0.3;
   std::optional<config::StateLimits> next_state_limits_;
-  config::OperatorOptions operators_;
+  config::OperatorOptions operator_options_;
   // The node without links to its peers and with the address of the state service that
   // CutSecondary() closes; -1 if none.
   int partitioned_node_ = -1;
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -71,12 +71,12 @@
 }
 
 inline model::TaskStatus MakeTaskStatus(const std::string& job, uint32_t index, uint64_t attempt,
-                                        model::TaskPhase state,
+                                        model::TaskPhase phase,
                                         model::ExitCause cause = model::ExitCause::kNone) {
   model::TaskStatus p;
   p.task = {job, index};
   p.attempt = attempt;
-  p.state = state;
+  p.phase = phase;
   p.cause = cause;
   return p;
 }
--- a/tests/golden_bytes_test.cc
+++ b/tests/golden_bytes_test.cc
@@ -93,8 +93,8 @@
   EXPECT_EQ(store::FormatKey(), "hallpier/a/format");
   EXPECT_EQ(store::NodeFormatKey("hallnode-0"), "hallpier/a/node/hallnode-0");
   EXPECT_EQ(store::MemberKey("hallnode-0"), "hallpier/a/member/hallnode-0");
-  EXPECT_EQ(store::DivisionKey(), "hallpier/a/division");
-  EXPECT_EQ(store::ShareKey("hallnode-0"), "hallpier/a/share/hallnode-0");
+  EXPECT_EQ(store::BlockAssignmentKey(), "hallpier/a/division");
+  EXPECT_EQ(store::AllocationKey("hallnode-0"), "hallpier/a/share/hallnode-0");
   EXPECT_EQ(store::JobKey("run-000412"), "hallpier/a/j/run-000412");
   EXPECT_EQ(store::TaskGroupKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
   EXPECT_EQ(store::TaskGroupPartKey("run-000412", 3, 12), "hallpier/a/t/run-000412/00003.12");
@@ -112,8 +112,8 @@
       {"a/format", store::FormatKeyName{}},
       {"a/node/n", store::NodeFormatKeyName{"n"}},
       {"a/member/n", store::MemberKeyName{"n"}},
-      {"a/division", store::DivisionKeyName{}},
-      {"a/share/n", store::ShareKeyName{"n"}},
+      {"a/division", store::BlockAssignmentKeyName{}},
+      {"a/share/n", store::AllocationKeyName{"n"}},
       {"a/j/run-1", store::JobKeyName{"run-1"}},
       {"a/t/run-1/00003", store::TaskGroupKeyName{"run-1", 3, std::nullopt}},
       {"a/t/run-1/00003.12", store::TaskGroupKeyName{"run-1", 3, 12}},
@@ -363,7 +363,7 @@
                                     {"running", kRunning},
                                     {"flushing", kCheckpointing},
                                     {"ended", kExited}}) {
-    EXPECT_EQ(task(R"("phase":")" + std::string(word) + '"').state, phase) << word;
+    EXPECT_EQ(task(R"("phase":")" + std::string(word) + '"').phase, phase) << word;
   }
   using enum model::ExitCause;
   for (const auto& [word, cause] : {std::pair{"", kNone},
--- a/tests/job_order_test.cc
+++ b/tests/job_order_test.cc
@@ -19,7 +19,7 @@
  protected:
   JobOrderTest() : settings_(TestSettings()), job_table_(64) {
     context_.settings = &settings_;
-    context_.operators = &operator_options_;
+    context_.operator_options = &operator_options_;
     context_.machine_types = {MakeMachineType("c4", 4)};
   }
   const jobs::Job& Put(const std::string& id, model::Priority priority, double age) {
--- a/tests/large_fleet.h
+++ b/tests/large_fleet.h
@@ -30,7 +30,7 @@
         machine_count_(machines) {
     settings_.lease_s = 22;
     context_.settings = &settings_;
-    context_.operators = &operator_options_;
+    context_.operator_options = &operator_options_;
     context_.machine_types = {MakeMachineType("c4", kCpusPerMachine)};
   }
 
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -32,13 +32,13 @@
               [this](const std::string& key, const std::string& value) {
                 if (key == store::LeaderKey()) leader_election.OnLeaderRecord(value);
               }),
-        leader_election(scope, settings, operators, client, cache, policy,
+        leader_election(scope, settings, operator_options, client, cache, policy,
                         [this](async::Scope&) { ++terms; }) {
     scope.Spawn(cache.Run());
     scope.Spawn(leader_election.Run());
   }
   const config::Settings settings;
-  const config::OperatorOptions operators;
+  const config::OperatorOptions operator_options;
   FakeElectionPolicy policy;
   int terms = 0;
   store::Client client;
@@ -142,7 +142,7 @@
     node.client.SetRelay([&peer](wire::HttpRequest request) -> async::Task<net::RelayResult> {
       net::RelayResult relayed;
       relayed.sent = true;
-      relayed.answer = co_await peer.ExecuteForPeer(std::move(request));
+      relayed.response = co_await peer.ExecuteForPeer(std::move(request));
       co_return relayed;
     });
     election::LeaderElection& leader_election = node.leader_election;
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -52,7 +52,7 @@
 class MembershipNodesTest : public EndToEndTest {
  public:
   MembershipNodesTest() {
-    operators_.membership.enabled = true;
+    operator_options_.membership.enabled = true;
     run_s_ = 60;
   }
 
@@ -85,8 +85,8 @@
     EXPECT_TRUE(ok);
   }
   // Runs the query in a thread, since it blocks and has a separate event loop, as in the CLI.
-  async::Task<std::vector<cli::MembersAnswer>> RunMembersQuery(config::Settings settings) {
-    std::vector<cli::MembersAnswer> answers;
+  async::Task<std::vector<cli::MembersResponse>> RunMembersQuery(config::Settings settings) {
+    std::vector<cli::MembersResponse> answers;
     std::atomic<bool> done = false;
     std::thread console([&] {
       answers = cli::AskMembers(settings, 1);
@@ -169,7 +169,7 @@
     co_await Pause(2 * kHeartbeatIntervalS);
     auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
     EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
-    for (const cli::MembersAnswer& answer : answers) {
+    for (const cli::MembersResponse& answer : answers) {
       EXPECT_TRUE(answer.report && answer.report->enabled) << answer.error;
       if (!answer.report) continue;
       EXPECT_EQ(answer.report->rows.size(), 3U);
@@ -191,9 +191,9 @@
 
   // One node has membership off, as after a change of its settings or with an older version.
   async::Task<> OneNodeHasMembershipOff() {
-    operators_.membership.enabled = false;
+    operator_options_.membership.enabled = false;
     StartNodes(2, 3, 3);
-    operators_.membership.enabled = true;
+    operator_options_.membership.enabled = true;
     StartNodes(0, 2, 3);
     co_await WaitUntilAllJoined(2);
     co_await Pause(10 * kHeartbeatIntervalS);
@@ -256,7 +256,7 @@
 };
 
 TEST_F(MembershipNodesTest, ALeaderThatShutsDownHandsOverAtOnce) {
-  operators_.leader_ttl_ratio = 20;
+  operator_options_.leader_ttl_ratio = 20;
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(LeaderShutsDown());
@@ -292,7 +292,7 @@
 }
 
 TEST_F(MembershipNodesTest, WritesNoMemberRecordsWhenOff) {
-  operators_.membership.enabled = false;
+  operator_options_.membership.enabled = false;
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(RunWithMembershipOff());
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -1,13 +1,13 @@
-// Unit tests of membership: LivenessTracker, LocalHealth, ReportCounter, HandoverPolicy,
+// Unit tests of membership: LivenessTracker, LocalHealth, HeartbeatCounter, HandoverPolicy,
 // MemberTable, and the encoding of records and messages with their invalid forms.
 #include <gtest/gtest.h>
 
 #include "membership/handover_policy.h"
+#include "membership/heartbeat_counter.h"
 #include "membership/liveness_tracker.h"
 #include "membership/local_health.h"
 #include "membership/member_record.h"
 #include "membership/member_table.h"
-#include "membership/report_counter.h"
 #include "model/member.h"
 #include "store/keys.h"
 #include "store/records.h"
@@ -29,8 +29,8 @@
 TEST(LivenessTracker, SilenceThresholdFollowsTheUsualRoundTrip) {
   LivenessTracker quick(kProbeOptions, 0), slow(kProbeOptions, 0);
   for (int i = 0; i < 50; ++i) {
-    quick.OnAnswer(i, i + 0.002);
-    slow.OnAnswer(i, i + 0.5);
+    quick.OnProbeResponse(i, i + 0.002);
+    slow.OnProbeResponse(i, i + 0.5);
   }
   EXPECT_NEAR(quick.SilenceThresholdS(1, 50), 0.752, 0.005);
   EXPECT_GT(slow.SilenceThresholdS(1, 50), 1.2);
@@ -41,7 +41,7 @@
 
 TEST(LivenessTracker, ADelayedAnswerProvesLivenessOnlyAtTheTimeOfItsProbe) {
   LivenessTracker tracker(kProbeOptions, 0);
-  tracker.OnAnswer(1, 60);
+  tracker.OnProbeResponse(1, 60);
   EXPECT_EQ(*tracker.last_alive_at(), 1);
   EXPECT_TRUE(tracker.Silent(1, 60));
   tracker.ResetSilence(60);
@@ -70,8 +70,8 @@
   EXPECT_EQ(health.score(), 0);
 }
 
-TEST(ReportCounter, ReturnsTheCountOfTheLastCompleteInterval) {
-  membership::ReportCounter counter(2, 0);
+TEST(HeartbeatCounter, ReturnsTheCountOfTheLastCompleteInterval) {
+  membership::HeartbeatCounter counter(2, 0);
   for (int i = 0; i < 5; ++i) counter.Add(1);
   EXPECT_EQ(counter.Last(1), 0U);
   EXPECT_FALSE(counter.Complete(1));
@@ -177,8 +177,8 @@
 
 TEST(MemberMessageCodec, RoundTripsAndRejectsTruncatedMessages) {
   wire::MemberStatus status = StatusOf("node-0", {3, 1});
-  status.vitals = {true, false, 250, 4000};
-  status.yields_to = "node-2";
+  status.fitness = {true, false, 250, 4000};
+  status.successor = "node-2";
   status.observations = {{"node-1", {2, 0}, MemberState::kSuspect, 1500},
                          {"node-2", {9, 9}, MemberState::kLeft, std::nullopt}};
   const std::string payload = wire::WritePeerMessage(wire::MemberProbe{17, status});
@@ -230,7 +230,7 @@
     for (double end = now_ + s; now_ < end;) {
       now_ += kProbeOptions.probe_s;
       for (const std::string& node : answering) {
-        table_.OnAnswer(StatusOf(node, {node == "node-1" ? 5U : 8U, 0}), now_ - 0.01, now_);
+        table_.OnProbeResponse(StatusOf(node, {node == "node-1" ? 5U : 8U, 0}), now_ - 0.01, now_);
       }
       proposals_ = table_.Tick(now_, true);
     }
@@ -244,11 +244,11 @@
   wire::MemberStatus status = StatusOf("node-9", {1, 0});
   status.observations = {{"node-0", {1, 0}, MemberState::kSuspect, 1}};
   table_.OnProbe(status);
-  table_.OnAnswer(status, 0, 0);
+  table_.OnProbeResponse(status, 0, 0);
   EXPECT_EQ(table_.incarnation().refutation, 0U);
   status = StatusOf("node-1", {5, 0});
   status.observations = {{"node-9", {1, 0}, MemberState::kFailed, 1}};
-  table_.OnAnswer(status, 0, 0);
+  table_.OnProbeResponse(status, 0, 0);
   EXPECT_EQ(table_.Rows(0).size(), 3U);
 }
 
@@ -272,8 +272,8 @@
   EXPECT_TRUE(proposals_.empty());
   for (int i = 0; i < 20; ++i) {
     now_ += kProbeOptions.probe_s;
-    table_.OnAnswer(StatusOf("node-1", {4, 9}), now_ - 0.01, now_);
-    table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
+    table_.OnProbeResponse(StatusOf("node-1", {4, 9}), now_ - 0.01, now_);
+    table_.OnProbeResponse(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     table_.Tick(now_, true);
   }
   EXPECT_EQ(table_.Rows(now_)[1].state, MemberState::kSuspect);
@@ -283,7 +283,7 @@
   for (int i = 0; i < 40; ++i) {
     now_ += kProbeOptions.probe_s;
     table_.OnStatusAnswered("node-1", now_ - 0.01);
-    table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
+    table_.OnProbeResponse(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     EXPECT_TRUE(table_.Tick(now_, true).empty());
   }
 }
@@ -330,8 +330,9 @@
       now_ += kProbeOptions.probe_s;
       wire::MemberStatus status = StatusOf("node-2", {8, 0});
       status.observations = {observation};
-      table_.OnAnswer(status, now_ - 0.01, now_);
-      if (delayed_answers_) table_.OnAnswer(StatusOf("node-1", {5, 0}), now_ - answer_age_s, now_);
+      table_.OnProbeResponse(status, now_ - 0.01, now_);
+      if (delayed_answers_)
+        table_.OnProbeResponse(StatusOf("node-1", {5, 0}), now_ - answer_age_s, now_);
       for (auto& proposal : table_.Tick(now_, true)) proposals_.push_back(std::move(proposal));
     }
   }
@@ -388,7 +389,7 @@
   table_.Tick(0.1, true);  // proposes a refutation, which is never carried out
   for (int i = 0; i < 40; ++i) {
     now_ += kProbeOptions.probe_s;
-    table_.OnAnswer(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
+    table_.OnProbeResponse(StatusOf("node-2", {8, 0}), now_ - 0.01, now_);
     EXPECT_TRUE(table_.Tick(now_, true).empty());
   }
 }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -21,8 +21,8 @@
   ASSERT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, kSettleS));
 }
 
-size_t CountVerdicts(const MembershipCluster& cluster, const std::string& node) {
-  const auto& all = cluster.verdicts();
+size_t CountFailureDeclarations(const MembershipCluster& cluster, const std::string& node) {
+  const auto& all = cluster.failure_declarations();
   return static_cast<size_t>(
       std::count_if(all.begin(), all.end(), [&](const auto& v) { return v.node == node; }));
 }
@@ -46,7 +46,8 @@
   // Runs until the node is first declared failed and returns the simulated time that this took.
   double TimeUntilDeclaredFailed(const std::string& node, double limit_s) {
     const double started_at = cluster_->now();
-    EXPECT_TRUE(cluster_->RunUntil([&] { return CountVerdicts(*cluster_, node) > 0; }, limit_s));
+    EXPECT_TRUE(
+        cluster_->RunUntil([&] { return CountFailureDeclarations(*cluster_, node) > 0; }, limit_s));
     return cluster_->now() - started_at;
   }
 
@@ -66,7 +67,7 @@
   cluster_->Kill(leader_);
   TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(60);
-  EXPECT_EQ(cluster_->verdicts().size(), 1U);
+  EXPECT_EQ(cluster_->failure_declarations().size(), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U);
   EXPECT_EQ(cluster_->ObservedState(AnyNodeExcept(*cluster_, leader_), leader_),
             MemberState::kFailed);
@@ -89,7 +90,7 @@
       [&] { return cluster_->ObservedState(leader_, other_) == MemberState::kSuspect; }, 5));
   cluster_->Resume(other_);
   cluster_->RunFor(30);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_TRUE(cluster_->Converged());
 }
 
@@ -101,7 +102,7 @@
   const MemberRecord suspected = *cluster_->Record(other_);
   cluster_->Resume(other_);
   cluster_->RunFor(30);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   const MemberRecord refuted = *cluster_->Record(other_);
   EXPECT_EQ(refuted.state, MemberState::kAlive);
   EXPECT_EQ(refuted.incarnation.session, suspected.incarnation.session);
@@ -113,13 +114,13 @@
 TEST_F(MembershipClusterTest, ResumingWhileTheFailureIsWrittenLeavesOneOutcome) {
   Start();
   const uint64_t session = cluster_->Record(other_)->incarnation.session;
-  cluster_->OnVerdictSent([&](const std::string& /*by*/) { cluster_->Resume(other_); });
+  cluster_->OnFailureDeclarationSent([&](const std::string& /*by*/) { cluster_->Resume(other_); });
   cluster_->Freeze(other_);
   cluster_->RunFor(30);
-  EXPECT_LE(cluster_->verdicts().size(), 1U);
+  EXPECT_LE(cluster_->failure_declarations().size(), 1U);
   EXPECT_TRUE(cluster_->Converged());
   const uint64_t now = cluster_->Record(other_)->incarnation.session;
-  EXPECT_EQ(now, session + cluster_->verdicts().size());
+  EXPECT_EQ(now, session + cluster_->failure_declarations().size());
 }
 
 TEST_F(MembershipClusterTest, AFailedNodeThatResumesJoinsWithANewSession) {
@@ -131,7 +132,7 @@
   cluster_->Resume(leader_);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_EQ(cluster_->Record(leader_)->incarnation.session, session + 1);
-  EXPECT_EQ(cluster_->verdicts().size(), 1U);
+  EXPECT_EQ(cluster_->failure_declarations().size(), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U);
 }
 
@@ -141,7 +142,7 @@
   Start(options);
   cluster_->Cut("node-0", "node-1", true);
   cluster_->RunFor(120);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_GT(cluster_->suspicions(), 0U);
   EXPECT_LT(cluster_->suspicions(), 30U) << "each refuted suspicion must delay the next one";
   EXPECT_EQ(cluster_->handovers().size(), 1U);
@@ -158,11 +159,11 @@
   cluster_->CutFromState("node-1", true);
   TimeUntilDeclaredFailed("node-1", 10);
   cluster_->RunFor(10);
-  EXPECT_EQ(cluster_->verdicts().size(), 1U);
+  EXPECT_EQ(cluster_->failure_declarations().size(), 1U);
   cluster_->Cut("node-0", "node-1", false);
   cluster_->CutFromState("node-1", false);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
-  EXPECT_EQ(CountVerdicts(*cluster_, "node-0"), 0U);
+  EXPECT_EQ(CountFailureDeclarations(*cluster_, "node-0"), 0U);
 }
 
 TEST_F(MembershipClusterTest, APauseOfAllNodesCausesNoSuspicion) {
@@ -171,7 +172,7 @@
   cluster_->RunFor(20);
   for (const std::string& name : cluster_->names()) cluster_->Resume(name);
   cluster_->RunFor(30);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->suspicions(), 0U);
   EXPECT_TRUE(cluster_->Converged());
 }
@@ -181,7 +182,7 @@
   const std::string third = cluster_->Name(3 - (leader_.back() - '0') - (other_.back() - '0'));
   cluster_->CutOneWay(leader_, other_, true);
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->suspicions(), 0U);
   EXPECT_EQ(cluster_->ObservedState(third, other_), MemberState::kAlive);
   EXPECT_EQ(cluster_->handovers().size(), 1U);
@@ -195,7 +196,7 @@
     if (name != leader_) cluster_->SetDelay(leader_, name, 0.3);
   }
   cluster_->RunFor(120);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
@@ -207,7 +208,7 @@
     }
     cluster_->RunFor(3);
   }
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->handovers().size(), 1U);
   EXPECT_LT(cluster_->suspicions(), 20U);
 }
@@ -217,7 +218,7 @@
   options.leader_ttl_s = 30;
   Start(options);
   std::string accuser;
-  cluster_->OnVerdictSent([&](const std::string& by) {
+  cluster_->OnFailureDeclarationSent([&](const std::string& by) {
     accuser = by;
     cluster_->Freeze(by);
   });
@@ -225,20 +226,20 @@
   TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(10);
   ASSERT_FALSE(accuser.empty());
-  EXPECT_EQ(CountVerdicts(*cluster_, leader_), 1U);
+  EXPECT_EQ(CountFailureDeclarations(*cluster_, leader_), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U) << "the third node must take over";
   cluster_->Resume(accuser);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
-  EXPECT_EQ(CountVerdicts(*cluster_, leader_), 1U);
+  EXPECT_EQ(CountFailureDeclarations(*cluster_, leader_), 1U);
 }
 
 TEST_F(MembershipClusterTest, ALostAnswerToTheFailureWriteCausesNoSecondFailure) {
   Start();
-  cluster_->LoseVerdictAnswers(3);
+  cluster_->LoseFailureDeclarationAnswers(3);
   cluster_->Kill(leader_);
   TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(30);
-  EXPECT_EQ(cluster_->verdicts().size(), 1U);
+  EXPECT_EQ(cluster_->failure_declarations().size(), 1U);
 }
 
 TEST_F(MembershipClusterTest, AnotherNodeDeclaresTheFailureWhenTheAccuserDies) {
@@ -259,7 +260,7 @@
   for (int i = 0; i < 100; ++i) cluster_->DelayAnswer(other_, leader_, 1 + 0.1 * i);
   cluster_->Restart(other_);
   ASSERT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   cluster_->Kill(other_);
   const double took_s = TimeUntilDeclaredFailed(other_, 8);
   EXPECT_LT(took_s, 3);
@@ -272,7 +273,7 @@
     cluster_->RunFor(0.3);
     EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   }
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_LE(cluster_->handovers().size(), 4U);
 }
 
@@ -293,7 +294,7 @@
       [&] { return cluster_->ObservedState(leader_, other_) == MemberState::kSuspect; }, 5));
   cluster_->SetStateOutage(true);
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->ObservedState(leader_, other_), MemberState::kSuspect);
   cluster_->SetStateOutage(false);
   TimeUntilDeclaredFailed(other_, 5);
@@ -316,7 +317,7 @@
     if (name != other_) cluster_->Cut(other_, name, true);
   }
   cluster_->RunFor(60);
-  EXPECT_TRUE(cluster_->verdicts().empty());
+  EXPECT_TRUE(cluster_->failure_declarations().empty());
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
@@ -394,11 +395,12 @@
   RemoveFaults(cluster);
   EXPECT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, 120));
   std::set<std::pair<std::string, uint64_t>> failed_sessions;
-  for (const auto& verdict : cluster.verdicts()) {
+  for (const auto& verdict : cluster.failure_declarations()) {
     EXPECT_TRUE(failed_sessions.insert({verdict.node, verdict.session}).second)
         << verdict.node << " session " << verdict.session << " was declared failed twice";
   }
-  EXPECT_EQ(cluster.FalseVerdicts(), 0U) << "nodes were declared failed that could have refuted";
+  EXPECT_EQ(cluster.FalseFailureDeclarations(), 0U)
+      << "nodes were declared failed that could have refuted";
   const size_t handovers = cluster.handovers().size();
   cluster.RunFor(60);
   EXPECT_EQ(cluster.handovers().size(), handovers)
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -161,7 +161,7 @@
         if (!leader_.empty() && !value.empty()) ++leader_overwrites_;
         leader_ = value;
       }
-      if (std::holds_alternative<store::ShareKeyName>(parsed)) ++allocation_writes_;
+      if (std::holds_alternative<store::AllocationKeyName>(parsed)) ++allocation_writes_;
       const auto* member = std::get_if<store::MemberKeyName>(&parsed);
       if (member == nullptr) return;
       auto record = membership::ReadMember(value);
--- a/tests/round_fixture.h
+++ b/tests/round_fixture.h
@@ -23,7 +23,7 @@
  protected:
   RoundFixture() : settings_(TestSettings()), job_table_(64), registry_({3, 30, 3, 4}) {
     context_.settings = &settings_;
-    context_.operators = &operator_options_;
+    context_.operator_options = &operator_options_;
     context_.machine_types = {MakeMachineType("c4", 4)};
     registry_.BeginTerm(kTestToken, 0, 0);
   }
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -33,9 +33,9 @@
       settings_(MakeSettings(options_.limit)),
       random_(options_.seed),
       workers_(events_, random_, WorkerOptions(), WorkerHooks()) {
-  operators_.round_s = 1;
-  operators_.blocks.enabled = true;
-  operators_.blocks.holders = std::max(2.0, options_.max_holders);
+  operator_options_.round_s = 1;
+  operator_options_.blocks.enabled = true;
+  operator_options_.blocks.max_owners = std::max(2.0, options_.max_owners);
   for (int i = 0; i < options_.nodes; ++i) {
     names_.push_back("node-" + std::to_string(i));
     StartProcess(names_.back());
@@ -121,24 +121,24 @@
   node.on_sent = std::move(on_sent);
 }
 
-std::string BlocksCluster::HolderOtherThan(const std::string& name) const {
-  for (const blocks::BlockOwner& holder : Division().owners) {
-    if (holder.node != name) return holder.node;
+std::string BlocksCluster::OwnerOtherThan(const std::string& name) const {
+  for (const blocks::BlockOwner& owner : CurrentAssignment().owners) {
+    if (owner.node != name) return owner.node;
   }
   return "";
 }
 
-blocks::BlockAssignmentRecord BlocksCluster::Division() const {
-  return blocks::ReadBlockAssignment(store_.Value(store::DivisionKey()))
+blocks::BlockAssignmentRecord BlocksCluster::CurrentAssignment() const {
+  return blocks::ReadBlockAssignment(store_.Value(store::BlockAssignmentKey()))
       .value_or(blocks::BlockAssignmentRecord());
 }
 
-bool BlocksCluster::HoldsBlock(const std::string& name) const {
-  return blocks::BlockAssignment(Division()).IndexOf(name).has_value();
+bool BlocksCluster::OwnsBlock(const std::string& name) const {
+  return blocks::BlockAssignment(CurrentAssignment()).IndexOf(name).has_value();
 }
 
 double BlocksCluster::ShareCpus(const std::string& name) const {
-  auto share = quota::ReadAllocation(store_.Value(store::ShareKey(name)));
+  auto share = quota::ReadAllocation(store_.Value(store::AllocationKey(name)));
   return share && share->allocated.contains("team") ? share->allocated.at("team").cpus : 0;
 }
 
@@ -153,11 +153,11 @@
   }));
 }
 
-std::set<std::string> BlocksCluster::MachinesOf(const std::string& holder) const {
-  const blocks::BlockAssignment division(Division());
+std::set<std::string> BlocksCluster::MachinesOf(const std::string& owner) const {
+  const blocks::BlockAssignment assignment(CurrentAssignment());
   std::set<std::string> machines;
   for (const std::string& name : workers_.Names()) {
-    if (division.OwnerOf(name) == division.IndexOf(holder)) machines.insert(name);
+    if (assignment.OwnerOf(name) == assignment.IndexOf(owner)) machines.insert(name);
   }
   return machines;
 }
@@ -173,9 +173,9 @@
   node->process = &process;
   node->session = session + 1;
   node->state_cut = state_cut;
-  node->mirror = std::make_unique<blocks::MachineStateReplica>(RegistryOptions());
+  node->replica = std::make_unique<blocks::MachineStateReplica>(RegistryOptions());
   node->context.settings = &settings_;
-  node->context.operators = &operators_;
+  node->context.operator_options = &operator_options_;
   node->context.machine_types = {MakeMachineType("c4", kMachineCpus)};
   nodes_[name] = std::move(node);
   Tick(name, process.generation());
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -48,10 +48,10 @@
     double delay_s = 0.005;       // minimum one-way delay to the state service; up to twice as long
     double watch_lag_s = 0.05;    // lag of a node's copy of the records
     double lost_answer_rate = 0;  // probability that the answer to a transaction is lost
-    double late_rate = 0;    // probability that a transaction is executed late, without an answer
-    double min_late_s = 1;   // minimum delay of a late transaction
-    double max_late_s = 8;   // maximum delay of a late transaction
-    double max_holders = 9;  // at least 2; 0 disables blocks
+    double late_rate = 0;   // probability that a transaction is executed late, without an answer
+    double min_late_s = 1;  // minimum delay of a late transaction
+    double max_late_s = 8;  // maximum delay of a late transaction
+    double max_owners = 9;  // at least 2; 0 disables blocks
     // Safety checks to disable in experiments. "token", "division", "share" and "job" omit the
     // precondition on that record. With "copy" a node assumes that its copy of the records is
     // complete.
@@ -105,9 +105,9 @@
   // State and measurements. Leader() is empty if no leader was elected yet.
   std::string Leader() const { return leader_; }
   // Returns a block holder other than `name`. Empty if there is none.
-  std::string HolderOtherThan(const std::string& name) const;
-  blocks::BlockAssignmentRecord Division() const;
-  bool HoldsBlock(const std::string& name) const;
+  std::string OwnerOtherThan(const std::string& name) const;
+  blocks::BlockAssignmentRecord CurrentAssignment() const;
+  bool OwnsBlock(const std::string& name) const;
   // Returns the processors in the node's share of the limit of "team".
   double ShareCpus(const std::string& name) const;
   double widen_s() const { return WidenS(); }
@@ -132,7 +132,7 @@
   int UnfinishedJobs() const;
   bool AllFinished() const { return UnfinishedJobs() == 0; }
   // Returns the machines of the holder's block, or all machines if there are no blocks.
-  std::set<std::string> MachinesOf(const std::string& holder) const;
+  std::set<std::string> MachinesOf(const std::string& owner) const;
   // Sets a hook that is called with the machine of each task that starts.
   void OnStart(std::function<void(const std::string& machine)> hook) {
     on_start_ = std::move(hook);
@@ -147,7 +147,7 @@
     bool peer_cut = false;
     double unavailable_since = 0;
     uint64_t session = 0;
-    // Copy of the records.
+    // Watch cache of the records.
     jobs::JobTable job_table{store::TasksPerTextGroup(8)};
     blocks::BlockRecords records;
     std::map<std::string, uint64_t> versions;         // by key; 0 if deleted
@@ -155,7 +155,7 @@
     uint64_t revision = 0;
     size_t applied_changes = 0;  // number of changes of the store applied so far
     // Rounds.
-    std::unique_ptr<blocks::MachineStateReplica> mirror;
+    std::unique_ptr<blocks::MachineStateReplica> replica;
     plan::PlanningContext context;
     bool busy = false;  // a transaction is in flight
     std::deque<jobs::Transaction> queue;
@@ -165,8 +165,8 @@
     bool uses_blocks = false;  // false for a version without blocks
     model::FencingToken token;
     std::unique_ptr<fleet::WorkerRegistry> registry;
-    std::unique_ptr<blocks::BlockPlanner> lending;
-    std::map<std::string, blocks::BlockViewBuilder> senders;
+    std::unique_ptr<blocks::BlockPlanner> block_planner;
+    std::map<std::string, blocks::BlockViewBuilder> view_builders;
     DeliveryFault next_fault = DeliveryFault::kNone;
     std::function<void()> on_sent;
     int placements = 0;
@@ -195,7 +195,7 @@
   void ApplyRecord(Node& node, const std::string& key, const std::string& value, uint64_t version);
   void ApplyChanges(Node& node);
   static uint64_t VersionIn(const Node& node, const std::string& key);
-  blocks::CacheState Copy(const Node& node) const;
+  blocks::CacheState CacheStateOf(const Node& node) const;
 
   // Rounds of a node.
   void Tick(const std::string& name, uint64_t generation);
@@ -207,21 +207,23 @@
   // rejoins with a new session.
   void ReportMember(Node& leader, const std::string& name);
   void Rejoin(Node& node);
-  double WidenS() const { return operators_.blocks.widen_ratio * settings_.heartbeat_interval_s; }
+  double WidenS() const {
+    return operator_options_.blocks.widen_ratio * settings_.heartbeat_interval_s;
+  }
   void Round(Node& node);
-  void HolderRound(Node& node);
+  void OwnerRound(Node& node);
   void LeaderRound(Node& node);
   // Placements that a leader with blocks makes itself, and the preconditions of its transaction.
   struct OwnPlacements {
     std::vector<jobs::TaskTransition> places;
     std::vector<model::Precondition> preconditions;
   };
-  OwnPlacements PlanOwnPlacements(Node& node, bool divided);
+  OwnPlacements PlanOwnPlacements(Node& node, bool has_owners);
   // Returns true if a transaction on division or share records is in flight.
   bool ReviewBlocks(Node& node, const plan::RoundResult& plan,
                     const std::optional<plan::PlacementScope>& scope);
   void SendViews(Node& leader);
-  void ApplyView(const std::string& holder, const wire::BlockView& view,
+  void ApplyView(const std::string& owner, const wire::BlockView& view,
                  const std::string& leader_name, uint64_t leader_generation, double sent);
 
   // Transactions of a node, sent one at a time.
@@ -251,7 +253,7 @@
 
   const Options options_;
   config::Settings settings_;
-  config::OperatorOptions operators_;
+  config::OperatorOptions operator_options_;
   Random random_;
   EventQueue events_;
   std::vector<std::string> names_;
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // A node that is unavailable for longer counts as failed.
-constexpr double kVerdictDelayS = 2;
+constexpr double kFailureDeclarationDelayS = 2;
 constexpr double kLeaderTtlS = 1;
 // The leader does not answer a heartbeat older than this.
 constexpr double kHeartbeatTimeoutS = 1;
@@ -54,25 +54,26 @@
   const std::string record = store::WriteFencingTokenRecord(node.name);
   Execute({}, {{store::FencingTokenKey(), record, 0}});
   node.is_leader = true;
-  node.uses_blocks = options_.max_holders >= 2 && new_leaders_use_blocks_;
+  node.uses_blocks = options_.max_owners >= 2 && new_leaders_use_blocks_;
   node.token = model::FencingToken(store_.revision());
   node.unanswered.clear();
   ApplyRecord(node, store::FencingTokenKey(), record, store_.revision());
   node.registry = std::make_unique<fleet::WorkerRegistry>(RegistryOptions());
   node.registry->BeginTerm(node.token, now(), now() + settings_.lease_s / 2);
-  node.lending = std::make_unique<blocks::BlockPlanner>(settings_, operators_.blocks);
+  node.block_planner = std::make_unique<blocks::BlockPlanner>(settings_, operator_options_.blocks);
   for (const std::string& other : names_) ReportMember(node, other);
-  node.lending->BeginTerm(node.token, node.records, now());
-  node.senders.clear();
+  node.block_planner->BeginTerm(node.token, node.records, now());
+  node.view_builders.clear();
 }
 
 void BlocksCluster::ReportMember(Node& leader, const std::string& name) {
   const Node& node = NodeOf(name);
   const bool responsive = node.process->running() && !node.process->frozen();
-  if (!responsive && now() - node.unavailable_since > kVerdictDelayS)
+  if (!responsive && now() - node.unavailable_since > kFailureDeclarationDelayS)
     failed_sessions_.insert({name, node.session});
   const bool failed = failed_sessions_.contains({name, node.session});
-  leader.lending->eligibility().OnMember(name, failed ? std::nullopt : std::optional(node.session));
+  leader.block_planner->eligibility().OnMember(name,
+                                               failed ? std::nullopt : std::optional(node.session));
 }
 
 void BlocksCluster::Rejoin(Node& node) {
@@ -86,21 +87,21 @@
   } else if (node.is_leader) {
     LeaderRound(node);
   } else {
-    HolderRound(node);
+    OwnerRound(node);
   }
 }
 
-void BlocksCluster::HolderRound(Node& node) {
+void BlocksCluster::OwnerRound(Node& node) {
   if (ReachesState(node)) Rejoin(node);
   // A node that was frozen or partitioned plans with an outdated copy of the records. The
   // preconditions of its transaction must prevent wrong placements.
-  const auto holder = node.records.ActiveOwnerIndex(node.name, node.session, Copy(node));
-  if (!holder) return;
+  const auto owner = node.records.ActiveOwnerIndex(node.name, node.session, CacheStateOf(node));
+  if (!owner) return;
   const plan::PlacementScope scope =
-      node.records.OwnerScope(*holder, WidenS(), now(), settings_, node.job_table);
+      node.records.OwnerScope(*owner, WidenS(), now(), settings_, node.job_table);
   const plan::RoundResult plan =
-      plan::PlanRound(node.context, node.job_table, node.mirror->registry(), now(), now(), &scope);
-  Send(node, plan.placements, node.records.PlacementPreconditions(*holder), true);
+      plan::PlanRound(node.context, node.job_table, node.replica->registry(), now(), now(), &scope);
+  Send(node, plan.placements, node.records.PlacementPreconditions(*owner), true);
 }
 
 void BlocksCluster::LeaderRound(Node& node) {
@@ -131,19 +132,19 @@
   for (const auto& [name, machine] : node.registry->machines()) RequestHeartbeat(node, name);
 }
 
-BlocksCluster::OwnPlacements BlocksCluster::PlanOwnPlacements(Node& node, bool divided) {
+BlocksCluster::OwnPlacements BlocksCluster::PlanOwnPlacements(Node& node, bool has_owners) {
   OwnPlacements own{.places = {}, .preconditions = {store::FencingTokenPrecondition(node.token)}};
-  const auto holder = node.records.ActiveOwnerIndex(node.name, node.session, Copy(node));
-  const bool undivided = !divided && !node.records.block_assignment().has_owners();
-  if (undivided && node.revision >= node.records.newest_revision()) {
+  const auto owner = node.records.ActiveOwnerIndex(node.name, node.session, CacheStateOf(node));
+  const bool no_owners = !has_owners && !node.records.block_assignment().has_owners();
+  if (no_owners && node.revision >= node.records.newest_revision()) {
     own.places =
         plan::PlanRound(node.context, node.job_table, *node.registry, now(), now()).placements;
-  } else if (holder) {
+  } else if (owner) {
     const plan::PlacementScope scope =
-        node.records.OwnerScope(*holder, WidenS(), now(), settings_, node.job_table);
+        node.records.OwnerScope(*owner, WidenS(), now(), settings_, node.job_table);
     own.places = plan::PlanRound(node.context, node.job_table, *node.registry, now(), now(), &scope)
                      .placements;
-    own.preconditions = node.records.PlacementPreconditions(*holder);
+    own.preconditions = node.records.PlacementPreconditions(*owner);
   }
   return own;
 }
@@ -151,11 +152,12 @@
 bool BlocksCluster::ReviewBlocks(Node& node, const plan::RoundResult& plan,
                                  const std::optional<plan::PlacementScope>& scope) {
   for (const std::string& other : names_) ReportMember(node, other);
-  auto change = node.lending->PlanAssignmentChange(node.records, Copy(node), true, now());
+  auto change =
+      node.block_planner->PlanAssignmentChange(node.records, CacheStateOf(node), true, now());
   if (!change && scope) {
-    change =
-        node.lending->PlanAllocationChange(node.records, Copy(node), node.job_table, *node.registry,
-                                           node.context, plan, *scope, kWriteLimits);
+    change = node.block_planner->PlanAllocationChange(node.records, CacheStateOf(node),
+                                                      node.job_table, *node.registry, node.context,
+                                                      plan, *scope, kWriteLimits);
   }
   if (!change) return false;
   jobs::Transaction transaction;
@@ -172,9 +174,9 @@
     const Node& node = NodeOf(other);
     const bool linked = node.process->running() && !node.peer_cut && !leader.peer_cut;
     if (other == leader.name || !linked) continue;
-    const auto holder = leader.records.block_assignment().IndexOf(other);
-    for (const auto& view : leader.senders[other].BuildViews(
-             leader.token, leader.records.block_assignment(), holder, machines, {})) {
+    const auto owner = leader.records.block_assignment().IndexOf(other);
+    for (const auto& view : leader.view_builders[other].BuildViews(
+             leader.token, leader.records.block_assignment(), owner, machines, {})) {
       InProcessAfter(options_.delay_s, other, node.process->generation(),
                      [this, other, view, leader_name = leader.name,
                       leader_generation = leader.process->generation(), sent = now()] {
@@ -184,21 +186,21 @@
   }
 }
 
-void BlocksCluster::ApplyView(const std::string& holder, const wire::BlockView& view,
+void BlocksCluster::ApplyView(const std::string& owner, const wire::BlockView& view,
                               const std::string& leader_name, uint64_t leader_generation,
                               double sent) {
-  const Node& node = NodeOf(holder);
-  const auto sequence = node.mirror->Apply(view, now());
+  const Node& node = NodeOf(owner);
+  const auto sequence = node.replica->Apply(view, now());
   if (!sequence) return;
   InProcessAfter(options_.delay_s, leader_name, leader_generation,
-                 [this, holder, leader_name, sent, sequence = *sequence, session = node.session,
+                 [this, owner, leader_name, sent, sequence = *sequence, session = node.session,
                   reaches_state = ReachesState(node)] {
                    Node& leader = NodeOf(leader_name);
                    if (!leader.is_leader) return;
-                   leader.senders[holder].OnAcknowledged(sequence);
+                   leader.view_builders[owner].OnAcknowledged(sequence);
                    if (sequence > 0)
-                     leader.lending->eligibility().OnAcknowledged(holder, session, reaches_state,
-                                                                  sent);
+                     leader.block_planner->eligibility().OnAcknowledged(owner, session,
+                                                                        reaches_state, sent);
                  });
 }
 
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -19,8 +19,8 @@
   std::vector<std::string> failed = store_.Execute(now(), preconditions, writes);
   if (!failed.empty() || !on_block_record_write_) return failed;
   for (const model::KeyWrite& write : writes) {
-    const bool is_block_record = store::IsKeyOfKind<store::DivisionKeyName>(write.key) ||
-                                 store::IsKeyOfKind<store::ShareKeyName>(write.key);
+    const bool is_block_record = store::IsKeyOfKind<store::BlockAssignmentKeyName>(write.key) ||
+                                 store::IsKeyOfKind<store::AllocationKeyName>(write.key);
     if (is_block_record) At(0, [this, key = write.key] { on_block_record_write_(key); });
   }
   return failed;
@@ -36,10 +36,10 @@
       std::holds_alternative<store::TaskGroupKeyName>(parsed)) {
     node.job_table.Apply(parsed, value);
   }
-  if (std::holds_alternative<store::DivisionKeyName>(parsed)) {
+  if (std::holds_alternative<store::BlockAssignmentKeyName>(parsed)) {
     node.records.SetBlockAssignment(value, version);
   }
-  if (const auto* share = std::get_if<store::ShareKeyName>(&parsed)) {
+  if (const auto* share = std::get_if<store::AllocationKeyName>(&parsed)) {
     node.records.SetAllocation(share->node, value, version);
   }
   const bool superseded = key == store::FencingTokenKey() && version != node.token.value();
@@ -62,7 +62,7 @@
   return it == node.versions.end() ? 0 : it->second;
 }
 
-blocks::CacheState BlocksCluster::Copy(const Node& node) const {
+blocks::CacheState BlocksCluster::CacheStateOf(const Node& node) const {
   const uint64_t revision = IsDisabled("copy") ? UINT64_MAX : node.revision;
   const model::FencingToken known(VersionIn(node, store::FencingTokenKey()));
   return {revision, node.is_leader ? node.token : known};
@@ -93,8 +93,8 @@
     const std::string& key = precondition.key;
     const bool disabled =
         (store::IsKeyOfKind<store::FencingTokenKeyName>(key) && IsDisabled("token")) ||
-        (store::IsKeyOfKind<store::DivisionKeyName>(key) && IsDisabled("division")) ||
-        (store::IsKeyOfKind<store::ShareKeyName>(key) && IsDisabled("share")) ||
+        (store::IsKeyOfKind<store::BlockAssignmentKeyName>(key) && IsDisabled("division")) ||
+        (store::IsKeyOfKind<store::AllocationKeyName>(key) && IsDisabled("share")) ||
         (store::IsKeyOfKind<store::JobKeyName>(key) && IsDisabled("job"));
     if (!disabled) enabled.push_back(precondition);
   }
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -89,13 +89,13 @@
                                     double delay_s) {
   const wire::MemberStatus status = Table(from).Status(LocalNow(from));
   const double sent = LocalNow(to);
-  At(delay_s, [this, status, to, sent] { Table(to).OnAnswer(status, sent, LocalNow(to)); });
+  At(delay_s, [this, status, to, sent] { Table(to).OnProbeResponse(status, sent, LocalNow(to)); });
 }
 
-size_t MembershipCluster::FalseVerdicts() const {
+size_t MembershipCluster::FalseFailureDeclarations() const {
   return static_cast<size_t>(
-      std::count_if(verdicts_.begin(), verdicts_.end(),
-                    [](const Verdict& verdict) { return verdict.was_healthy; }));
+      std::count_if(failure_declarations_.begin(), failure_declarations_.end(),
+                    [](const FailureDeclaration& declaration) { return declaration.was_healthy; }));
 }
 
 std::optional<membership::MemberRecord> MembershipCluster::Record(const std::string& name) const {
@@ -217,22 +217,22 @@
     const wire::MemberStatus answer = Table(to).Status(LocalNow(to));
     Deliver(to, from, [this, from, sent, answer, prober] {
       if (nodes_.at(from).process.generation() != prober) return;
-      Table(from).OnAnswer(answer, sent, LocalNow(from));
+      Table(from).OnProbeResponse(answer, sent, LocalNow(from));
     });
   });
 }
 
 void MembershipCluster::Submit(const std::string& name, const membership::Proposal& proposal) {
   const uint64_t generation = nodes_.at(name).process.generation();
-  const bool verdict = proposal.kind == membership::Proposal::Kind::kDeclareFailed;
-  if (verdict && on_verdict_sent_) {
-    auto hook = std::exchange(on_verdict_sent_, nullptr);
+  const bool declares_failure = proposal.kind == membership::Proposal::Kind::kDeclareFailed;
+  if (declares_failure && on_failure_declaration_sent_) {
+    auto hook = std::exchange(on_failure_declaration_sent_, nullptr);
     hook(name);
   }
-  At(options_.state_delay_s, [this, name, generation, proposal, verdict] {
+  At(options_.state_delay_s, [this, name, generation, proposal, declares_failure] {
     const bool committed = StateReachable(nodes_.at(name)) && Commit(name, proposal);
-    const bool answer_lost = committed && verdict && lose_verdict_answers_ > 0;
-    if (answer_lost) --lose_verdict_answers_;
+    const bool answer_lost = committed && declares_failure && lose_failure_declaration_answers_ > 0;
+    if (answer_lost) --lose_failure_declaration_answers_;
     At(answer_lost ? kTransactionTimeoutS : options_.state_delay_s,
        [this, name, generation, proposal] {
          nodes_.at(name).process.RunOrDefer(generation, [this, name, proposal] {
@@ -254,20 +254,22 @@
     if (VersionOf(precondition.key) != precondition.version) return false;
   }
   if (proposal.kind == membership::Proposal::Kind::kSuspect) ++suspicions_;
-  if (proposal.kind == membership::Proposal::Kind::kDeclareFailed) RecordVerdict(by, proposal);
+  if (proposal.kind == membership::Proposal::Kind::kDeclareFailed)
+    RecordFailureDeclaration(by, proposal);
   records_[proposal.node] = {proposal.record, ++revision_};
   for (const std::string& name : names_) NotifyWatch(name, proposal.node);
   return true;
 }
 
-void MembershipCluster::RecordVerdict(const std::string& by, const membership::Proposal& proposal) {
+void MembershipCluster::RecordFailureDeclaration(const std::string& by,
+                                                 const membership::Proposal& proposal) {
   const Node& failed = nodes_.at(proposal.node);
   const bool was_healthy = Healthy(failed) && now() - failed.healthy_since > kTimeToRefuteS;
-  verdicts_.push_back({.at = now(),
-                       .node = proposal.node,
-                       .by = by,
-                       .session = proposal.record.incarnation.session,
-                       .was_healthy = was_healthy});
+  failure_declarations_.push_back({.at = now(),
+                                   .node = proposal.node,
+                                   .by = by,
+                                   .session = proposal.record.incarnation.session,
+                                   .was_healthy = was_healthy});
 }
 
 void MembershipCluster::NotifyWatch(const std::string& name, const std::string& subject) {
--- a/tests/simulation/membership_cluster.h
+++ b/tests/simulation/membership_cluster.h
@@ -43,7 +43,7 @@
   };
 
   // Recorded events, with the true time.
-  struct Verdict {
+  struct FailureDeclaration {
     double at;
     std::string node;
     std::string by;
@@ -86,18 +86,20 @@
   void SetClockRate(const std::string& name, double clock_rate);
   // Loses the answers to the next `count` transactions that write a verdict. The transactions are
   // executed.
-  void LoseVerdictAnswers(int count) { lose_verdict_answers_ = count; }
+  void LoseFailureDeclarationAnswers(int count) { lose_failure_declaration_answers_ = count; }
   // Sets a hook that is called once, after the next transaction with a verdict was sent and before
   // it arrives.
-  void OnVerdictSent(std::function<void(const std::string& by)> hook) {
-    on_verdict_sent_ = std::move(hook);
+  void OnFailureDeclarationSent(std::function<void(const std::string& by)> hook) {
+    on_failure_declaration_sent_ = std::move(hook);
   }
   // Delivers the present status of `from` to `to` after the delay, regardless of partitions.
   void DelayAnswer(const std::string& from, const std::string& to, double delay_s);
 
   // Recorded events and present state.
-  const std::vector<Verdict>& verdicts() const { return verdicts_; }
-  size_t FalseVerdicts() const;
+  const std::vector<FailureDeclaration>& failure_declarations() const {
+    return failure_declarations_;
+  }
+  size_t FalseFailureDeclarations() const;
   const std::vector<Handover>& handovers() const { return handovers_; }
   size_t suspicions() const { return suspicions_; }
   // Returns the holder of the leader's lease. Empty if there is no leader.
@@ -147,7 +149,7 @@
   // Member records in the state service.
   void Submit(const std::string& name, const membership::Proposal& proposal);
   bool Commit(const std::string& by, const membership::Proposal& proposal);
-  void RecordVerdict(const std::string& by, const membership::Proposal& proposal);
+  void RecordFailureDeclaration(const std::string& by, const membership::Proposal& proposal);
   uint64_t VersionOf(const std::string& key) const;
   // Delivers the member record to the node's watch, as it is at the time of delivery.
   void NotifyWatch(const std::string& name, const std::string& subject);
@@ -174,11 +176,11 @@
   uint64_t leader_generation_ = 0;
   double leader_until_ = -std::numeric_limits<double>::infinity();
   uint64_t token_ = 0;
-  std::vector<Verdict> verdicts_;
+  std::vector<FailureDeclaration> failure_declarations_;
   std::vector<Handover> handovers_;
   size_t suspicions_ = 0;
-  int lose_verdict_answers_ = 0;
-  std::function<void(const std::string& by)> on_verdict_sent_;
+  int lose_failure_declaration_answers_ = 0;
+  std::function<void(const std::string& by)> on_failure_declaration_sent_;
 };
 
 }  // namespace hallpier::testing_support
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -28,7 +28,7 @@
   BlocksCluster::Options options;
   options.seed = seed;
   // With one block, blocks are disabled and only the leader places.
-  options.max_holders = blocks > 1 ? blocks : 0;
+  options.max_owners = blocks > 1 ? blocks : 0;
   return options;
 }
 
@@ -77,7 +77,7 @@
 }
 
 // Kills a holder that is not the leader or, with one block, the leader.
-Experiment MeasureHolderFailure(const RunOptions& run_options) {
+Experiment MeasureOwnerFailure(const RunOptions& run_options) {
   Experiment experiment = MakeExperiment(
       "after_death", "Time from a holder's failure to the next start on its machines", "s",
       "With one block the holder is the leader. The lower bound is the time to a verdict, 2 s "
@@ -89,9 +89,9 @@
     for (int run = 0; run < run_options.runs; ++run) {
       BlocksCluster cluster(WithBlocks(blocks, run_options.seed + static_cast<uint64_t>(run)));
       cluster.RunFor(kSettleS);
-      const std::string other = cluster.HolderOtherThan(cluster.Leader());
-      const std::string holder = blocks > 1 ? other : cluster.Leader();
-      const std::set<std::string> machines = cluster.MachinesOf(holder);
+      const std::string other = cluster.OwnerOtherThan(cluster.Leader());
+      const std::string owner = blocks > 1 ? other : cluster.Leader();
+      const std::set<std::string> machines = cluster.MachinesOf(owner);
       double began = 0;
       std::optional<double> next;
       cluster.OnStart([&](const std::string& machine) {
@@ -99,7 +99,7 @@
       });
       cluster.At(kSettleS / 2, [&] {
         began = cluster.now();
-        cluster.Kill(holder);
+        cluster.Kill(owner);
       });
       SubmitLoad(cluster, kFullLoadIntervalS, kMeasuredS);
       samples.Add(next ? *next - began : kTimeRange.max);
@@ -151,7 +151,7 @@
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             samples.Add(cluster.starts_over_limit());
           }),
-      MeasureHolderFailure(run_options),
+      MeasureOwnerFailure(run_options),
   };
 }
 
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -180,8 +180,8 @@
 }
 
 double CountSuspicions(const MembershipCluster& c) { return static_cast<double>(c.suspicions()); }
-double CountVerdicts(const MembershipCluster& c) {
-  return static_cast<double>(c.verdicts().size());
+double CountFailureDeclarations(const MembershipCluster& c) {
+  return static_cast<double>(c.failure_declarations().size());
 }
 
 }  // namespace
@@ -207,8 +207,8 @@
           "fraction of packets retransmitted", losses, lossy, CountSuspicions,
           "Each lost packet arrives 1 s later, or later still if it is lost again.", run_options),
       MeasureFalsePositives("loss_verdicts", "Verdicts on healthy nodes, by packet loss",
-                            "fraction of packets retransmitted", losses, lossy, CountVerdicts,
-                            "The optimum is 0.", run_options),
+                            "fraction of packets retransmitted", losses, lossy,
+                            CountFailureDeclarations, "The optimum is 0.", run_options),
       MeasureFalsePositives(
           "load_suspicions", "Recorded suspicions of healthy nodes, by load",
           "fraction of ticks followed by a pause of up to 5 s", loads, busy, CountSuspicions,
@@ -217,7 +217,8 @@
           run_options),
       MeasureFalsePositives(
           "load_verdicts", "Verdicts on healthy nodes, by load",
-          "fraction of ticks followed by a pause of up to 5 s", loads, busy, CountVerdicts,
+          "fraction of ticks followed by a pause of up to 5 s", loads, busy,
+          CountFailureDeclarations,
           "The optimum is 0. A node that is also late in refuting a suspicion may receive a "
           "verdict; it rejoins immediately.",
           run_options),
