--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -58,8 +58,8 @@
     out.kind = JobLookup::Kind::kActive;
     out.job = std::move(*job);
     out.version = active.value.version;
-    // This node must be able to hand over everything that it answers: a cancellation that it reads
-    // here is part of an answer, and the node that recorded it may be gone.
+    // This node must be able to hand over everything that it reports: a cancellation that it reads
+    // here is part of a response, and the node that recorded it may be gone.
     deps_.cache->ApplyAheadOfWatch(active.value.key, active.value.value, active.value.version);
     co_return out;
   }
@@ -107,8 +107,8 @@
     JobLookup found = co_await LookupLinearizable(id);
     if (found.kind != JobLookup::Kind::kActive || found.job.cancelled) co_return found;
     if (!found.from_watch_cache) {
-      // The answer must not contradict a cancellation that another node has reported and this node
-      // does not know of. A job that is no longer blocked can't be cancelled through its
+      // The response must not contradict a cancellation that another node has reported and this
+      // node does not know of. A job that is no longer blocked can't be cancelled through its
       // dependencies any more.
       const jobs::Job* job = deps_.job_table->Find(id);
       if (found.job.spec.dependencies.empty() || (job != nullptr && !job->blocked)) co_return found;
@@ -137,7 +137,7 @@
       if (final_record->phase == model::JobPhase::kCancelled) co_return DependencyState::kCancelled;
       continue;
     }
-    // A cancellation in the local copy is valid however old the copy is; anything else may be out
+    // A cancellation in the watch cache is valid however old the cache is; anything else may be out
     // of date.
     const jobs::Job* job = deps_.job_table->Find(id);
     if (job != nullptr && job->cancelled) co_return DependencyState::kCancelled;
@@ -168,7 +168,7 @@
       is_service = job->spec.kind == model::JobKind::kService;
       *cancelled = *cancelled || job->cancelled;
     } else {
-      // If the local copy has caught up, the job is not active, so it is final or was never
+      // If the watch cache has caught up, the job is not active, so it is final or was never
       // accepted.
       JobLookup found = FindCachedFinal(id);
       if (found.kind != JobLookup::Kind::kFinal) {
@@ -202,7 +202,7 @@
     return Answer(200, wire::WriteJobStatus(status));
   }
   // The counts are informational and may lag. That the job is not cancelled comes from the lookup;
-  // the local copy may have learned of a cancellation since, and a cancellation is never undone.
+  // the watch cache may have learned of a cancellation since, and a cancellation is never undone.
   model::JobStatus status;
   status.id = id;
   if (const jobs::Job* job = deps_.job_table->Find(id)) status = job->Status();
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,8 +1,8 @@
 // Handles user requests: submissions, status polls and cancellations. Every node answers them, from
 // the state service.
 //
-// No node may contradict an earlier answer of any node: accepted, done and cancelled are answered
-// only after they have been recorded, and only final states are answered from memory.
+// No node may contradict an earlier response of any node: accepted, done and cancelled are reported
+// only after they have been recorded, and only final states are reported from memory.
 #pragma once
 
 #include <deque>
@@ -34,8 +34,8 @@
     jobs::JobTable* job_table;
     const std::vector<model::MachineType>* machine_types;  // empty until they are known
     std::function<double()> time_of_day;
-    // Waits until the local copy of the state contains the outcomes of all jobs that a job depends
-    // on. Returns false if that takes longer than `limit_s` seconds.
+    // Waits until the watch cache contains the outcomes of all jobs that a job depends on. Returns
+    // false if that takes longer than `limit_s` seconds.
     std::function<async::Task<bool>(std::string id, double limit_s)> wait_for_dependencies;
     // Notifies the other nodes of a cancellation that was just recorded with this version.
     std::function<void(const std::string& id, uint64_t version)> broadcast_cancellation;
@@ -53,20 +53,20 @@
     enum class Kind { kActive, kFinal, kNotFound, kUnknown } kind = Kind::kUnknown;
     store::JobRecord job;
     uint64_t version = 0;           // of the active job's record
-    bool from_watch_cache = false;  // read from the local copy, after it had caught up
+    bool from_watch_cache = false;  // read after the watch cache had caught up
     store::FinalRecord final_record;
   };
   // Reads the job's records from the state service.
   async::Task<JobLookup> Lookup(std::string id);
-  // Same result, but reads active jobs from the local copy after a linearizable read that
-  // concurrent lookups share. Falls back to Lookup() if the local copy can't catch up.
+  // Same result, but reads active jobs from the watch cache after a linearizable read that
+  // concurrent lookups share. Falls back to Lookup() if the watch cache can't catch up.
   async::Task<JobLookup> LookupLinearizable(std::string id);
   async::Task<JobLookup> LookupFinal(std::string id);
-  // The lookup for answers to users: also reports the job as cancelled if a job that it depends on
-  // is cancelled.
+  // The lookup for responses to users: also reports the job as cancelled if a job that it depends
+  // on is cancelled.
   async::Task<JobLookup> LookupWithDependencies(std::string id);
   // Finds out whether a job that is not cancelled itself is cancelled through its dependencies.
-  // Reads their records from the state service; used when the local copy can't catch up.
+  // Reads their records from the state service; used when the watch cache can't catch up.
   enum class DependencyState { kNotCancelled, kCancelled, kUnknown };
   async::Task<DependencyState> LookupDependencyState(std::vector<std::string> dependencies);
   // Checks the dependencies of a submission. Returns the error response if one of them is invalid
--- a/src/blocks/block_records.h
+++ b/src/blocks/block_records.h
@@ -50,7 +50,7 @@
   std::vector<model::Precondition> PlacementPreconditions(size_t owner) const;
 
   // Returns the scope of the leader's round over all machines. `widen_interval_s`: see
-  // BlockAssignment::MayPlace. `time_of_day`: the time of day, the clock of the jobs' timestamps.
+  // BlockAssignment::MayPlace. `time_of_day`: wall-clock time in seconds since the Unix epoch.
   plan::PlacementScope AllMachinesScope(double widen_interval_s, double time_of_day) const;
   // Returns the scope of one owner's round over its block.
   plan::PlacementScope OwnerScope(size_t owner, double widen_interval_s, double time_of_day,
--- a/src/cli/members_command.cc
+++ b/src/cli/members_command.cc
@@ -37,7 +37,7 @@
   return targets;
 }
 
-// Parses a controller's answer; returns an error if it is not a members report.
+// Parses a controller's response; returns an error if it is not a members report.
 MembersResponse ReadAnswer(const std::string& node, const std::string& payload) {
   auto message = wire::ReadPeerMessage(payload);
   if (!message) {
@@ -69,7 +69,7 @@
   co_return MembersResponse{target.node, std::nullopt, "gives no answer; its version may be older"};
 }
 
-// Asks one controller and stores its answer in `response`.
+// Asks one controller and stores its response in `response`.
 async::Task<> AskInto(async::Scope& scope, Target target, double deadline,
                       MembersResponse* response) {
   MembersResponse received = co_await Ask(scope, std::move(target), deadline);
--- a/src/cli/members_command.h
+++ b/src/cli/members_command.h
@@ -1,5 +1,5 @@
 // `hallpier members`: asks all controllers of a settings file for their view of the cluster's
-// members and prints the answers as text or JSON (docs/schemas/members.schema.json). Runs a
+// members and prints the responses as text or JSON (docs/schemas/members.schema.json). Runs a
 // separate event loop.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace hallpier::cli {
 
-// The answer of one controller, or the reason why there is none.
+// The response of one controller, or the reason why there is none.
 struct MembersResponse {
   std::string node;
   std::optional<wire::MembersReport> report;  // std::nullopt if there is an error
@@ -20,14 +20,14 @@
 };
 
 // Asks all controllers of the settings concurrently, for at most `timeout_s` seconds. Returns the
-// answers with this node's first, the others in the order of the settings.
+// responses with this node's first, the others in the order of the settings.
 std::vector<MembersResponse> AskMembers(const config::Settings& settings, double timeout_s);
 
-// Formats the answers as human-readable lines or as one JSON document.
+// Formats the responses as human-readable lines or as one JSON document.
 std::string MembersText(const std::vector<MembersResponse>& responses);
 std::string MembersJson(const std::vector<MembersResponse>& responses);
 
-// Runs the command: asks the controllers and prints their answers to standard output. Returns the
+// Runs the command: asks the controllers and prints their responses to standard output. Returns the
 // exit status: 0 if at least one controller sent a report, 1 if none did.
 int RunMembersCommand(const config::Settings& settings, bool json);
 
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -22,9 +22,9 @@
 // Enforcement of team limits across controllers (docs/team-limits.md).
 struct BlockOptions {
   bool enabled = false;
-  double max_owners = 9;     // maximum number of controllers that hold a block of machines
-  double lease_ratio = 1;    // silence after which a holder loses its block / heartbeat_interval_s
-  double widen_ratio = 0.5;  // waiting time per additional holder of a job / heartbeat_interval_s
+  double max_owners = 9;     // maximum number of controllers that own a block of machines
+  double lease_ratio = 1;    // silence after which an owner loses its block / heartbeat_interval_s
+  double widen_ratio = 0.5;  // time until one more owner may place a job / heartbeat_interval_s
 };
 
 struct OperatorOptions {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -55,7 +55,7 @@
   double skew_ms = 0;               // skew between wall clocks
   double heartbeat_interval_s = 0;  // of workers
   double lease_s = 0;               // of workers
-  double cancel_s = 0;              // from the answer to a cancellation until its last task ends
+  double cancel_s = 0;              // from the response to a cancellation until its last task ends
   double state_rps = 0;
   double state_write_rps = 0;
   double value_kb = 0;
--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -110,8 +110,8 @@
   HandlePause();
   co_await UpdateBlockAssignment();
   if (term_->cancelled()) co_return;
-  // The shares of the current holders can't be derived from a plan for a different number of
-  // holders.
+  // The allocations of the current owners can't be derived from a plan for a different number of
+  // owners.
   const size_t owners = services_.block_records->block_assignment().record().owners.size();
   if (scope != nullptr && scope->owner_count == owners) {
     GrantRetries(round, *scope);
@@ -146,8 +146,8 @@
 }
 
 async::Task<> BlockCoordinator::CommitChange(blocks::RecordChange change) {
-  // A transaction without a response may be executed late. Its preconditions cover every record of
-  // blocks and shares, so it can't take effect alongside a later decision.
+  // A transaction without a response may be executed late. Its preconditions cover the block
+  // assignment and all allocations, so it can't take effect alongside a later decision.
   auto result = co_await services_.client->Commit(change.preconditions, change.writes,
                                                   store::RequestPriority::kUrgent);
   if (term_->cancelled()) co_return;
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -1,6 +1,7 @@
-// Divides the machines among the controllers on behalf of the leader (docs/team-limits.md): assigns
-// blocks of machines to holders and takes them back, lends holders shares of the teams' quotas, and
-// sends them views of their machines. Owned by the leader; its coroutine ends with the term.
+// Partitions the machines among the controllers on behalf of the leader (docs/team-limits.md):
+// assigns blocks of machines to owners and takes them back, gives the owners allocations of the
+// teams' quotas, and sends them views of their machines. Owned by the leader; its coroutine ends
+// with the term.
 #pragma once
 
 #include <cstdint>
@@ -34,24 +35,25 @@
                       const std::optional<membership::MemberRecord>& record);
   // Handles a link to a node that was established or lost.
   void OnLinkChanged(const std::string& node);
-  // Handles a holder's acknowledgement of a view.
+  // Handles an owner's acknowledgement of a view.
   void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
 
-  // True while blocks have holders, according to the records known to this node.
+  // True while blocks have owners, according to the records known to this node.
   bool has_owners() const { return services_.block_records->block_assignment().has_owners(); }
-  // True if the leader may place on all machines, limited by the full quotas: no block has a
-  // holder, and the watch cache contains every placement that was made while some block had one.
+  // True if the leader may place on all machines, limited by the full quotas: no block has an
+  // owner, and the watch cache contains every placement that was made while some block had an
+  // owner.
   bool MayPlaceOnAllMachines() const;
-  // Returns this node's index among the holders, or std::nullopt if it may not place on a block
-  // now. `session` is the membership session of this process.
+  // Returns this node's index among the owners, or std::nullopt if it may not place on a block now.
+  // `session` is the membership session of this process.
   std::optional<size_t> OwnerIndex(uint64_t session) const;
-  // Return the scope of a plan over all machines and of a plan over one holder's block.
+  // Return the scope of a plan over all machines and of a plan over one owner's block.
   plan::PlacementScope AllMachinesScope() const;
   plan::PlacementScope OwnerScope(size_t owner) const;
 
-  // Called after a plan over all machines: writes the necessary changes of the division and the
-  // shares, and sends holders their updates. `scope` is the scope of the plan, null if the machines
-  // were not divided.
+  // Called after a plan over all machines: writes the necessary changes of the block assignment and
+  // the allocations, and sends the owners their updates. `scope` is the scope of the plan, null if
+  // no block had an owner.
   async::Task<> ReviewAfterRound(const plan::RoundResult& round, const plan::PlacementScope* scope);
 
  private:
@@ -61,14 +63,14 @@
     // When the views without an acknowledgement were sent (steady time), by sequence number.
     std::map<uint64_t, double> unacknowledged;
   };
-  // Permits a holder to retry a job that fails on every machine.
+  // Permits an owner to retry a job that fails on every machine.
   struct RetryGrant {
     size_t owner = 0;
     double expires_at = 0;  // steady time
   };
-  // Sends views at regular intervals, so that holders' leases are renewed even without rounds.
+  // Sends views at regular intervals, so that owners' leases are renewed even without rounds.
   async::Task<> SendViewsPeriodically();
-  // Tells the lending state about a pause of this process that it has not handled yet.
+  // Tells the block planner about a pause of this process that it has not handled yet.
   void HandlePause();
   async::Task<> UpdateBlockAssignment();
   async::Task<> UpdateAllocations(const plan::RoundResult& round,
@@ -78,8 +80,7 @@
   std::set<std::string> RetriesGrantedTo(size_t owner) const;
   void SendViews();
   blocks::CacheState CurrentCacheState() const;
-  // Seconds after which one more holder may place a waiting job
-  // (blocks::BlockAssignment::MayPlace).
+  // Seconds after which one more owner may place a waiting job (blocks::BlockAssignment::MayPlace).
   double WideningIntervalS() const;
   // Maximum seconds between two views.
   double ViewIntervalS() const;
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -1,6 +1,6 @@
-// Runs the scheduling rounds of a follower that holds a block of machines: it plans over its block,
-// limited by its shares of the teams' quotas, and records the placements; the leader has the tasks
-// started. Owned by the controller; runs as one coroutine of the node's scope.
+// Runs the scheduling rounds of a follower that owns a block of machines: it plans over its block,
+// limited by its allocations of the teams' quotas, and records the placements; the leader has the
+// tasks started. Owned by the controller; runs as one coroutine of the node's scope.
 #pragma once
 
 #include <optional>
@@ -30,9 +30,9 @@
 
  private:
   async::Task<> RunRound();
-  // Returns this node's index among the holders, or std::nullopt if it may not place now.
+  // Returns this node's index among the owners, or std::nullopt if it may not place now.
   std::optional<size_t> OwnerIndex() const;
-  // True if the key-value store responds to this node and the watch cache is current.
+  // True if the state service responds to this node and the watch cache is current.
   bool CanPlace() const;
   plan::RoundResult Plan(size_t owner);
   double Now() const { return services_.scope->loop().Now(); }
--- a/src/controller/cancellation_exchange.h
+++ b/src/controller/cancellation_exchange.h
@@ -1,7 +1,6 @@
-// Exchanges cancellations with the other nodes, so that a leader that can't reach the key-value
-// store learns of the cancellations that others have acknowledged to users. Decides whether
-// workers' leases may be renewed (election/cancellation_watermark.h). Owned by the controller; does
-// no I/O.
+// Exchanges cancellations with the other nodes, so that a leader that can't reach the state service
+// learns of the cancellations that others have acknowledged to users. Decides whether workers'
+// leases may be renewed (election/cancellation_watermark.h). Owned by the controller; does no I/O.
 #pragma once
 
 #include <functional>
@@ -23,7 +22,7 @@
   // Returns the request to send to a node now, or std::nullopt if no report is needed or this node
   // does not lead.
   std::optional<wire::CancellationReportRequest> BuildReportRequest(const std::string& node);
-  // Returns the response to a leader that can't reach the key-value store.
+  // Returns the response to a leader that can't reach the state service.
   wire::CancellationReport Report(const wire::CancellationReportRequest& request) const;
   // Handles a node's response to a request that was sent at `requested_at` (steady time, s).
   void OnReport(const std::string& node, double requested_at,
--- a/src/controller/command_dispatcher.h
+++ b/src/controller/command_dispatcher.h
@@ -34,7 +34,8 @@
   async::Task<bool> SendOnce(std::string machine);
   // True if a machine is known, has reported, and has answered its last direct command.
   static bool IsReachable(const fleet::Machine* machine);
-  // Handles the report in a worker's response. `token` is the token that the command was sent with.
+  // Handles the status report in a worker's response. `token` is the token that the command was
+  // sent with.
   void OnStatusReport(const std::string& body, model::FencingToken token);
 
   const NodeServices& services_;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr size_t kMaxRequestBodyBytes = size_t{64} * 1024;
-// Size limit of a response of the key-value store, as a fraction of this machine's memory.
+// Size limit of a response of the state service, as a fraction of this machine's memory.
 constexpr double kResponseMemoryShare = 1.0 / 8;
 // Connections that a node accepts, as fractions of its sockets. Direct commands have a separate
-// fraction (CommandDispatcher); the rest is for calls to the key-value store, the cloud and the
-// other nodes.
+// fraction (CommandDispatcher); the rest is for calls to the state service, the cloud and the other
+// nodes.
 constexpr double kWorkerSocketShare = 0.74;
 constexpr double kUserSocketShare = 0.14;
 constexpr double kStateTimeoutS = 1.0;
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -6,7 +6,8 @@
 namespace hallpier::controller {
 namespace {
 
-// Maximum number of concurrent reads, which share the store's rate limits with users' reads.
+// Maximum number of concurrent reads, which share the state service's rate limits with users'
+// reads.
 constexpr size_t kMaxReads = 8;
 // Seconds before a failed read is retried.
 constexpr double kRetryS = 0.5;
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -9,8 +9,8 @@
 namespace hallpier::controller {
 namespace {
 
-// Maximum fraction of the store's write rate for retries of jobs that fail on every machine. Each
-// retry takes two writes: its placement and its end.
+// Maximum fraction of the state service's write rate for retries of jobs that fail on every
+// machine. Each retry takes two writes: its placement and its end.
 constexpr double kRetryWriteShare = 0.1;
 constexpr double kWritesPerRetry = 2;
 
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,6 +1,6 @@
 // Runs the work of the leader: owns the components that run rounds, send commands to workers, rent
-// and return machines, and divide the machines into blocks. Owned by the controller; lives as long
-// as the node, while its coroutines live for one term. Runs on the thread of the event loop.
+// and return machines, and partition the machines into blocks. Owned by the controller; lives as
+// long as the node, while its coroutines live for one term. Runs on the thread of the event loop.
 #pragma once
 
 #include <memory>
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -28,7 +28,7 @@
                        : std::vector<model::Precondition>();
   }
   double AcquireDelayS() const override { return membership_ ? membership_->AcquireDelayS() : 0; }
-  // Only with a membership does a leader yield because the key-value store refuses it alone.
+  // Only with a membership does a leader yield because the state service refuses it alone.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
   bool OutageConfirmedByAll() const override { return peers_.AllPeersReportOutage(); }
--- a/src/controller/node_services.h
+++ b/src/controller/node_services.h
@@ -29,7 +29,7 @@
   store::WatchCache* cache;
   store::RecordFormats* formats;
   jobs::JobTable* job_table;
-  // The machine types recorded in the key-value store; empty if not known yet.
+  // The machine types recorded in the state service; empty if not known yet.
   std::vector<model::MachineType>* machine_types;
   blocks::BlockRecords* block_records;
   election::LeaderElection* election;
--- a/src/controller/oversized_writes.h
+++ b/src/controller/oversized_writes.h
@@ -1,5 +1,5 @@
-// Tracks the writes that the key-value store has rejected as malformed, most likely because of
-// their size. Does no I/O.
+// Tracks the writes that the state service has rejected as malformed, most likely because of their
+// size. Does no I/O.
 #pragma once
 
 #include <cstddef>
--- a/src/controller/record_dispatcher.h
+++ b/src/controller/record_dispatcher.h
@@ -41,7 +41,7 @@
   void OnMachineTypes(uint32_t page, const std::string& value);
   void OnJob(const store::JobKeyName& key, const std::string& value);
   void OnTaskGroup(const store::TaskGroupKeyName& key, const std::string& value);
-  // Requests a round of this node as the holder of a block, after a change that it should consider.
+  // Requests a round of this node as the owner of a block, after a change that it should consider.
   void RequestBlockRound();
 
   const NodeServices& services_;
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -88,9 +88,9 @@
 
 bool RequestRouter::Ready() const {
   if (!services_.cache->loaded()) return false;
-  // If the store refuses only this node and no peer can relay its requests, other nodes serve users
-  // better. While the store is down for all nodes, leaving the load balancer would only delay the
-  // recovery.
+  // If the state service refuses only this node and no peer can relay its requests, other nodes
+  // serve users better. While it is down for all nodes, leaving the load balancer would only delay
+  // the recovery.
   return !services_.client->down() || peers_.AnyPeerReachesState() ||
          peers_.AllPeersReportOutage() || services_.settings->seeds.empty();
 }
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -148,7 +148,8 @@
     parts_.registry.failure_tracker().OnRetry(job, started_at);
   }
   LogRound(plan, decision.placements);
-  // All transitions of a task group are combined into one write: the store's write rate is limited.
+  // All transitions of a task group are combined into one write: the state service's write rate is
+  // limited.
   std::move(decision.placements.begin(), decision.placements.end(),
             std::back_inserter(transitions));
   co_await Commit(term, std::move(transitions), std::move(decision.preconditions));
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -1,6 +1,6 @@
-// Sends the transactions of a round to the key-value store one by one, and keeps those without a
+// Sends the transactions of a round to the state service one by one, and keeps those without a
 // response until their outcome is known. Owned by the component that runs rounds: RoundRunner on
-// the leader, BlockPlacementLoop on the holder of a block.
+// the leader, BlockPlacementLoop on the owner of a block.
 #pragma once
 
 #include <deque>
--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -10,11 +10,11 @@
 constexpr double kMaxClockDriftRatio = 0.001;
 // Share of a heartbeat interval that covers clock steps and late timers.
 constexpr double kTimerMarginRatio = 1.0 / 3;
-// A watch without events is answered once per heartbeat interval. A copy that has not been
+// A watch without events is answered once per heartbeat interval. A watch cache that has not been
 // confirmed for this many intervals is stale.
 constexpr double kMaxQuietHeartbeats = 1.5;
-// Share of the renewal bound after which an unconfirmed copy is stale in any case, so that reports
-// are requested before the bound is reached.
+// Share of the renewal bound after which an unconfirmed watch cache is stale in any case, so that
+// reports are requested before the bound is reached.
 constexpr double kMaxUnconfirmedRatio = 0.75;
 constexpr double kNever = -std::numeric_limits<double>::infinity();
 
@@ -23,7 +23,8 @@
                        options.lease_s * (1 + kMaxClockDriftRatio) -
                        kTimerMarginRatio * options.heartbeat_interval_s;
   // If cancel_s leaves no time besides one lease, leases alone can't guarantee cancel_s. A leader
-  // whose watch is answered must still not stop answering workers between two answers of the watch.
+  // whose watch is answered must still not stop answering workers between two responses of the
+  // watch.
   return std::max(bound, kMaxQuietHeartbeats * options.heartbeat_interval_s);
 }
 
@@ -56,7 +57,7 @@
 
 double CancellationWatermark::Watermark(double now) const {
   // Only the node itself can report which cancellations it has acknowledged: once it has lost its
-  // connections to the other nodes and the store, no other node knows. So the oldest report
+  // connections to the other nodes and the state service, no other node knows. So the oldest report
   // decides.
   double oldest_report_at = now;  // without other nodes, all acknowledged cancellations are known
   for (const auto& [node, report] : reports_) {
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -3,14 +3,14 @@
 // leases. Does no I/O and takes the time as an argument (steady time in seconds). Owned by a node's
 // controller.
 //
-// Guards against the following failure: the key-value store refuses requests of the leader only,
-// another node acknowledges cancellations, then the store becomes unavailable to all nodes and the
-// leader continues to answer workers. Their renewed leases would keep the cancelled tasks running
-// for the whole outage.
+// Guards against the following failure: the state service refuses requests of the leader only,
+// another node acknowledges cancellations, then the state service becomes unavailable to all nodes
+// and the leader continues to answer workers. Their renewed leases would keep the cancelled tasks
+// running for the whole outage.
 //
 // Safety of the bound: a task ends at the latest when the lease from the last answered heartbeat
 // expires. A cancellation that this leader does not know was acknowledged after the watermark.
-// Therefore, if the last answer is given no later than cancel_s minus one lease after the
+// Therefore, if the last response is given no later than cancel_s minus one lease after the
 // watermark, every such task has ended within cancel_s of the acknowledgement; see
 // renewal_bound_s().
 #pragma once
@@ -33,13 +33,13 @@
   // `other_nodes`: all nodes that may acknowledge cancellations, except this one.
   CancellationWatermark(Options options, std::vector<std::string> other_nodes);
 
-  // Called when this node's copy of the state is known to contain everything recorded by `as_of`.
+  // Called when this node's watch cache is known to contain everything recorded by `as_of`.
   void OnCacheConfirmed(double as_of);
-  // Returns the request to a node. `revision`: this node's copy is complete up to it.
+  // Returns the request to a node. `revision`: this node's watch cache is complete up to it.
   wire::CancellationReportRequest BuildReportRequest(const std::string& node,
                                                      uint64_t revision) const;
-  // Called with a node's answer to a request that was sent at `requested_at`. Requires that the
-  // caller has applied the cancellations in the answer.
+  // Called with a node's response to a request that was sent at `requested_at`. Requires that the
+  // caller has applied the cancellations in the response.
   void OnCancellationReport(const std::string& node, double requested_at,
                             const wire::CancellationReport& cancellation_report);
 
@@ -47,7 +47,7 @@
   double Watermark(double now) const;
   // Returns true while workers' leases may be renewed.
   bool MayRenewLeases(double now) const { return now <= Watermark(now) + renewal_bound_s(); }
-  // Returns true if this node's copy has not been confirmed for so long that reports must be
+  // Returns true if this node's watch cache has not been confirmed for so long that reports must be
   // requested from the other nodes.
   bool CacheIsStale(double now) const;
   // Returns the seconds after the watermark during which leases may be renewed.
--- a/src/election/election_policy.h
+++ b/src/election/election_policy.h
@@ -28,13 +28,13 @@
   // none.
   virtual double AcquireDelayS() const { return 0; }
   // Returns true if the lease of an ended term may be revoked via a peer. A node that gives up
-  // leadership because the key-value store refuses only its requests can't revoke the lease
+  // leadership because the state service refuses only its requests can't revoke the lease
   // otherwise.
   virtual bool MayRevokeViaPeer() const { return false; }
   // Returns true if workers' leases may be renewed without ignoring an acknowledged cancellation
   // (election/cancellation_watermark.h).
   virtual bool MayRenewWorkerLeases() const { return true; }
-  // Returns true if every other node currently confirms that it can't reach the key-value store.
+  // Returns true if every other node currently confirms that it can't reach the state service.
   virtual bool OutageConfirmedByAll() const { return false; }
 };
 
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -51,7 +51,7 @@
   // Even if this node is still the leader, renewing workers' leases while it may not know a
   // cancellation would keep cancelled tasks running (election/cancellation_watermark.h).
   if (!policy_.MayRenewWorkerLeases()) return false;
-  // Without the key-value store this node can't know whether another node has become leader. It
+  // Without the state service this node can't know whether another node has become leader. It
   // continues to answer workers for a fixed share of the workers' lease, so that running tasks
   // survive an outage. This is safe because a successor waits that long (predecessor_answers_until)
   // before it relies on the expiry of a lease. It does not hold after a pause: the outage may have
@@ -140,7 +140,7 @@
   auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
                                         store::RequestPriority::kUrgent);
   if (!result.ok()) {
-    // If there was no answer, the transaction may have been applied or may still be applied. It
+    // If there was no response, the transaction may have been applied or may still be applied. It
     // can't be applied once the lease is revoked.
     auto revoked = co_await client_.RevokeLease(lease_id.value);
     (void)revoked;
@@ -218,7 +218,7 @@
 }
 
 async::Task<> LeaderElection::AwaitRecordRemoval(uint64_t lease_id, bool revoked) {
-  // The watch may have delivered the removal before the answer arrived.
+  // The watch may have delivered the removal before the response arrived.
   if (revoked && (!record_ || record_->lease_id != lease_id)) co_return;
   auto pause = wake_.Await(scope_, RenewalIntervalS());
   co_await pause;
@@ -227,7 +227,7 @@
 std::optional<uint64_t> LeaderElection::OrphanedLease() const {
   if (!record_) return std::nullopt;
   // A record with this node's name was left by a former process of this node, or by a transaction
-  // of this process that got no answer. Only one process runs per node, so no other process acts
+  // of this process that got no response. Only one process runs per node, so no other process acts
   // under this record.
   const bool own = record_->node == settings_.node;
   if (!own && record_->lease_id != failed_node_lease_id_) return std::nullopt;
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -1,4 +1,4 @@
-// Leader election by a leader record that is attached to a lease of the key-value store. The
+// Leader election by a leader record that is attached to a lease of the state service. The
 // transaction that creates the leader record also rewrites the fencing token record. The version of
 // that record is the fencing token, which therefore increases with every term.
 //
@@ -25,7 +25,7 @@
 
 class LeaderElection {
  public:
-  // While the key-value store refuses only the leader's requests, the leader renews its lease via a
+  // While the state service refuses only the leader's requests, the leader renews its lease via a
   // peer for at most this share of the workers' lease. A short refusal must not cause a change of
   // leader each time. After a longer one another node must lead, since the watch, which delivers
   // new jobs, can't be relayed via a peer.
@@ -41,8 +41,8 @@
 
   // The coroutine of the election. Runs until the scope is cancelled.
   async::Task<> Run();
-  // Called when the leader record in the key-value store has changed; `value` is empty if the
-  // record does not exist.
+  // Called when the leader record in the state service has changed; `value` is empty if the record
+  // does not exist.
   void OnLeaderRecord(const std::string& value);
   // Called with a token that another node or the watch cache has reported. Ends the term of this
   // node if the token is higher than its own.
@@ -102,7 +102,7 @@
   // Returns the seconds between two renewals.
   double RenewalIntervalS() const;
   // Returns the seconds after the last renewal during which the leader answers workers while the
-  // key-value store is unreachable.
+  // state service is unreachable.
   double OutageAnswerWindowS() const;
 
   async::Scope& scope_;
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -23,10 +23,9 @@
   uint64_t attempt = 0;
   model::TaskPhase phase = model::TaskPhase::kFetching;
   model::ExitCause cause = model::ExitCause::kNone;
-  double phase_since = 0;  // time of the first report of this state
-  bool start_observed =
-      false;         // this leader observed the start, so `phase_since` gives the run time
-  double run_s = 0;  // run time of an exited task; 0 if unknown
+  double phase_since = 0;         // time of the first report of this phase
+  bool start_observed = false;    // by this leader, so `phase_since` gives the run time
+  double run_s = 0;               // run time of an exited task; 0 if unknown
   bool run_time_sampled = false;  // the slowness estimate already includes its run time
 };
 
--- a/src/fleet/machine_views.h
+++ b/src/fleet/machine_views.h
@@ -1,6 +1,6 @@
 // Conversion between machines in a WorkerRegistry and the machine views that the leader sends to
 // other controllers. Heartbeats arrive at the leader only. The views let another controller plan
-// for a shard of the machines.
+// for a block of machines.
 //
 // The leader describes its machines; the receiving controller applies the views to a separate
 // WorkerRegistry. Both run on the event loop's thread. No I/O.
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -67,8 +67,8 @@
   // Returns the unfinished jobs whose own records are cancelled.
   std::vector<std::string> CancelledJobs() const;
   // Returns stored keys that are no longer needed: task groups of final jobs that did not fit in
-  // the transaction of the final record, and wholes (store/task_group_layout.h) whose parts are all
-  // stored under separate keys.
+  // the transaction of the final record, and base groups (store/task_group_layout.h) whose parts
+  // are all stored under separate keys.
   std::vector<std::string> ObsoleteKeys() const;
 
  private:
@@ -82,7 +82,7 @@
   TaskGroups* FindGroups(const std::string& id);
   void SetGroup(const std::string& id, TaskGroups& groups, uint32_t number,
                 std::optional<store::TaskGroup> group);
-  // Sets the groups of a whole from its value, except for those stored under separate keys.
+  // Sets the parts of a base group from its value, except for those stored under separate keys.
   void SetGroupsOfBaseGroup(const std::string& id, TaskGroups& groups, uint32_t base_group,
                             const std::optional<store::TaskGroup>& value);
   void SetCommonLayout(const store::TaskGroupLayout& layout);
--- a/src/jobs/transaction.h
+++ b/src/jobs/transaction.h
@@ -43,7 +43,7 @@
   bool concurrent_placement = false;
 };
 
-// Returns the version of a key in the local copy of the state; 0 if the key does not exist.
+// Returns the version of a key in the watch cache; 0 if the key does not exist.
 using VersionLookup = std::function<uint64_t(const std::string& key)>;
 
 }  // namespace hallpier::jobs
--- a/src/jobs/transaction_builder.cc
+++ b/src/jobs/transaction_builder.cc
@@ -51,7 +51,7 @@
   std::vector<WriteUnit> Take() { return std::move(units_); }
 
  private:
-  // Returns the precondition that the key has the same version as in the local copy.
+  // Returns the precondition that the key has the same version as in the watch cache.
   model::Precondition UnchangedKey(const std::string& key) const { return {key, version_(key)}; }
 
   // Returns false if the job does not become final, or its deletions do not fit in one transaction.
@@ -73,7 +73,8 @@
     std::string value = EncodeWithinLimit(job, number, change);
     unit.preconditions = {UnchangedKey(store::JobKey(id)), UnchangedKey(key)};
     if (!job.groups.PartStored(number)) {
-      // The first write of a part copies its state from the whole, which must not have changed.
+      // The first write of a part copies its state from the base group, which must not have
+      // changed.
       for (const std::string& stored : job.groups.StoredKeys(id, number)) {
         if (stored != key) unit.preconditions.push_back(UnchangedKey(stored));
       }
--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -7,18 +7,18 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A leader has lost most of its workers if it receives less than this share of the reports that are
-// due...
+// A leader has lost most of its workers if it receives less than this share of the heartbeats that
+// are due...
 constexpr double kMinHeartbeatShare = 0.5;
-// ...and other nodes receive at least this share of the reports that it misses.
+// ...and other nodes receive at least this share of the heartbeats that it misses.
 constexpr double kMinElsewhereShare = 0.5;
-// With fewer machines, a few late reports would be enough to meet both conditions.
+// With fewer machines, a few late heartbeats would be enough to meet both conditions.
 constexpr size_t kMinMachines = 4;
-// The event loop is delayed if it runs later than this part of a heartbeat period...
+// The event loop is delayed if it runs later than this part of a heartbeat interval...
 constexpr double kMaxLoopDelayIntervals = 0.25;
 // ...and a node whose delay is smaller by more than this factor is better placed.
 constexpr double kLoopDelayImprovement = 4;
-// How many heartbeat periods a reason must persist before it leads to a handover.
+// How many heartbeat intervals a reason must persist before it leads to a handover.
 constexpr double kSustainIntervals = 0.75;
 constexpr double kSustainLoopDelayIntervals = 4;
 // A change of the leader is recent for so many leases. Recent changes double the minimum interval
@@ -75,8 +75,8 @@
     const std::map<std::string, model::LeadershipFitness>& others) const {
   const double expected = kHeartbeatCountIntervals * static_cast<double>(machines);
   const auto received = static_cast<double>(own.recent_heartbeats);
-  // A worker that can't reach the leader tries the other nodes one after another, so the reports of
-  // all of them are counted together.
+  // A worker that can't reach the leader tries the other nodes one after another, so the heartbeats
+  // that all of them receive are counted together.
   double elsewhere = 0;
   for (const auto& [node, fitness] : others) {
     elsewhere += static_cast<double>(fitness.recent_heartbeats);
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -34,13 +34,14 @@
   void OnLeaderChanged(double now);
   // Called after this process was paused: earlier observations are discarded.
   void OnPause();
-  // Part of a heartbeat period over which nodes count the reports that reach them
+  // Part of a heartbeat interval over which nodes count the heartbeats that reach them
   // (LeadershipFitness).
   static constexpr double kHeartbeatCountIntervals = 0.5;
 
   // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough.
-  // Requires that this node leads. `own` are the vitals of this node, `machines` the number of
-  // running machines that should report to it, and `others` the vitals of all nodes that answer.
+  // Requires that this node leads. `own` is the fitness of this node, `machines` the number of
+  // running machines that should send it heartbeats, and `others` the fitness of all nodes that
+  // answer.
   std::optional<HandoverDecision> Decide(
       const model::LeadershipFitness& own, size_t machines,
       const std::map<std::string, model::LeadershipFitness>& others, double now);
--- a/src/membership/heartbeat_counter.h
+++ b/src/membership/heartbeat_counter.h
@@ -1,4 +1,4 @@
-// Counts the reports of the last complete interval. Does no I/O.
+// Counts the heartbeats of the last complete interval. Does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/liveness_tracker.h
+++ b/src/membership/liveness_tracker.h
@@ -17,8 +17,8 @@
  public:
   LivenessTracker(ProbeOptions options, double now) : options_(options), silent_since_(now) {}
 
-  // Records an answer to a probe that was sent at `sent_at`. Since answers may have been delayed,
-  // an answer proves only that the node was alive when it received the probe.
+  // Records the response to a probe that was sent at `sent_at`. Since responses may have been
+  // delayed, a response proves only that the node was alive when it received the probe.
   void OnProbeResponse(double sent_at, double now);
   // Records that the node was alive at `at`, as known from another source than a probe.
   void OnAliveAt(double at);
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,5 +1,5 @@
 // Measures how far this node may trust its own observations: a process that is scheduled late, or
-// gets no answer from any node, is more likely to be at fault itself. This is the local health
+// gets no response from any node, is more likely to be at fault itself. This is the local health
 // multiplier of Lifeguard. Does no I/O.
 #pragma once
 
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -131,7 +131,7 @@
 void MemberTable::OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now) {
   Member* member = FindMember(status.node);
   if (member == nullptr) return;
-  // A delayed answer from a process that has ended since.
+  // A delayed response from a process that has ended since.
   const bool from_former_process =
       member->record && status.incarnation.session < member->record->incarnation.session;
   if (from_former_process) return;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -4,7 +4,7 @@
 //
 // Every node probes every other node. A node becomes suspect if it is silent for longer than an
 // adaptive threshold and no other node has heard it either; nodes exchange their suspicions in
-// probes and answers. Once all responsive observers agree, the suspicion is recorded on the state
+// probes and responses. Once all responsive observers agree, the suspicion is recorded on the state
 // service, where the suspect refutes it if it can reach the service at all. If the recorded
 // suspicion is not refuted within the confirmation time, the node is declared failed. Each step is
 // one transaction with the versions of the subject's and the writer's records as preconditions.
@@ -57,7 +57,7 @@
   // Called with the status in another node's probe. The probe may be arbitrarily old, so it does
   // not prove that its sender is alive.
   void OnProbe(const wire::MemberStatus& status);
-  // Called with the answer to a probe that was sent at `sent_at`.
+  // Called with the response to a probe that was sent at `sent_at`.
   void OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now);
   // Called when a node has answered the status exchange of net/peer_mesh.h, which versions without
   // membership answer as well.
@@ -100,7 +100,7 @@
   bool Superseded() const { return superseded_; }
   const model::Incarnation& incarnation() const { return own_incarnation_; }
 
-  // Returns the vitals of all other nodes that are responsive and recorded as alive.
+  // Returns the fitness of all other nodes that are responsive and recorded as alive.
   std::map<std::string, model::LeadershipFitness> ResponsiveMemberFitness(double now) const;
   // Returns the successor that another node, which leads or led until just now, has named; empty if
   // there is none.
--- a/src/membership/round_trip_estimator.h
+++ b/src/membership/round_trip_estimator.h
@@ -7,7 +7,7 @@
 class RoundTripEstimator {
  public:
   void Add(double sample_s);
-  // Returns the time within which nearly all answers arrive; 0 before the first sample.
+  // Returns the time within which nearly all responses arrive; 0 before the first sample.
   double UpperBoundS() const;
 
  private:
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -17,14 +17,14 @@
 constexpr double kLoopDelayWeight = 0.2;
 // Limit of unanswered probes that are remembered for each node.
 constexpr size_t kMaxOutstandingProbes = 64;
-// A node whose links break so many times in a row without an answer to a probe does not support
+// A node whose links break so many times in a row without a response to a probe does not support
 // probes, although its recorded format says so: it was downgraded to an older version.
 constexpr int kMaxUnansweredLinks = 2;
-// How often leadership is reviewed per heartbeat period.
+// How often leadership is reviewed per heartbeat interval.
 constexpr double kReviewsPerHeartbeat = 4;
 // Probe intervals for which other nodes leave the leadership to a named successor.
 constexpr double kSuccessorHeadStartProbes = 4;
-// A shutdown waits at most this part of a heartbeat period for the leader's lease to be revoked.
+// A shutdown waits at most this part of a heartbeat interval for the leader's lease to be revoked.
 constexpr double kLeaveTimeoutIntervals = 0.5;
 constexpr double kLeasePollsBeforeLeaving = 20;
 
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -35,7 +35,7 @@
     std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
     // Returns whether a node supports membership messages (wire::MemberProbe and later).
     std::function<bool(const std::string& node)> supports_membership;
-    // Returns the number of machines that should report to the leader.
+    // Returns the number of machines that should send heartbeats to the leader.
     std::function<size_t()> expected_machines;
   };
   Service(async::Scope& scope, Dependencies dependencies);
@@ -53,9 +53,9 @@
   void OnConnectionRefused(const std::string& node);
   void OnStatusAnswered(const std::string& node, double requested_at);
   wire::MemberProbeResponse OnProbe(const wire::MemberProbe& probe);
-  // `node` is the node whose link delivered the answer.
+  // `node` is the node whose link delivered the response.
   void OnProbeResponse(const std::string& node, const wire::MemberProbeResponse& response);
-  // Called for every worker report that reaches this node, whether or not it is accepted.
+  // Called for every heartbeat that reaches this node, whether or not it is accepted.
   void OnHeartbeat();
 
   // The session of this process; 0 while it is not an active member (IsActiveMember()).
@@ -78,7 +78,7 @@
     std::map<uint64_t, double> sent_probes;  // steady times (s) of unanswered probes, by sequence
     bool probed = false;
     bool answered = false;
-    int unanswered_links = 0;  // consecutive links that closed without an answer to any probe
+    int unanswered_links = 0;  // consecutive links that closed without a response to any probe
     double next_probe_at = 0;
   };
   void Tick();
--- a/src/model/heartbeat.h
+++ b/src/model/heartbeat.h
@@ -11,7 +11,7 @@
 
 namespace hallpier::model {
 
-// Sent by a worker's agent once per heartbeat interval and in reply to commands.
+// Sent by a worker's agent once per heartbeat interval and in response to direct commands.
 struct Heartbeat {
   std::string machine;
   std::string endpoint;
--- a/src/model/machine_view.h
+++ b/src/model/machine_view.h
@@ -38,7 +38,7 @@
 struct JobFailures {
   std::string job;
   bool suspected = false;              // the job itself is the suspected cause of its failures
-  bool retry_allowed = false;          // the job's block holder may start one more of its tasks
+  bool retry_allowed = false;          // the owner of the block may start one more of its tasks
   std::vector<std::string> failed_on;  // machines
   bool operator==(const JobFailures&) const = default;
 };
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,20 +13,20 @@
 
 // The outcome of a request that was to be relayed by another node.
 struct RelayResult {
-  bool sent = false;  // if so, it may be executed even if there is no answer
+  bool sent = false;  // if so, it may be executed even if there is no response
   std::optional<wire::HttpResponse> response;
 };
 
 class HttpClient {
  public:
   // Keeps up to `max_idle` idle connections per endpoint, and up to `max_total` connections in all,
-  // including those in use. `max_body_bytes` limits the size of an answer's body. Callers limit the
-  // number of concurrent calls.
+  // including those in use. `max_body_bytes` limits the size of a response's body. Callers limit
+  // the number of concurrent calls.
   HttpClient(size_t max_idle, size_t max_body_bytes, size_t max_total = 64)
       : max_idle_(max_idle), max_body_bytes_(max_body_bytes), max_total_(max_total) {}
   size_t idle() const { return idle_count_; }
 
-  // Returns std::nullopt if no answer arrived in time: the request may have been executed, or may
+  // Returns std::nullopt if no response arrived in time: the request may have been executed, or may
   // still be. If a reused connection turns out to be closed, the request is sent again only if it
   // is `idempotent`.
   async::Task<std::optional<wire::HttpResponse>> Call(async::Scope& scope, std::string endpoint,
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -129,8 +129,8 @@
     } else {
       wire::HttpRequest request = parser.TakeRequest();
       const bool client_keeps_alive = request.keep_alive;
-      // The client no longer waits for the answer. A process that was paused or is overloaded finds
-      // many such requests; handling them would only delay the others as well.
+      // The client no longer waits for the response. A process that was paused or is overloaded
+      // finds many such requests; handling them would only delay the others as well.
       if (client_keeps_alive && c.stream.PeerClosed()) break;
       if (AdmitRequest(c, request)) {
         c.busy = true;
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -13,7 +13,7 @@
 namespace hallpier::net {
 namespace {
 
-// Pings per heartbeat period.
+// Pings per heartbeat interval.
 constexpr double kPingsPerHeartbeat = 8;
 // A status is fresh for this many ping intervals.
 constexpr double kFreshPings = 3;
@@ -187,7 +187,7 @@
 
 void PeerMesh::OnStatus(Peer* peer, const wire::PeerStatus& status) {
   // Each ping is answered by one status, in order. A status is dated by the ping that requested it,
-  // since a process that was paused finds outdated answers in its buffers.
+  // since a process that was paused finds outdated responses in its buffers.
   if (peer->ping_times.empty()) return;
   peer->status_requested_at = peer->ping_times.front();
   peer->ping_times.pop_front();
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -62,7 +62,7 @@
   bool Start(std::string* error);
 
   // Relays a request through a peer that can reach the state service. `sent` is false if there is
-  // no such peer; `answer` is empty if no answer arrived.
+  // no such peer; `response` is empty if no response arrived.
   async::Task<RelayResult> Relay(wire::HttpRequest request);
   // True if the fresh status of every other node says that it can't reach the state service either.
   bool AllPeersReportOutage() const;
--- a/src/plan/placement_scope.h
+++ b/src/plan/placement_scope.h
@@ -1,6 +1,6 @@
-// Restricts a round to some machines and jobs where machines are divided among holders
-// (src/blocks). The functions refer to the division that the scope was made from: a scope is made
-// for one round and must not outlive that division.
+// Restricts a round to some machines and jobs where machines are partitioned into blocks with
+// owners (src/blocks). The functions refer to the block assignment that the scope was made from: a
+// scope is made for one round and must not outlive that block assignment.
 #pragma once
 
 #include <cstddef>
@@ -16,14 +16,14 @@
 
 struct PlacementScope {
   size_t owner_count = 0;
-  // Returns the index of a machine's holder, below `owner_count`; std::nullopt if no round may use
+  // Returns the index of a machine's owner, below `owner_count`; std::nullopt if no round may use
   // the machine.
   std::function<std::optional<size_t>(const std::string& machine)> owner_of;
-  // Returns true if the holder may place tasks of the job.
+  // Returns true if the owner may place tasks of the job.
   std::function<bool(size_t owner, const jobs::Job& job)> may_place;
-  // If set, the round is planned for this holder only: on the holder's machines and for the jobs
-  // that it may place. Such a round neither preempts tasks nor requests machines; both are decided
-  // in the round that considers all machines.
+  // If set, the round is planned for this owner only: on the owner's machines and for the jobs that
+  // it may place. Such a round neither preempts tasks nor requests machines; both are decided in
+  // the round that considers all machines.
   std::optional<size_t> single_owner;
   // If `single_owner` is set: the part of each team's quota that may still be placed. A team
   // without an entry has no limit.
--- a/src/plan/round.h
+++ b/src/plan/round.h
@@ -21,7 +21,7 @@
 
 // Plans one round. Updates the requirements of latency-sensitive job classes in `context`. `now` is
 // the time of the steady clock, `time_of_day` the wall-clock time in seconds since the Unix epoch,
-// as in submission timestamps; both are in seconds. `scope` is null if machines are not divided.
+// as in submission timestamps; both are in seconds. `scope` is null if no block has an owner.
 RoundResult PlanRound(PlanningContext& context, const jobs::JobTable& job_table,
                       const fleet::WorkerRegistry& registry, double now, double time_of_day,
                       const PlacementScope* scope = nullptr);
--- a/src/plan/round_input.h
+++ b/src/plan/round_input.h
@@ -15,9 +15,9 @@
   const fleet::WorkerRegistry& registry;
   double now = 0;                         // time of the steady clock, seconds
   double time_of_day = 0;                 // wall-clock time, seconds since the Unix epoch
-  const PlacementScope* scope = nullptr;  // null if machines are not divided
+  const PlacementScope* scope = nullptr;  // null if no block has an owner
 
-  // Returns true if the round is planned for one holder only.
+  // Returns true if the round is planned for one owner only.
   bool IsSingleOwner() const { return scope != nullptr && scope->single_owner.has_value(); }
   // Returns the seconds since the job became runnable, that is, since its submission or, if it has
   // dependencies, since the last of them was done.
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -84,8 +84,8 @@
   std::vector<ScheduledRelease> releases_;
 };
 
-// Returns the index of the machine's holder, 0 if machines are not divided; std::nullopt if this
-// round does not use the machine.
+// Returns the index of the machine's owner, 0 if no scope is set; std::nullopt if this round does
+// not use the machine.
 std::optional<size_t> OwnerInScope(const PlacementScope* scope, const std::string& machine) {
   if (scope == nullptr) return 0;
   const std::optional<size_t> owner = scope->owner_of(machine);
--- a/src/plan/round_machines.h
+++ b/src/plan/round_machines.h
@@ -33,7 +33,7 @@
 struct RoundMachines {
   std::vector<const fleet::Machine*> machines;
   std::vector<const model::MachineType*> machine_types;
-  std::vector<size_t> owners;  // 0 if machines are not divided
+  std::vector<size_t> owners;  // index of the block owner; 0 if no scope is set
   std::vector<MachineAvailability> availability;
   ZoneNumbers zones;
   double total_cpus = 0;
--- a/src/plan/round_result.h
+++ b/src/plan/round_result.h
@@ -44,8 +44,8 @@
   std::vector<std::string> retried_jobs;
   // Waiting tasks within their teams' quotas, including those that this round places.
   size_t waiting_tasks = 0;
-  // If a scope is set, by holder and team: the resources of all mapped tasks, whether they start
-  // now or later.
+  // If a scope is set, by owner and team: the resources of all mapped tasks, whether they start now
+  // or later.
   std::vector<std::map<std::string, Resources>> planned_by_owner;
   // By team, the id of the first job in queue order with tasks that exceed the team's quota.
   std::map<std::string, std::string> first_job_over_quota;
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -74,7 +74,7 @@
                      });
 }
 
-// Returns, by holder, whether it may place tasks of the job; empty if the job may use all machines
+// Returns, by owner, whether it may place tasks of the job; empty if the job may use all machines
 // of the round.
 std::vector<char> TaskClassBuilder::AllowedOwners(const jobs::Job& job) const {
   std::vector<char> allowed;
--- a/src/plan/team_quota.h
+++ b/src/plan/team_quota.h
@@ -21,8 +21,8 @@
   static TeamQuotas FromTeamLimits(const std::vector<config::Team>& teams,
                                    const std::vector<const jobs::Job*>& jobs,
                                    const std::map<std::string, Resources>& reported_done_by_team);
-  // Returns accounts with the given allowances: the remainder of each team's share of one holder. A
-  // team without an entry has no limit.
+  // Returns accounts with the given allowances: what remains of one owner's allocation of each
+  // team's quota. A team without an entry has no limit.
   static TeamQuotas FromAllowances(const std::map<std::string, Resources>& allowances);
 
   // Charges the unfinished tasks of a job to its team's guarantee. Must be called for the oldest
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -39,11 +39,10 @@
 std::string MemberKey(std::string_view node);
 // Key of the record that assigns machines to controllers (blocks/block_assignment.h).
 std::string BlockAssignmentKey();
-// Key of the record of the share of the team quotas that the holder of a block may use
-// (quota/allocation_record.h).
+// Key of the record of a block owner's allocation of the teams' quotas (quota/allocation_record.h).
 std::string AllocationKey(std::string_view node);
 
-// ParseResult keys: one type per kind of key, holding the variable parts of the key.
+// Parsed keys: one type per kind of key, holding the variable parts of the key.
 struct UnknownKeyName {  // not a key that this version defines
   bool operator==(const UnknownKeyName&) const = default;
 };
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -59,11 +59,11 @@
 inline constexpr uint64_t kRecordFormat = 2;
 // Higher numbers indicate support for further features; the records covered by kRecordFormat do not
 // change. From this format on, a node also supports cancellation reports between nodes
-// (wire/peer.h).
+// (wire/peer_messages.h).
 inline constexpr uint64_t kCancellationReportFormat = 3;
 // From this format on, a node also supports membership messages between nodes.
 inline constexpr uint64_t kMembershipFormat = 4;
-// From this format on, a node also supports the records of blocks and shares, and has blocks
+// From this format on, a node also supports the records of blocks and allocations, and has blocks
 // enabled.
 inline constexpr uint64_t kBlocksFormat = 5;
 
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -1,10 +1,10 @@
 // Simulates several controllers that share the machines in blocks, in fake time. Their copies of
-// the records lag behind the state service. Leaders and block holders freeze, terminate and are
+// the records lag behind the state service. Leaders and block owners freeze, terminate and are
 // partitioned; transactions lose their answers or are executed late; workers run the commands that
 // they receive. One seed determines the whole run. The tests and tools/blocks_report use it.
 //
 // blocks_cluster.cc: users, faults and measurements. blocks_cluster_rounds.cc: the rounds of a
-// node. blocks_cluster_transactions.cc: a node's copy of the records and its transactions.
+// node. blocks_cluster_transactions.cc: a node's watch cache and its transactions.
 #pragma once
 
 #include <cstdint>
@@ -46,15 +46,14 @@
     double limit = 12;  // processors of "team"
     double run_s = 4;
     double delay_s = 0.005;       // minimum one-way delay to the state service; up to twice as long
-    double watch_lag_s = 0.05;    // lag of a node's copy of the records
+    double watch_lag_s = 0.05;    // lag of a node's watch cache
     double lost_answer_rate = 0;  // probability that the answer to a transaction is lost
     double late_rate = 0;   // probability that a transaction is executed late, without an answer
     double min_late_s = 1;  // minimum delay of a late transaction
     double max_late_s = 8;  // maximum delay of a late transaction
     double max_owners = 9;  // at least 2; 0 disables blocks
     // Safety checks to disable in experiments. "token", "division", "share" and "job" omit the
-    // precondition on that record. With "copy" a node assumes that its copy of the records is
-    // complete.
+    // precondition on that record. With "copy" a node assumes that its watch cache is complete.
     std::set<std::string> disabled_checks = {};
   };
   struct Peak {
@@ -97,14 +96,14 @@
   // node sends the transaction.
   void SetNextPlacementFault(const std::string& name, DeliveryFault fault,
                              std::function<void()> on_sent = nullptr);
-  // Sets a hook that is called after each write of a division or share record.
+  // Sets a hook that is called after each write of a block assignment or allocation record.
   void OnBlockRecordWrite(std::function<void(const std::string& key)> hook) {
     on_block_record_write_ = std::move(hook);
   }
 
   // State and measurements. Leader() is empty if no leader was elected yet.
   std::string Leader() const { return leader_; }
-  // Returns a block holder other than `name`. Empty if there is none.
+  // Returns a block owner other than `name`. Empty if there is none.
   std::string OwnerOtherThan(const std::string& name) const;
   blocks::BlockAssignmentRecord CurrentAssignment() const;
   bool OwnsBlock(const std::string& name) const;
@@ -131,7 +130,7 @@
   double UsedCpus() { return workers_.UsedCpus(); }
   int UnfinishedJobs() const;
   bool AllFinished() const { return UnfinishedJobs() == 0; }
-  // Returns the machines of the holder's block, or all machines if there are no blocks.
+  // Returns the machines of the owner's block, or all machines if there are no blocks.
   std::set<std::string> MachinesOf(const std::string& owner) const;
   // Sets a hook that is called with the machine of each task that starts.
   void OnStart(std::function<void(const std::string& machine)> hook) {
@@ -188,10 +187,10 @@
   void InProcessAfter(double delay_s, const std::string& name, uint64_t generation,
                       std::function<void()> run);
 
-  // State service, and a node's copy of the records.
+  // State service, and a node's watch cache.
   std::vector<std::string> Execute(const std::vector<model::Precondition>& preconditions,
                                    const std::vector<model::KeyWrite>& writes);
-  // Updates the node's copy if `version` is newer than the version it knows.
+  // Updates the node's watch cache if `version` is newer than the version it knows.
   void ApplyRecord(Node& node, const std::string& key, const std::string& value, uint64_t version);
   void ApplyChanges(Node& node);
   static uint64_t VersionIn(const Node& node, const std::string& key);
@@ -203,8 +202,8 @@
   // there is no leader or the leader has not reached the state service for kLeaderTtlS.
   void ElectIfNeeded(Node& node);
   void BeginTerm(Node& node);
-  // Membership: a node that is unavailable for longer than a verdict takes counts as failed and
-  // rejoins with a new session.
+  // Membership: a node that is unavailable for longer than a failure declaration takes counts as
+  // failed and rejoins with a new session.
   void ReportMember(Node& leader, const std::string& name);
   void Rejoin(Node& node);
   double WidenS() const {
@@ -219,7 +218,7 @@
     std::vector<model::Precondition> preconditions;
   };
   OwnPlacements PlanOwnPlacements(Node& node, bool has_owners);
-  // Returns true if a transaction on division or share records is in flight.
+  // Returns true if a transaction on block assignment or allocation records is in flight.
   bool ReviewBlocks(Node& node, const plan::RoundResult& plan,
                     const std::optional<plan::PlacementScope>& scope);
   void SendViews(Node& leader);
--- a/tests/simulation/blocks_cluster_rounds.cc
+++ b/tests/simulation/blocks_cluster_rounds.cc
@@ -1,4 +1,4 @@
-// Rounds of a node of BlocksCluster: as the leader, as a block holder, or as neither.
+// Rounds of a node of BlocksCluster: as the leader, as a block owner, or as neither.
 #include <algorithm>
 
 #include "blocks/block_view_builder.h"
@@ -93,8 +93,8 @@
 
 void BlocksCluster::OwnerRound(Node& node) {
   if (ReachesState(node)) Rejoin(node);
-  // A node that was frozen or partitioned plans with an outdated copy of the records. The
-  // preconditions of its transaction must prevent wrong placements.
+  // A node that was frozen or partitioned plans with an outdated watch cache. The preconditions of
+  // its transaction must prevent wrong placements.
   const auto owner = node.records.ActiveOwnerIndex(node.name, node.session, CacheStateOf(node));
   if (!owner) return;
   const plan::PlacementScope scope =
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -1,4 +1,4 @@
-// A node's copy of the records in BlocksCluster, and its transactions with injected faults.
+// A node's watch cache in BlocksCluster, and its transactions with injected faults.
 #include <memory>
 
 #include "simulation/blocks_cluster.h"
--- a/tests/simulation/membership_cluster.h
+++ b/tests/simulation/membership_cluster.h
@@ -84,11 +84,11 @@
   void SetStateOutage(bool outage);
   void SetDelay(const std::string& a, const std::string& b, double delay_s);
   void SetClockRate(const std::string& name, double clock_rate);
-  // Loses the answers to the next `count` transactions that write a verdict. The transactions are
-  // executed.
+  // Loses the answers to the next `count` transactions that declare a member failed. The
+  // transactions are executed.
   void LoseFailureDeclarationAnswers(int count) { lose_failure_declaration_answers_ = count; }
-  // Sets a hook that is called once, after the next transaction with a verdict was sent and before
-  // it arrives.
+  // Sets a hook that is called once, after the next transaction that declares a member failed was
+  // sent and before it arrives.
   void OnFailureDeclarationSent(std::function<void(const std::string& by)> hook) {
     on_failure_declaration_sent_ = std::move(hook);
   }
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -76,7 +76,7 @@
   return experiment;
 }
 
-// Kills a holder that is not the leader or, with one block, the leader.
+// Kills an owner that is not the leader or, with one block, the leader.
 Experiment MeasureOwnerFailure(const RunOptions& run_options) {
   Experiment experiment = MakeExperiment(
       "after_death", "Time from a holder's failure to the next start on its machines", "s",
--- a/tools/blocks_report/experiments.h
+++ b/tools/blocks_report/experiments.h
@@ -1,6 +1,6 @@
 // Experiments of the blocks report, in fake time on simulated nodes, over the number of blocks: the
 // waiting time of tasks, unused limit, writes, conflicts, starts over the limit, and the time until
-// the machines of a failed holder are used again.
+// the machines of a failed owner are used again.
 #pragma once
 
 #include <vector>
