--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -122,7 +122,7 @@
 // A placement of `other_` is carried out long after the node froze. By then urgent work takes the
 // whole limit, but the placed job and its tasks have not changed, so that a precondition on the job
 // alone would let the placement exceed the limit.
-class DelayedPlacementTest : public BlocksClusterTest {
+class DelayedBlockPlacementTest : public BlocksClusterTest {
  protected:
   void FreezeDuringPlacement() {
     Options options;
@@ -156,14 +156,14 @@
   }
 };
 
-TEST_F(DelayedPlacementTest, FailsOnTheBlockAssignmentAfterTheBlockHasPassedOn) {
+TEST_F(DelayedBlockPlacementTest, FailsOnTheBlockAssignmentAfterTheBlockHasPassedOn) {
   FreezeDuringPlacement();
   FillLimitWithUrgentJobs();
 }
 
 // The block assignment and the allocations are unchanged, since a leader without blocks does not
 // write them. Only the fencing token can reject the placement.
-TEST_F(DelayedPlacementTest, FailsOnTheFencingTokenAfterALeaderWithoutBlocksTakesOver) {
+TEST_F(DelayedBlockPlacementTest, FailsOnTheFencingTokenAfterALeaderWithoutBlocksTakesOver) {
   FreezeDuringPlacement();
   cluster_->SetNewLeadersUseBlocks(false);
   cluster_->Kill(leader_);
