--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -25,7 +25,7 @@
 // alive. They may reconnect at any time, so they are terminated only after this many lease
 // durations.
 constexpr double kPartitionLeases = 3;
-// Fraction of the machines that have reported that is kept idle.
+// Of the machines that have reported, this fraction is kept even if idle.
 constexpr double kIdleReserveShare = 0.25;
 
 }  // namespace
--- a/src/fleet/boot_times.cc
+++ b/src/fleet/boot_times.cc
@@ -14,8 +14,8 @@
 constexpr size_t kMinBoots = 5;
 constexpr double kMedian = 0.5;
 constexpr double kLateQuantile = 0.9;
-// Lower bound of the late threshold, in nominal boot times. It is the threshold itself while there
-// are too few observations.
+// Nearly all machines boot within this many nominal boot times. Used as the late threshold while
+// there are too few observations, and as its lower bound otherwise.
 constexpr double kNominalLateRatio = 2;
 // Deadline of a booting machine, in multiples of the late threshold, and its minimum in nominal
 // boot times. Waiting beyond the late threshold is cheap: a replacement has been requested by then,
--- a/src/fleet/failure_tracker.h
+++ b/src/fleet/failure_tracker.h
@@ -49,7 +49,7 @@
   void Reconcile(const jobs::JobTable& job_table, size_t machine_count);
 
   // Returns the failures of all jobs, for a controller that plans without receiving heartbeats.
-  // `retried`: jobs that this controller, the owner of the block, may retry with one task now.
+  // `retried`: jobs of which that controller, as the owner of a block, may start one more task now.
   std::vector<model::JobFailures> DescribeFailures(const std::set<std::string>& retried) const;
   // On such a controller: replaces all job histories by the leader's description.
   void ApplyFailures(const std::vector<model::JobFailures>& failures, double now);
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -24,7 +24,7 @@
   model::TaskPhase phase = model::TaskPhase::kFetching;
   model::ExitCause cause = model::ExitCause::kNone;
   double phase_since = 0;         // time of the first report of this phase
-  bool start_observed = false;    // by this leader, so `phase_since` gives the run time
+  bool start_observed = false;    // this leader saw it start, so `phase_since` gives the run time
   double run_s = 0;               // run time of an exited task; 0 if unknown
   bool run_time_sampled = false;  // the slowness estimate already includes its run time
 };
@@ -52,8 +52,8 @@
 
 // State of a machine's agent and of its lease, taken from the agent's status reports.
 //
-// A status report is either a heartbeat or the response to a direct command. The agent initiates
-// heartbeats, and the response to a heartbeat renews its lease. Direct commands never renew it.
+// A status report is either a heartbeat, which the agent initiates, or the response to a direct
+// command. The response to a heartbeat renews the agent's lease. Direct commands never renew it.
 struct AgentState {
   model::AgentEpoch epoch;          // of the newest status
   uint64_t sequence = 0;            // of the newest status
@@ -61,7 +61,8 @@
   model::FencingToken token;        // highest token that the agent has reported
   double last_heartbeat = -std::numeric_limits<double>::infinity();
   double last_status = -std::numeric_limits<double>::infinity();
-  // Time of the last response that may have renewed the lease.
+  // Time of the last response that may have renewed the lease. If the response to a direct command
+  // is the first report of a new epoch, the time of that report, since a new epoch has a new lease.
   double last_response = -std::numeric_limits<double>::infinity();
   // When the cloud reclaims the machine; infinity without a spot notice.
   double reclaim_at = std::numeric_limits<double>::infinity();
@@ -77,6 +78,8 @@
   model::AgentEpoch agent_epoch;
   std::vector<model::TaskId> expected_starts;
   // Number of consecutive responses without the expected effect, and when the first was detected.
+  // Responses without an expected effect do not count. A response of the agent to a direct command
+  // resets the number.
   int unacknowledged = 0;
   double unacknowledged_since = 0;
 };
--- a/src/fleet/machine_views.cc
+++ b/src/fleet/machine_views.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A view carries no agent epoch. Any known epoch marks the machine as having reported, which it has
-// (to the leader).
+// A view carries no agent epoch, since its receiver does not need one. Any epoch that is set marks
+// the machine as having reported, which it has (to the leader).
 constexpr model::AgentEpoch kPlaceholderEpoch{1};
 
 model::TaskView DescribeTask(const model::TaskId& task, const ReportedTask& reported, double now) {
--- a/src/fleet/placement_proof.cc
+++ b/src/fleet/placement_proof.cc
@@ -4,20 +4,24 @@
 
 bool IsProvenAbsent(const Machine& machine, const model::TaskId& task, model::FencingToken token) {
   if (machine.reported_tasks.contains(task)) return false;
-  // Until the worker has seen our token, it may still accept commands of an earlier leader.
+  // Until the worker has seen our token, it may still accept commands of an earlier leader. If it
+  // has seen a higher token, another leader commands it.
   if (machine.agent.token != token || !token.is_set()) return false;
   auto sent = machine.sent_starts.find(task);
-  // The worker now rejects commands of earlier leaders, and we have sent no start command.
+  // The worker now rejects commands of earlier leaders, and no start command of ours is recorded as
+  // sent. (Reconcile() drops a record only if the task is neither recorded as placed nor reported,
+  // and the start command is not in flight or would be rejected.)
   if (sent == machine.sent_starts.end()) return true;
   const SentStart& start = sent->second;
-  // The command was sent under an earlier token of ours. The worker has seen the current token, so
-  // it rejects the command.
+  // The command was sent under an earlier token of this term (see WorkerRegistry::SetToken()). The
+  // worker has seen the current token, so it rejects the command.
   if (start.token != token) return true;
   // A new epoch of the agent starts with no tasks and rejects commands for earlier epochs.
   if (machine.agent.epoch > start.agent_epoch) return true;
   if (start.in_flight()) return false;
   // The agent executes a command in a heartbeat response before it sends the next heartbeat, or
-  // never. The response to a direct command may be sent in between and proves nothing.
+  // never. The response to a direct command may be sent after the answered heartbeat but before
+  // that execution, and proves nothing. (For a start in a direct command see SentStart::sequence.)
   return machine.agent.heartbeat_sequence > start.sequence;
 }
 
--- a/src/fleet/placement_proof.h
+++ b/src/fleet/placement_proof.h
@@ -6,7 +6,8 @@
 //   1. the cloud has confirmed the machine's termination (WorkerRegistry::IsTerminationConfirmed);
 //   2. the lease of everything that may run on the machine has expired
 //      (WorkerRegistry::LeaseExpiry);
-//   3. the machine has reported that the attempt exited (task_outcomes.h);
+//   3. the machine has reported that the attempt exited (task_outcomes.h); an exit other than a
+//      completion counts only if the agent had seen a token of this term;
 //   4. the machine's report does not list the task, and no start command for it can still arrive
 //      (IsProvenAbsent).
 // Pure functions of a machine's state; no I/O.
@@ -24,7 +25,7 @@
 
 // True if the task does not run on the machine and no command sent so far can start it there. Does
 // not cover future commands: the caller must ensure that none is sent (see IsStartForbidden).
-// `token`: this leader's token, the highest under which it sends commands.
+// `token`: this leader's current token; it sends no commands under a higher one.
 bool IsProvenAbsent(const Machine& machine, const model::TaskId& task, model::FencingToken token);
 
 // True if an attempt must not be started on the machine where it is recorded: the machine is to be
--- a/src/fleet/reconciliation.cc
+++ b/src/fleet/reconciliation.cc
@@ -14,8 +14,8 @@
   return start.in_flight() && start.IssuedUnder(token, machine.agent.epoch);
 }
 
-// Drops the start commands of tasks that are neither recorded nor reported any more, except those
-// that the worker may still receive.
+// Drops the start commands of tasks that are neither recorded nor reported any more: these commands
+// have had their effect. Keeps those that the worker may still receive.
 void DropSettledStarts(Machine& machine, const Placements& placements, model::FencingToken token) {
   std::erase_if(machine.sent_starts, [&](const auto& entry) {
     const auto& [task, start] = entry;
@@ -76,7 +76,7 @@
   return &reported->second;
 }
 
-bool IsCancelled(const jobs::JobTable& job_table, const model::TaskId& task) {
+bool IsCancelledOrUnknown(const jobs::JobTable& job_table, const model::TaskId& task) {
   const jobs::Job* job = job_table.Find(task.job);
   return job == nullptr || job->cancelled;
 }
@@ -106,13 +106,14 @@
   }
   for (const auto& [task, attempt] : placements) {
     if (const ReportedTask* reported = FindReported(machine, task, attempt)) {
-      const bool cancelled = IsCancelled(job_table, task);
+      const bool cancelled = IsCancelledOrUnknown(job_table, task);
       auto command = StopCommandFor(task, *reported, cancelled, stop_requests);
       if (command) commands.push_back(*command);
       continue;
     }
     if (IsStartForbidden(machine, task, attempt, job_table, stop_requests)) continue;
-    // The worker has seen a higher token: another leader commands it, and it would reject ours.
+    // The worker has seen a higher token: another leader commands it, and it would reject our
+    // command.
     if (machine.agent.token > token) continue;
     commands.push_back({model::CommandKind::kRun, task, attempt, 0});
     RecordSentStart(machine, task, attempt, token, direct);
--- a/src/fleet/response_acknowledgement.cc
+++ b/src/fleet/response_acknowledgement.cc
@@ -7,12 +7,12 @@
 
 // Responses to a machine count as lost once this many in a row are unacknowledged.
 constexpr int kMinLostResponses = 3;
-// Responses also count as lost if the lease expires within this fraction of its duration after a
-// response. The fraction is below 1 because the lease starts when the agent sends the heartbeat,
-// which may be a few seconds before the response.
+// If the agent's lease expires within this fraction of its duration after a response, that counts
+// as kMinLostResponses unacknowledged responses. The fraction is below 1 because the lease starts
+// when the agent sends the heartbeat, which may be a few seconds before the response.
 constexpr double kLeaseFractionAfterResponse = 0.75;
-// Exactly kMinLostResponses in quick succession are weak evidence: the time since the first of them
-// must exceed the lease divided by this.
+// Exactly kMinLostResponses may have come in quick succession, which is weak evidence. They suffice
+// only once the time since the first of them exceeds the lease divided by this.
 constexpr double kMinLossDurationDivisor = 3;
 
 void CountUnacknowledged(ResponseState& responses, int count, double now) {
@@ -32,7 +32,8 @@
   ResponseState& responses = machine.responses;
   if (!machine.has_reported() || responses.token != token) return;
   if (report.agent_epoch > responses.agent_epoch) {
-    // The agent's lease has expired although we responded within it.
+    // The agent's lease has expired, since an epoch ends with the lease. If we responded within
+    // that lease, the response had no effect.
     const bool responded_in_time =
         now - machine.agent.last_response < kLeaseFractionAfterResponse * lease_s;
     if (responded_in_time) CountUnacknowledged(responses, kMinLostResponses, now);
--- a/src/fleet/slowness_estimate.cc
+++ b/src/fleet/slowness_estimate.cc
@@ -19,7 +19,8 @@
     return reported.run_s;
   }
   if (reported.phase != model::TaskPhase::kRunning || !reported.start_observed) return 0;
-  // Ends at the last status report, not now: the task may have exited since.
+  // Measured up to the last status report rather than up to now: while no reports arrive, the task
+  // may have exited long ago.
   const double run_s = machine.agent.last_status - reported.phase_since;
   // The run time of a running task is a lower bound: it is a sample only once it is far too long.
   return run_s > kSlowRatio * mean_s ? run_s : 0;
--- a/src/fleet/stop_requests.h
+++ b/src/fleet/stop_requests.h
@@ -23,7 +23,7 @@
   bool Contains(const model::TaskId& task, uint64_t attempt) const;
   // Returns the grace period in seconds. Requires a request for the task.
   double GraceSeconds(const model::TaskId& task) const { return requests_.at(task).grace_s; }
-  // Drops the requests for attempts that are no longer recorded as placed.
+  // Drops the requests for attempts that are no longer recorded as placed: these are fulfilled.
   void DropFulfilled(const jobs::JobTable& job_table);
 
  private:
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -258,8 +258,8 @@
   ExpectAcknowledgement(*machine, commands, token_);
 }
 
-void WorkerRegistry::OnCloudList(const std::vector<model::CloudMachine>& listed, double asked_at,
-                                 double now) {
+void WorkerRegistry::OnCloudList(const std::vector<model::CloudMachine>& listed,
+                                 double list_requested_at, double now) {
   std::unordered_set<std::string> listed_names;
   listed_names.reserve(listed.size());
   for (const model::CloudMachine& machine : listed) {
@@ -270,7 +270,8 @@
   }
   std::vector<std::string> unlisted;
   for (const auto& [name, machine] : machines_) {
-    if (!listed_names.contains(name) && HasLeftList(machine, asked_at)) unlisted.push_back(name);
+    if (!listed_names.contains(name) && HasLeftList(machine, list_requested_at))
+      unlisted.push_back(name);
   }
   for (const std::string& name : unlisted) {
     spdlog::info("machine gone: machine={} reason=no longer listed", name);
@@ -303,12 +304,12 @@
   }
 }
 
-bool WorkerRegistry::HasLeftList(const Machine& machine, double asked_at) const {
+bool WorkerRegistry::HasLeftList(const Machine& machine, double list_requested_at) const {
   // A list may be older than the previous one, but not by more than the maximum lag. A machine that
   // was first listed earlier than that and is missing now is gone.
-  const double settled_after_s =
+  const double max_lag_s =
       kMaxListLags * options_.list_lag_s + options_.heartbeat_interval_s / kTimerSlackDivisor;
-  return machine.cloud.listed && asked_at - machine.cloud.first_listed > settled_after_s;
+  return machine.cloud.listed && list_requested_at - machine.cloud.first_listed > max_lag_s;
 }
 
 void WorkerRegistry::OnScaledOut(const std::vector<std::string>& names,
--- a/src/fleet/worker_registry.h
+++ b/src/fleet/worker_registry.h
@@ -74,9 +74,10 @@
   // the agent's lease may be renewed.
   void OnResponseSent(const model::Heartbeat& report,
                       const std::vector<model::WorkerCommand>& commands, double now);
-  // Processes a complete list of the cloud's machines that was requested at `asked_at`. Machines
-  // that are proven to have left the list are removed as terminated.
-  void OnCloudList(const std::vector<model::CloudMachine>& listed, double asked_at, double now);
+  // Processes a complete list of the cloud's machines that was requested at `list_requested_at`.
+  // Machines that are proven to have left the list are removed as terminated.
+  void OnCloudList(const std::vector<model::CloudMachine>& listed, double list_requested_at,
+                   double now);
   // Adds the machines that the cloud has granted for a scale-out request.
   void OnScaledOut(const std::vector<std::string>& names, const model::ScaleOutRequest& request,
                    double now);
@@ -143,7 +144,7 @@
   void CountFailure(const Machine& machine, const model::TaskStatus& status, double now);
   // Steps of OnCloudList().
   void UpdateFromList(const model::CloudMachine& listed, double now);
-  bool HasLeftList(const Machine& machine, double asked_at) const;
+  bool HasLeftList(const Machine& machine, double list_requested_at) const;
 
   const Options options_;
   model::FencingToken token_;
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -52,9 +52,9 @@
       queued.is_retry = true;
       queued.rank = tier * kBandsPerTier + kBandsPerTier - 1;
       queued.tasks = retries_.TryRetry(job) ? 1 : 0;
-    } else if (const size_t first = starvation_.TasksServedFirst(job); first > 0) {
+    } else if (const size_t served_first = starvation_.TasksServedFirst(job); served_first > 0) {
       queued.rank = kStarvedRank;
-      queued.tasks = std::min(queued.tasks, first);
+      queued.tasks = std::min(queued.tasks, served_first);
     }
     queue_.jobs.push_back(queued);
   }
@@ -63,7 +63,7 @@
     return !input_.IsSingleOwner() || input_.scope->may_place(*input_.scope->single_owner, job);
   }
 
-  // Drops tasks that exceed their team's quota, which is granted in queue order.
+  // Drops the tasks that exceed their team's quota. The quota is granted in queue order.
   void ApplyQuotas() {
     for (QueuedJob& queued : queue_.jobs) {
       const model::JobSpec& spec = queued.job->spec;
--- a/src/plan/placement_scope.h
+++ b/src/plan/placement_scope.h
@@ -1,6 +1,6 @@
-// Restricts a round to some machines and jobs where machines are partitioned into blocks with
-// owners (src/blocks). The functions refer to the block assignment that the scope was made from: a
-// scope is made for one round and must not outlive that block assignment.
+// Determines which machines a round uses and which jobs it places if the machines are partitioned
+// into blocks with owners (src/blocks). The functions refer to the block assignment that the scope
+// was made from: a scope is made for one round and must not outlive that block assignment.
 #pragma once
 
 #include <cstddef>
--- a/src/plan/preemption.cc
+++ b/src/plan/preemption.cc
@@ -59,7 +59,7 @@
     const PreemptionOption chosen = options.back();
     options.pop_back();
     const auto eviction = ChooseVictims(queued, task_class, chosen.machine, chosen.free);
-    if (!eviction) continue;  // impossible: the machine has not changed since then
+    if (!eviction) continue;  // impossible: the machine is unchanged since its evaluation
     for (const VictimStop& stop : chosen_stops_) {
       stop.victim->stopped = true;
       preemptions.push_back({stop.victim->task, stop.victim->attempt,
@@ -74,8 +74,8 @@
   return preemptions;
 }
 
-// Only a job that comes first in the order may preempt, since only such a job keeps the resources
-// that are freed.
+// Only jobs that come first in the order may preempt, since only these keep the resources that are
+// freed.
 bool PreemptionPlanner::MayPreempt(const QueuedJob& queued) const {
   return queued.job->priority <= model::Priority::kUrgent ||
          order_.IsGuaranteeOverdue(*queued.job, queued.within_guarantee);
@@ -92,7 +92,7 @@
   return std::max(reaction, objective->within_s - waited - reaction);
 }
 
-// Looks up the victims on all machines at the first call; they serve all classes of the round.
+// Finds the possible victims on all machines at the first call, for all classes of the round.
 std::vector<PreemptionPlanner::Victim>& PreemptionPlanner::VictimsOn(size_t machine) {
   if (victims_.empty()) {
     victims_.reserve(machines_.size());
@@ -128,7 +128,7 @@
 }
 
 bool PreemptionPlanner::IsVictimFor(const QueuedJob& queued, const Victim& victim) const {
-  // A victim that comes earlier in the order would get the resources again, and be stopped again.
+  // A victim of the same or an earlier tier would get the resources again, and be stopped again.
   if (victim.tier <= TierOfRank(queued.rank)) return false;
   if (victim.job->priority > queued.job->priority) return true;
   return order_.IsGuaranteeOverdue(*queued.job, queued.within_guarantee) &&
--- a/src/plan/round.cc
+++ b/src/plan/round.cc
@@ -141,7 +141,8 @@
     return queued.is_retry || (failed_on != nullptr && failed_on->contains(machine));
   }
 
-  // Demands machines and plans preemptions for the tasks of a job that can't start now.
+  // Adds the demand for new machines and plans preemptions for the tasks of a job that can't start
+  // now.
   void HandleUnstartedTasks(const QueuedJob& queued, const TaskClass& task_class,
                             MappedJob mapped) {
     // A retry justifies neither a new machine nor a preemption.
--- a/src/plan/round_machines.cc
+++ b/src/plan/round_machines.cc
@@ -31,7 +31,8 @@
   }
 
   // Subtracts the resources of the attempts that are recorded as placed on the machine and have not
-  // ended. Adds those that are reported as done to `reported_done_by_team`.
+  // ended. Adds the resources of those attempts that are reported as done to
+  // `reported_done_by_team`, by team.
   void SubtractPlacedTasks(std::map<std::string, Resources>& reported_done_by_team) {
     for (const auto& [task, attempt] : input_.job_table.PlacementsOn(machine_.name)) {
       const jobs::Job* job = input_.job_table.Find(task.job);
--- a/src/plan/round_result.h
+++ b/src/plan/round_result.h
@@ -13,8 +13,8 @@
 
 namespace hallpier::plan {
 
-// Demand for new machines by tasks that these would serve sooner than the machines that are up or
-// booting.
+// Demand for new machines: tasks that new machines would serve sooner than the machines that are up
+// or booting.
 struct CapacityDemand {
   struct Choice {
     std::string machine_type;
--- a/src/plan/task_classes.cc
+++ b/src/plan/task_classes.cc
@@ -13,7 +13,7 @@
 // The zones of the placed tasks of a job.
 struct PlacedByZone {
   std::map<std::string, size_t> tasks;  // number of placed tasks by zone
-  bool unknown = false;                 // true if a task is on a machine that is not registered
+  bool has_unknown_zone = false;        // true if a task is on a machine that is not registered
 };
 
 PlacedByZone CountPlacedByZone(const jobs::Job& job, const fleet::WorkerRegistry& registry) {
@@ -23,7 +23,7 @@
       if (task.machine.empty()) continue;
       const auto machine = registry.machines().find(task.machine);
       if (machine == registry.machines().end()) {
-        placed.unknown = true;
+        placed.has_unknown_zone = true;
       } else {
         ++placed.tasks[machine->second.zone];
       }
@@ -114,13 +114,14 @@
   return run_times;
 }
 
-// Derives the zone constraints of the waiting tasks from the zones of the job's placed tasks.
+// Requires a job whose tasks depend on each other's zones (`one_zone` or `spread`). The zones of
+// its placed tasks then determine the zones that are left for its waiting tasks.
 void TaskClassBuilder::ConstrainZones(const jobs::Job& job, TaskClass& task_class) {
   const model::JobSpec& spec = job.spec;
   const PlacedByZone placed = CountPlacedByZone(job, input_.registry);
-  // While a task is placed on an unregistered machine, its zone is unknown and no more tasks may be
-  // mapped.
-  if (placed.unknown || (spec.one_zone && placed.tasks.size() > 1)) task_class.count = 0;
+  // While a task is placed on an unregistered machine, the zone of that task is unknown, so no more
+  // tasks of the job are mapped.
+  if (placed.has_unknown_zone || (spec.one_zone && placed.tasks.size() > 1)) task_class.count = 0;
   if (spec.one_zone && placed.tasks.size() == 1) {
     task_class.fixed_zone = machines_.zones.NumberOf(placed.tasks.begin()->first);
   }
--- a/src/plan/task_classes.h
+++ b/src/plan/task_classes.h
@@ -16,7 +16,7 @@
 
 class TaskClassBuilder {
  public:
-  // Adds the zones of placed tasks that have no number yet to `machines`.
+  // `machines`: Build() assigns numbers there to the zones of placed tasks that have none yet.
   TaskClassBuilder(const RoundInput& input, RoundMachines& machines)
       : input_(input), machines_(machines) {}
 
--- a/src/plan/task_mapping.cc
+++ b/src/plan/task_mapping.cc
@@ -9,8 +9,8 @@
 namespace hallpier::plan {
 namespace {
 
-// The extra time for which a task keeps a machine in use is compared in this many steps per run
-// time of the task.
+// The time by which a task would extend the use of a machine is compared in steps; this many steps
+// are one run time of the task.
 constexpr double kExtensionSteps = 4;
 constexpr double kMillisecondsPerSecond = 1e3;
 
@@ -23,10 +23,10 @@
   double free_cpus;  // free processors now; 0 unless `pack` is set
   size_t machine;
 
-  // Among equal completion times, prefers the machine that is in use anyway, then the fullest, then
-  // the first one, so that whole machines become free for tasks that need one. Completion times are
-  // compared in whole milliseconds because that is a strict weak order; a comparison with a
-  // tolerance is not.
+  // Returns true if `right` is the better candidate. Among equal completion times, the machine that
+  // is in use anyway is better, then the fullest, then the first one, so that whole machines become
+  // free for tasks that need one. Completion times are compared in whole milliseconds because that
+  // is a strict weak order; a comparison with a tolerance is not.
   friend bool operator>(const Candidate& left, const Candidate& right) {
     if (left.completion_ms != right.completion_ms) return left.completion_ms > right.completion_ms;
     if (left.extension != right.extension) return left.extension > right.extension;
