--- a/src/blocks/block_view_builder.cc
+++ b/src/blocks/block_view_builder.cc
@@ -18,7 +18,7 @@
 
 std::vector<std::string> ImagesNeeded(const jobs::JobTable& job_table) {
   std::set<std::string> images;
-  for (const auto& [id, job] : job_table.all()) images.insert(job.spec.image);
+  for (const auto& [id, job] : job_table.jobs()) images.insert(job.spec.image);
   return {images.begin(), images.end()};
 }
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -16,8 +16,8 @@
   explicit Job(TaskGroups task_groups) : groups(std::move(task_groups)) {}
 
   model::JobSpec spec;
-  double submitted_at = 0;         // seconds since the Unix epoch
-  bool uses_common_layout = true;  // its record has no group size
+  double submitted_at = 0;          // seconds since the Unix epoch
+  bool uses_default_layout = true;  // its record has no group size
   // In its own record, or because it depends on a cancelled job. Its tasks are no longer placed.
   bool cancelled = false;
   // Derived from other jobs as well; see DependencyGraph::EffectiveState.
@@ -27,7 +27,7 @@
   double deadline = 0;  // seconds since the Unix epoch
 
   TaskGroups groups;
-  const std::map<uint32_t, store::TaskGroup>& task_groups() const { return groups.all(); }
+  const std::map<uint32_t, store::TaskGroup>& task_groups() const { return groups.by_number(); }
   uint32_t done() const { return groups.done(); }
   uint32_t placed() const { return groups.placed(); }
   // Tasks that are neither done nor placed.
--- a/src/jobs/job_changes.cc
+++ b/src/jobs/job_changes.cc
@@ -65,7 +65,7 @@
 }
 
 void AddFinishedJobs(const JobTable& job_table, RoundChanges& changes) {
-  for (const auto& [id, job] : job_table.all()) {
+  for (const auto& [id, job] : job_table.jobs()) {
     const bool finished = job.cancelled ? job.placed() == 0 : job.done() == job.spec.tasks;
     if (!finished || changes.by_job.contains(id)) continue;
     changes.by_job[id].job = &job;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -71,7 +71,7 @@
   } else if (std::holds_alternative<store::FormatKeyName>(key)) {
     // The format record is never deleted, and its layout never changes. store::RecordFormats logs
     // an unreadable format record.
-    if (auto record = store::ReadFormat(value)) SetCommonLayout(record->layout);
+    if (auto record = store::ReadFormat(value)) SetDefaultLayout(record->layout);
   }
 }
 
@@ -94,11 +94,11 @@
   }
 }
 
-void JobTable::SetCommonLayout(const store::TaskGroupLayout& layout) {
-  if (layout == common_layout_) return;
-  common_layout_ = layout;
+void JobTable::SetDefaultLayout(const store::TaskGroupLayout& layout) {
+  if (layout == default_layout_) return;
+  default_layout_ = layout;
   for (auto& [id, job] : jobs_) {
-    if (job.uses_common_layout) job.groups.ChangeLayout(layout);
+    if (job.uses_default_layout) job.groups.ChangeLayout(layout);
   }
   for (auto& [id, groups] : groups_without_job_) groups.ChangeLayout(layout);
 }
@@ -115,9 +115,9 @@
 
 Job& JobTable::AddJob(const store::JobRecord& record) {
   const std::string& id = record.spec.id;
-  const bool uses_common_layout = record.tasks_per_group == 0;
+  const bool uses_default_layout = record.tasks_per_group == 0;
   const store::TaskGroupLayout layout =
-      uses_common_layout ? common_layout_ : store::TaskGroupLayout{record.tasks_per_group, 1};
+      uses_default_layout ? default_layout_ : store::TaskGroupLayout{record.tasks_per_group, 1};
   TaskGroups groups(layout);
   if (auto stored = groups_without_job_.find(id); stored != groups_without_job_.end()) {
     groups = std::move(stored->second);
@@ -125,7 +125,7 @@
     groups_without_job_.erase(stored);
   }
   Job& job = jobs_.emplace(id, Job(std::move(groups))).first->second;
-  job.uses_common_layout = uses_common_layout;
+  job.uses_default_layout = uses_default_layout;
   return job;
 }
 
@@ -155,8 +155,8 @@
 
 void JobTable::SetGroup(const std::string& id, TaskGroups& groups, uint32_t number,
                         std::optional<store::TaskGroup> group) {
-  auto old = groups.all().find(number);
-  UpdatePlacements(id, old == groups.all().end() ? nullptr : &old->second,
+  auto old = groups.by_number().find(number);
+  UpdatePlacements(id, old == groups.by_number().end() ? nullptr : &old->second,
                    group ? &*group : nullptr);
   groups.Set(number, std::move(group));
 }
@@ -185,7 +185,7 @@
   TaskGroups* groups = FindGroups(key.job);
   if (groups == nullptr) {
     if (!task_group) return;
-    groups = &groups_without_job_.emplace(key.job, TaskGroups(common_layout_)).first->second;
+    groups = &groups_without_job_.emplace(key.job, TaskGroups(default_layout_)).first->second;
   }
   const uint32_t parts = groups->layout().parts_per_base_group;
   if (key.part && *key.part >= parts) return;  // not in any recorded layout
@@ -262,7 +262,7 @@
   const Job* job = Find(id);
   if (job == nullptr) return std::nullopt;
   return store::JobRecord{job->spec, job->submitted_at, dependency_graph_.CancelledByOwnRecord(id),
-                          job->uses_common_layout ? 0 : job->groups.layout().tasks_per_base_group};
+                          job->uses_default_layout ? 0 : job->groups.layout().tasks_per_base_group};
 }
 
 std::optional<store::JobRecord> JobTable::CancelledRecord(const std::string& id) const {
@@ -286,7 +286,7 @@
     std::move(more.begin(), more.end(), std::back_inserter(keys));
   };
   for (const auto& [id, groups] : groups_without_job_) append(groups.StoredKeys(id));
-  if (common_layout_.parts_per_base_group == 1) return keys;
+  if (default_layout_.parts_per_base_group == 1) return keys;
   for (const auto& [id, job] : jobs_) append(job.groups.SupersededKeys(id));
   return keys;
 }
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -29,7 +29,7 @@
  public:
   // `tasks_per_group`: the layout of jobs whose records have no group size, until the format record
   // is read.
-  explicit JobTable(uint32_t tasks_per_group) : common_layout_{tasks_per_group, 1} {}
+  explicit JobTable(uint32_t tasks_per_group) : default_layout_{tasks_per_group, 1} {}
 
   // Applies a change of the stored state; keys that do not belong to jobs are ignored. An empty
   // `value` means that the key was deleted. An unreadable record is logged, and the table keeps the
@@ -39,9 +39,9 @@
   void SetFinalRecord(const std::string& id, const store::FinalRecord& final_record);
   const DependencyGraph& dependency_graph() const { return dependency_graph_; }
   // The layout of jobs whose records have no group size.
-  const store::TaskGroupLayout& common_layout() const { return common_layout_; }
+  const store::TaskGroupLayout& default_layout() const { return default_layout_; }
 
-  const std::unordered_map<std::string, Job>& all() const { return jobs_; }
+  const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
   // Returns nullptr if there is no unfinished job with this id.
   const Job* Find(const std::string& id) const;
   using Placements = std::map<model::TaskId, uint64_t>;  // task -> attempt
@@ -85,7 +85,7 @@
   // Sets the parts of a base group from its value, except for those stored under separate keys.
   void SetGroupsOfBaseGroup(const std::string& id, TaskGroups& groups, uint32_t base_group,
                             const std::optional<store::TaskGroup>& value);
-  void SetCommonLayout(const store::TaskGroupLayout& layout);
+  void SetDefaultLayout(const store::TaskGroupLayout& layout);
   // Updates placements_by_machine_ for a group that changes from `before` to `after`; nullptr
   // stands for a group without tasks.
   void UpdatePlacements(const std::string& job, const store::TaskGroup* before,
@@ -94,7 +94,7 @@
   // Copies changed effective states from the dependency graph to the jobs.
   void UpdateEffectiveStates();
 
-  store::TaskGroupLayout common_layout_;
+  store::TaskGroupLayout default_layout_;
   std::unordered_map<std::string, Job> jobs_;
   // Stored groups of jobs whose records are missing: not read yet, or already deleted.
   std::map<std::string, TaskGroups> groups_without_job_;
--- a/src/jobs/task_groups.h
+++ b/src/jobs/task_groups.h
@@ -25,7 +25,7 @@
 
   const store::TaskGroupLayout& layout() const { return layout_; }
   // Returns the groups by number. Groups of which no task was ever placed are omitted.
-  const std::map<uint32_t, store::TaskGroup>& all() const { return groups_; }
+  const std::map<uint32_t, store::TaskGroup>& by_number() const { return groups_; }
   // Replaces a group; removes it if `group` is std::nullopt.
   void Set(uint32_t number, std::optional<store::TaskGroup> group);
   // Regroups the tasks according to another layout.
--- a/src/plan/job_queue.cc
+++ b/src/plan/job_queue.cc
@@ -90,7 +90,7 @@
 
 std::vector<const jobs::Job*> UnfinishedJobsByAge(const jobs::JobTable& job_table) {
   std::vector<const jobs::Job*> jobs;
-  for (const auto& [id, job] : job_table.all()) jobs.push_back(&job);
+  for (const auto& [id, job] : job_table.jobs()) jobs.push_back(&job);
   std::sort(jobs.begin(), jobs.end(), [](const jobs::Job* left, const jobs::Job* right) {
     return std::tie(left->runnable_since, left->spec.id) <
            std::tie(right->runnable_since, right->spec.id);
--- a/src/quota/usage.cc
+++ b/src/quota/usage.cc
@@ -9,7 +9,7 @@
   auto update_min = [](double need, double* smallest) {
     if (need > 0 && (*smallest <= 0 || need < *smallest)) *smallest = need;
   };
-  for (const auto& [id, job] : job_table.all()) {
+  for (const auto& [id, job] : job_table.jobs()) {
     if (job.cancelled) continue;
     Amount& team = smallest_tasks[job.spec.team];
     update_min(job.spec.cpus, &team.cpus);
--- a/src/store/record_formats.cc
+++ b/src/store/record_formats.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TaskGroupLayout CommonLayout(const config::Settings& settings) {
+TaskGroupLayout DefaultLayout(const config::Settings& settings) {
   const uint32_t tasks_per_base_group = TasksPerTextGroup(settings.value_kb);
   const uint32_t tasks_that_fit = TasksPerPackedGroup(settings.SmallestStateLimits().value_kb);
   return {tasks_per_base_group, (tasks_per_base_group + tasks_that_fit - 1) / tasks_that_fit};
@@ -123,7 +123,7 @@
     } else if (loaded && MustWriteFormatRecord()) {
       // An existing format record is never overwritten, even if this node can't read it: the first
       // node to write it decides, and all other nodes read it.
-      co_await Write(FormatKey(), 0, WriteFormat({kRecordFormat, CommonLayout(settings_)}));
+      co_await Write(FormatKey(), 0, WriteFormat({kRecordFormat, DefaultLayout(settings_)}));
     }
     if (BothFormatsRecorded() || scope_.cancelled()) break;
     if (!loaded || !LocalFormatRecorded() || MustWriteFormatRecord()) {
--- a/src/store/record_formats.h
+++ b/src/store/record_formats.h
@@ -92,6 +92,6 @@
 // Returns the layout that the format record specifies for jobs whose records specify none. The base
 // groups are the groups that the older version created; each is stored in as many parts as needed
 // to fit the lower limits.
-TaskGroupLayout CommonLayout(const config::Settings& settings);
+TaskGroupLayout DefaultLayout(const config::Settings& settings);
 
 }  // namespace hallpier::store
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -211,7 +211,7 @@
   const double remaining = settings_.teams[0].cpus_max - used;
   const double free = workers_.MaxFreeCpus(kMachineCpus);
   double max_cpus = 0;
-  for (const auto& [id, job] : NodeOf(leader_).job_table.all()) {
+  for (const auto& [id, job] : NodeOf(leader_).job_table.jobs()) {
     const bool fits = job.spec.cpus <= std::min(remaining, free) + kTolerance;
     if (!job.cancelled && job.waiting() > 0 && fits) max_cpus = std::max(max_cpus, job.spec.cpus);
   }
@@ -223,7 +223,7 @@
   if (leader_.empty() || !NodeOf(leader_).process->running()) return;
   idle_cpu_s_ += IdleCpus(UsedCpus()) * kTickIntervalS;
   double placed = 0;
-  for (const auto& [id, job] : NodeOf(leader_).job_table.all()) {
+  for (const auto& [id, job] : NodeOf(leader_).job_table.jobs()) {
     placed += job.placed() * job.spec.cpus;
   }
   const bool stalled = IdleCpus(placed) > 0 && starts_ == starts_at_last_sample_;
