--- a/src/jobs/dependency_graph.cc
+++ b/src/jobs/dependency_graph.cc
@@ -88,12 +88,12 @@
   const std::string& id = record.spec.id;
   node.dependencies = record.spec.dependencies;
   node.own_priority = record.spec.priority;
-  node.own_due = record.spec.deadline_s > 0 ? record.submitted_at + record.spec.deadline_s
-                                            : std::numeric_limits<double>::infinity();
+  node.own_deadline = record.spec.deadline_s > 0 ? record.submitted_at + record.spec.deadline_s
+                                                 : std::numeric_limits<double>::infinity();
   node.estimated_run_s = record.spec.estimated_run_s;
   node.state.runnable_since = record.submitted_at;
   node.state.priority = node.own_priority;
-  node.state.deadline = node.own_due;
+  node.state.deadline = node.own_deadline;
   MarkChanged(id);
   UpdateUnresolved(id);
   Connect(id, node);
@@ -162,7 +162,7 @@
 bool DependencyGraph::RecomputeUrgency(const std::string& id, Node& node) const {
   EffectiveState state = node.state;
   state.priority = node.own_priority;
-  state.deadline = node.own_due;
+  state.deadline = node.own_deadline;
   for (const std::string& dependent_id : Dependents(id)) {
     auto entry = nodes_.find(dependent_id);
     if (entry == nodes_.end()) continue;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -32,7 +32,7 @@
   struct EffectiveState {
     bool blocked = false;       // not all awaited jobs are known to be recorded as done
     bool cancelled = false;     // in its own record, or because an upstream job is cancelled
-    double runnable_since = 0;  // submission or completion of the last awaited job
+    double runnable_since = 0;  // when it was submitted or its last awaited job was done; the later
     // The highest of the job's own priority and those of all downstream jobs.
     model::Priority priority = model::Priority::kBestEffort;
     // The time by which the job must be done to meet its own deadline and those of all downstream
@@ -74,7 +74,7 @@
     bool cancelled_by_record = false;       // in its own record
     // The job's own values, without those of its dependents.
     model::Priority own_priority = model::Priority::kBestEffort;
-    double own_due = 0;
+    double own_deadline = 0;
     double estimated_run_s = 0;
     EffectiveState state;
   };
@@ -100,7 +100,8 @@
   bool RecomputeUrgency(const std::string& id, Node& node) const;
   // Updates a job after one of the jobs that it awaits is done.
   void ReleaseDependent(const std::string& id, const store::FinalRecord& final_record);
-  // Adds the job to unresolved_ or removes it, depending on whether its outcome is known.
+  // Adds the job to unresolved_ if unfinished jobs await it and neither its job record nor its
+  // final record is known; removes it otherwise.
   void UpdateUnresolved(const std::string& id);
   void MarkChanged(const std::string& id) { changed_.insert(id); }
 
--- a/src/jobs/final_records.cc
+++ b/src/jobs/final_records.cc
@@ -23,9 +23,9 @@
 // if the changed groups alone have more keys: these must be deleted in this transaction, since only
 // its preconditions guarantee that the job has ended. Keys of unchanged groups beyond the limit
 // become obsolete and are deleted later (JobTable::ObsoleteKeys).
-std::optional<std::vector<std::string>> GroupKeysToDrop(const std::string& id,
-                                                        const JobChanges& changes,
-                                                        size_t max_keys) {
+std::optional<std::vector<std::string>> GroupKeysToDelete(const std::string& id,
+                                                          const JobChanges& changes,
+                                                          size_t max_keys) {
   const TaskGroups& groups = changes.job->groups;
   std::vector<std::string> keys;
   for (const auto& [number, change] : changes.task_groups) {
@@ -54,7 +54,7 @@
 CancellationOrder OrderCancelledJobs(const JobTable& job_table, const RoundChanges& changes) {
   CancellationOrder result;
   std::vector<std::string>& finalizable = result.finalizable;
-  std::map<std::string, size_t> dependents_left;  // by job; must become final before it
+  std::map<std::string, size_t> dependents_left;  // by job; these must become final before it
   for (const std::string& id : changes.order) {
     const JobChanges& job_changes = changes.by_job.at(id);
     if (!job_changes.job->cancelled || !FinalPhase(job_changes)) continue;
@@ -80,7 +80,7 @@
                                               const TransactionLimits& limits,
                                               const VersionLookup& version) {
   const size_t max_keys = static_cast<size_t>(limits.max_writes) - kWritesBesideGroups;
-  const auto group_keys = GroupKeysToDrop(id, changes, max_keys);
+  const auto group_keys = GroupKeysToDelete(id, changes, max_keys);
   if (!group_keys) return std::nullopt;
   store::FinalRecord record;
   record.phase = phase;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -22,7 +22,7 @@
   bool cancelled = false;
   // Derived from other jobs as well; see DependencyGraph::EffectiveState.
   bool blocked = false;
-  double runnable_since = 0;  // seconds since the Unix epoch
+  double runnable_since = 0;  // from when the job could run; seconds since the Unix epoch
   model::Priority priority = model::Priority::kNormal;
   double deadline = 0;  // seconds since the Unix epoch
 
--- a/src/jobs/job_changes.h
+++ b/src/jobs/job_changes.h
@@ -36,7 +36,7 @@
   uint32_t PlacedAfter() const;
 };
 
-// The changes of a round by job, and the jobs in the order of their first change.
+// The changes of a round by job, and the jobs in the order in which they were added.
 struct RoundChanges {
   std::map<std::string, JobChanges> by_job;
   std::vector<std::string> order;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -27,8 +27,7 @@
 
 class JobTable {
  public:
-  // `tasks_per_group`: the layout of jobs whose records have no group size, until the format record
-  // is read.
+  // `tasks_per_group`: group size of jobs whose records have none, until the format record is read.
   explicit JobTable(uint32_t tasks_per_group) : default_layout_{tasks_per_group, 1} {}
 
   // Applies a change of the stored state; keys that do not belong to jobs are ignored. An empty
--- a/src/jobs/task_groups.cc
+++ b/src/jobs/task_groups.cc
@@ -61,7 +61,7 @@
 void TaskGroups::ChangeLayout(store::TaskGroupLayout layout) {
   if (layout == layout_) return;
   // Regroups by task index, not by group number: groups that were read before their job's record
-  // are numbered by the common layout, which may differ from the job's layout.
+  // are numbered by the default layout, which may differ from the job's layout.
   const store::TaskGroup all = TakeAllAsOneGroup();
   layout_ = layout;
   const uint32_t end = EndOfTasks(all);
--- a/src/jobs/task_transition.h
+++ b/src/jobs/task_transition.h
@@ -21,7 +21,7 @@
   double run_s = 0;          // kDone: run time; 0 if unknown
   std::string machine_type;  // kDone
   double known_for_s = 0;    // kDone: time since this node learned of the end
-  std::string reason;        // kRequeue: for the log
+  std::string reason;        // kRequeue: for logs
 };
 
 }  // namespace hallpier::jobs
--- a/src/jobs/transaction.h
+++ b/src/jobs/transaction.h
@@ -17,7 +17,7 @@
   std::vector<model::Precondition> preconditions;
   std::vector<model::KeyWrite> writes;
   WritePriority priority = WritePriority::kTaskEnd;  // the highest of its writes
-  std::vector<std::string> machines;                 // that get a new placement
+  std::vector<std::string> machines;                 // machines that get a new placement
 };
 
 struct TransactionLimits {
@@ -25,15 +25,15 @@
   // Preconditions of every transaction. The first is the leader's fencing token: a transaction of a
   // node whose token is not the newest fails on it.
   std::vector<model::Precondition> preconditions;
-  size_t max_value_bytes = 0;  // per value; 0: no limit
+  size_t max_value_bytes = 0;  // per value; 0 if there is no limit
   // Task ends that have been known for this long are ranked with placements instead of last.
   double task_end_max_wait_s = 0;
   // True if every node reads the newer record formats: task groups are written in the packed form,
   // and final records contain the time at which the job ended.
   bool packed_groups = false;
   double time_of_day = 0;  // current time in seconds since the Unix epoch
-  // Keys whose writes are each sent in a separate transaction, since a transaction that contained
-  // them was rejected. nullptr if there are none. Owned by the caller.
+  // Keys of a transaction that was rejected. A write unit whose first write is to one of them
+  // shares a transaction with no other unit. nullptr if there are none. Owned by the caller.
   const std::set<std::string>* isolated_keys = nullptr;
   // True if only placements are built. Only the leader records ends and deletes obsolete keys.
   bool placements_only = false;
--- a/src/jobs/transaction_packer.cc
+++ b/src/jobs/transaction_packer.cc
@@ -8,8 +8,8 @@
 namespace hallpier::jobs {
 namespace {
 
-// The state service accepts 64 KiB. The remainder is for key names, versions and JSON syntax, which
-// the sizes of the values do not include.
+// The state service accepts 64 KiB. The remainder is for the key names, versions and JSON syntax of
+// the preconditions, which SizeOf does not count.
 constexpr size_t kMaxTransactionBytes = size_t{48} * 1024;
 // Estimate for the JSON syntax, the version and the lease of one write.
 constexpr size_t kWriteOverheadBytes = 64;
@@ -23,7 +23,9 @@
   return bytes;
 }
 
-// Appends the elements of `more` whose keys are not in `all` yet.
+// Appends the elements of `more` whose keys are not in `all` yet. Elements with the same key are
+// equal: preconditions require the same cached version, and a job record that is rewritten by
+// placements in several of the job's groups has the same value.
 template <class Keyed>
 void AppendNewKeys(std::vector<Keyed>& all, std::vector<Keyed>& more) {
   for (Keyed& added : more) {
--- a/src/jobs/transaction_packer.h
+++ b/src/jobs/transaction_packer.h
@@ -15,12 +15,13 @@
 struct WriteUnit {
   std::vector<model::Precondition> preconditions;
   std::vector<model::KeyWrite> writes;  // never empty
-  std::vector<std::string> machines;    // that get a new placement
+  std::vector<std::string> machines;    // machines that get a new placement
   WritePriority priority = WritePriority::kTaskEnd;
 };
 
 // Sorts the units by priority (stable) and packs them into consecutive transactions. The
-// preconditions of each transaction begin with `limits.preconditions`.
+// preconditions of each transaction begin with `limits.preconditions`. A unit is never split: one
+// that exceeds the limits by itself becomes a separate transaction.
 std::vector<Transaction> PackTransactions(std::vector<WriteUnit> units,
                                           const TransactionLimits& limits);
 
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -23,9 +23,9 @@
   kNotFound,
   kConflict,  // a precondition failed; nothing was written
   kRefused,   // not executed: rate limit exceeded, or the service is not ready
-  kUnknown,   // no response: the request was executed, was not, or may still be
+  kUnknown,   // no response: executed, not executed, or still to be executed
   kGone,      // the revision to watch from is too old
-  kInvalid,   // malformed request, or the lease has expired
+  kInvalid,   // malformed according to the service, or the lease has expired
 };
 
 template <class T>
@@ -77,8 +77,8 @@
     uint64_t revision = 0;
     std::vector<std::string> failed;  // for kConflict: keys whose preconditions failed
   };
-  // Executes a transaction. It may wait up to `max_wait_s` seconds for the rate limiters; if that
-  // is negative, the same fraction of the timeout as every other call (kMaxWaitRatio).
+  // Executes a transaction. It may wait up to `max_wait_s` seconds for the rate limiters. If
+  // `max_wait_s` is negative, the limit is that of all other calls: a fraction of the timeout.
   async::Task<CallResult<CommitResult>> Commit(std::vector<model::Precondition> preconditions,
                                                std::vector<model::KeyWrite> writes,
                                                RequestPriority priority = RequestPriority::kNormal,
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -32,7 +32,8 @@
 std::string TaskGroupPartKey(std::string_view id, uint32_t task_group, uint32_t part);
 // Key of the record of how a job ended.
 std::string FinalKey(std::string_view id);
-// Keys of the record format in use by all nodes, and of the newest format that one node supports.
+// Keys of the record format that the whole service uses, and of the newest format that one node
+// supports.
 std::string FormatKey();
 std::string NodeFormatKey(std::string_view node);
 // Key of the membership record of a node (membership/member_record.h).
--- a/src/store/linearizable_read.cc
+++ b/src/store/linearizable_read.cc
@@ -12,7 +12,8 @@
 
 async::Task<bool> LinearizableRead::CatchUp() {
   if (client_.down() || !cache_.loaded()) co_return false;
-  // A request in flight may have been executed before this call, so join the batch of the next one.
+  // A request in flight may have been executed before this call, so join the batch of the next
+  // request.
   if (!next_batch_) next_batch_ = std::make_shared<Batch>();
   std::shared_ptr<Batch> batch = next_batch_;
   if (!running_) {
--- a/src/store/linearizable_read.h
+++ b/src/store/linearizable_read.h
@@ -1,9 +1,9 @@
 // Waits until the watch cache is at least as new as a given moment, so that reads from it are
-// linearizable: they are no older than any response that any node gave before.
+// linearizable: they are no older than any response that any node gave before that moment.
 //
-// Concurrent callers share one request for the service's revision. However many callers there are,
-// these requests leave capacity for all others. Owned by the controller; used only on the thread of
-// its event loop.
+// Concurrent callers share one request for the service's revision. These requests use only a
+// fraction of the node's request rate, however many callers there are, and leave the rest to other
+// requests. Owned by the controller; used only on the thread of its event loop.
 #pragma once
 
 #include <limits>
@@ -22,7 +22,8 @@
       : scope_(scope), client_(client), cache_(cache), timeout_s_(timeout_s) {}
 
   // Waits until the cache holds everything that was written before this call. Returns false if
-  // that can't be confirmed within the timeout.
+  // that can't be confirmed within the timeout; at once if the service is down or the cache is not
+  // loaded yet.
   async::Task<bool> CatchUp();
 
  private:
--- a/src/store/machine_name_codec.h
+++ b/src/store/machine_name_codec.h
@@ -25,7 +25,7 @@
  public:
   // Returns a codec with codes for all machines of the group.
   static MachineNameCodec ForTaskGroup(const TaskGroup& task_group);
-  // Read and write the field of a task group's record that contains the ranges.
+  // Read or write the field of a task group's record that contains the ranges.
   static DecodeResult<MachineNameCodec> Read(const wire::JsonValue& record);
   void Write(wire::JsonWriter& json) const;
 
--- a/src/store/record_formats.cc
+++ b/src/store/record_formats.cc
@@ -15,7 +15,7 @@
 
 constexpr double kBytesPerKb = 1024;
 // Bounds of the random delay between two write attempts, in heartbeat intervals. The delay is
-// random so that nodes that see the last node's format at the same moment do not all write at once.
+// random so that nodes that see the last node's format at the same moment do not all retry at once.
 constexpr double kMinRetryIntervals = 0.1;
 constexpr double kMaxRetryIntervals = 0.3;
 
@@ -64,6 +64,7 @@
   auto record = RecordOrLog(FormatKey(), ReadFormat(value));
   if (!record) return;
   format_record_ = record;
+  // The operators lower the limits only after every node is upgraded, which is now certain.
   client_.ExpectLoweredLimits();
   spdlog::info("record format: changed format={}; nodes of older versions can no longer join",
                kRecordFormat);
@@ -117,12 +118,12 @@
   while (!scope_.cancelled() && !BothFormatsRecorded()) {
     const bool loaded = cache_.loaded();
     if (loaded && !LocalFormatRecorded()) {
-      // A format that another version recorded for this node is overwritten.
+      // Overwrites any other format recorded for this node, such as that of an older version.
       const std::string key = NodeFormatKey(settings_.node);
       co_await Write(key, cache_.Version(key), WriteNodeFormat(local_format_));
     } else if (loaded && MustWriteFormatRecord()) {
-      // An existing format record is never overwritten, even if this node can't read it: the first
-      // node to write it decides, and all other nodes read it.
+      // Version 0: an existing format record is never overwritten, even if this node can't read it.
+      // The first node to write it decides for all nodes; the others read it.
       co_await Write(FormatKey(), 0, WriteFormat({kRecordFormat, DefaultLayout(settings_)}));
     }
     if (BothFormatsRecorded() || scope_.cancelled()) break;
--- a/src/store/record_formats.h
+++ b/src/store/record_formats.h
@@ -3,8 +3,8 @@
 //
 // Each node records the newest format that it supports. Once all nodes in the settings support the
 // newer forms, this fact is recorded permanently for the whole service (the "format record"), where
-// every later leader finds it. Until a node has read the format record, it writes only what the
-// older version can read and preserves.
+// every later leader finds it. Until a node has read the format record, it writes only what
+// versions without job dependencies can read and preserve.
 //
 // Two events prove that every node is upgraded even without these records, because the operators
 // guarantee that neither occurs earlier: a submission that awaits other jobs, and a refusal that
@@ -29,7 +29,7 @@
 
 class RecordFormats {
  public:
-  // `local_format`: the newest format that this node supports.
+  // `local_format`: the newest format that this node supports, with the features enabled on it.
   RecordFormats(async::Scope& scope, const config::Settings& settings, Client& client,
                 WatchCache& cache, uint64_t local_format = kCancellationReportFormat);
 
@@ -52,14 +52,15 @@
     return NodeFormatOf(node) >= kMembershipFormat;
   }
   bool SupportsBlocks(const std::string& node) const { return NodeFormatOf(node) >= kBlocksFormat; }
-  // Returns true if blocks are enabled on every node in the settings.
+  // Returns true if every node in the settings has recorded a format that includes blocks, which a
+  // node records only if blocks are enabled on it.
   bool AllNodesSupportBlocks() const { return AllNodesSupport(kBlocksFormat); }
 
   // True once this node has read the format record. The newer forms, including packed groups, may
   // then be written.
   bool packed_groups_enabled() const { return format_record_.has_value(); }
-  // True while all nodes are known to be upgraded but the format record has not been read yet. A
-  // write that was refused in the old form would be refused again until it has.
+  // True while all nodes are known to be upgraded but this node has not read the format record yet.
+  // Until it has read the record, a write that was refused in the old form would be refused again.
   bool change_pending() const { return !packed_groups_enabled() && !upgrade_proof_.empty(); }
   // Limits on the bytes of a value and on the writes of a transaction. Once the format record has
   // been read, these are the lower limits, so that nothing is too large when the service lowers its
--- a/src/store/records.cc
+++ b/src/store/records.cc
@@ -33,8 +33,9 @@
   job.cancelled = true;
   std::string value = WriteJob(job);
   if (value.size() <= value_bytes) return value;
-  // None of its tasks is placed again, and dependents refer to this job rather than this job to
-  // them. Its team, size and task groups still matter for its tasks that are on machines.
+  // None of the job's tasks is placed again, and its dependents name it in their records, not the
+  // other way round. Its team, size and task groups still matter for its tasks that are on
+  // machines.
   const std::string placeholder = "-";
   job.spec.machine_types.clear();
   job.spec.dependencies.clear();
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -17,12 +17,12 @@
 namespace hallpier::store {
 
 // An unfinished job. Optional fields that are not set are not written, so that a record without any
-// of them is byte for byte the same as from versions without job dependencies.
+// of them is byte for byte what versions without job dependencies write.
 struct JobRecord {
   model::JobSpec spec;
   double submitted_at = 0;  // time of day in seconds
   bool cancelled = false;   // optional
-  // Optional; 0 if the job has the common layout, which the format record specifies.
+  // Optional; 0 if the job has the default layout, which the format record specifies.
   uint32_t tasks_per_group = 0;
 };
 std::string WriteJob(const JobRecord& job);
--- a/src/store/task_group.cc
+++ b/src/store/task_group.cc
@@ -33,8 +33,8 @@
   return std::nullopt;
 }
 
-// Reads the tasks on one machine: task indexes, each followed by its negated attempt if that is not
-// 1.
+// Reads the tasks on one machine: task indexes, each followed by the negated attempt unless the
+// attempt is 1.
 std::optional<DecodeError> ReadTasksOnMachine(const std::string& machine,
                                               const wire::JsonValue& numbers,
                                               std::map<uint32_t, TaskState>& open) {
@@ -160,7 +160,7 @@
 
 DecodeResult<TaskGroup> ReadTaskGroup(std::string_view json) {
   const auto record = wire::ParseObject(json);
-  if (!record) return DecodeError{"", "no JSON object"};
+  if (!record) return DecodeError{"", "not a JSON object"};
   return IsPackedTaskGroup(*record) ? ReadPackedTaskGroup(*record) : ReadTextForm(*record);
 }
 
--- a/src/store/task_group_layout.cc
+++ b/src/store/task_group_layout.cc
@@ -5,8 +5,9 @@
 
 constexpr double kBytesPerKb = 1024;
 
-// Text form: average number of bytes for a task on a machine, which are its index and the name of a
-// machine without other tasks; and the fraction of a value that these tasks may fill.
+// Text form: the bytes that a task on a machine may take on average (its index, and the name of a
+// machine that runs no other task of the group), and the fraction of a value that tasks on machines
+// may fill.
 constexpr double kTextTaskBytes = 22;
 constexpr double kTextTasksShare = 0.9;
 
--- a/src/store/watch_cache.cc
+++ b/src/store/watch_cache.cc
@@ -28,8 +28,10 @@
 void WatchCache::ApplyAheadOfWatch(const std::string& key, const std::string& value,
                                    uint64_t version) {
   // While the response to this write was in flight, the watch may already have delivered the write
-  // and later changes. The cache is then newer and the write is ignored. Otherwise a job that was
-  // cancelled here, and whose end the leader recorded immediately, would reappear permanently.
+  // and later changes. The cache is then newer and the write is ignored. ApplyIfNewer alone would
+  // not detect a deletion that the watch has passed, because its revision is no longer kept: a job
+  // that was cancelled here, and whose end the leader recorded immediately, would reappear
+  // permanently.
   if (version > revision_ && key.starts_with(kActivePrefix)) ApplyIfNewer(key, value, version);
 }
 
@@ -39,8 +41,9 @@
   if (current.ok()) {
     ApplyIfNewer(key, current.value.value, current.value.version);
   } else if (current.status == Status::kNotFound && known != 0 && Version(key) == known) {
-    // The response does not contain the revision of the deletion. It is after the known version and
-    // before any version that the key may get later.
+    // The response does not contain the revision of the deletion. That revision is after the known
+    // version and before any version that the key may get later, so `known + 1` can stand in for
+    // it.
     ApplyIfNewer(key, "", known + 1);
   }
   co_return current.ok() || current.status == Status::kNotFound;
@@ -69,8 +72,8 @@
   while (true) {
     auto page = co_await client_.List(std::string(kActivePrefix), after);
     if (!page.ok()) co_return false;
-    // The pages have different revisions. The watch starts at the revision of the first page, and
-    // applying changes twice is harmless.
+    // The pages have different revisions. The watch starts at the revision of the first page;
+    // changes that it delivers again do no harm, because ApplyIfNewer ignores them.
     if (first_revision == 0) first_revision = page.value.revision;
     for (const model::KeyValue& entry : page.value.entries) {
       ApplyIfNewer(entry.key, entry.value, entry.version);
--- a/src/store/watch_cache.h
+++ b/src/store/watch_cache.h
@@ -46,12 +46,15 @@
   model::FencingToken fencing_token() const {
     return model::FencingToken(Version(FencingTokenKey()));
   }
+  // Notified after a load, after changes from the watch, and at the first ConfirmCurrent after a
+  // pause of the process.
   async::Event& changed() { return changed_; }
 
   // Applies a change known from another source, such as a commit of this node, before the watch
   // delivers it.
   void ApplyAheadOfWatch(const std::string& key, const std::string& value, uint64_t version);
-  // Reads a key again whose cached version turned out to be outdated. Returns false if that failed.
+  // Reads a key again after its version at the service turned out to differ from the cached one.
+  // Returns false if that failed.
   async::Task<bool> Refresh(std::string key);
 
  private:
--- a/src/wire/block_codec.h
+++ b/src/wire/block_codec.h
@@ -1,5 +1,5 @@
-// Encodes and decodes the messages about blocks of machines in the varint codec (see
-// wire/peer_codec.h).
+// Encodes and decodes the messages between the leader and the owners of blocks in the varint codec
+// (see wire/peer_codec.h).
 //
 // The Read functions report malformed input through `reader`: its ok() is false afterwards.
 #pragma once
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -16,8 +16,8 @@
 
 // Returns std::nullopt if the list is missing or a type has no name, CPU count or memory size.
 std::optional<std::vector<model::MachineType>> ReadMachineTypes(const JsonValue& object);
-// `pages` is the number of lists that the types are split over. Only the first of several lists
-// carries it; pass 0 for a later or a single list.
+// `pages` is the total number of lists if this is the first of several; 0 if it is the only list or
+// a later one.
 std::string WriteMachineTypes(const std::vector<model::MachineType>& machine_types,
                               uint64_t pages = 0);
 
--- a/src/wire/http.h
+++ b/src/wire/http.h
@@ -19,7 +19,7 @@
 struct HttpResponse {
   int status = 0;
   std::string body;
-  int retry_after_s = 0;  // 0: no Retry-After header
+  int retry_after_s = 0;  // 0 if there is no Retry-After header
   bool keep_alive = true;
 };
 
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -55,7 +55,7 @@
   return document;
 }
 
-// Returns a member, or null if it is missing or JSON null.
+// Returns a member, or nullptr if it is missing or JSON null.
 inline const JsonValue* Find(const JsonValue& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   auto member = object.FindMember(name);
--- a/src/wire/limits.h
+++ b/src/wire/limits.h
@@ -5,7 +5,7 @@
 
 namespace hallpier::wire {
 
-// Names and other short texts.
+// Limit on names and other short texts.
 inline constexpr size_t kMaxNameBytes = 200;
 
 }  // namespace hallpier::wire
--- a/src/wire/member_codec.cc
+++ b/src/wire/member_codec.cc
@@ -29,8 +29,8 @@
   return reader.Enum("member state", model::MemberState::kLeft);
 }
 
-// 0 stands for never, so every time is sent plus one. The largest uint64_t has no successor; it is
-// sent as the next smaller time.
+// 0 means never, so every duration is sent incremented by one. The largest uint64_t can't be
+// incremented and is sent like the next smaller value.
 void PutHeardAgo(std::string& out, const std::optional<uint64_t>& last_heard_ms_ago) {
   constexpr uint64_t kMaxEncodableMs = std::numeric_limits<uint64_t>::max() - 1;
   PutVarint(out, last_heard_ms_ago ? std::min(*last_heard_ms_ago, kMaxEncodableMs) + 1 : 0);
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -100,7 +100,8 @@
   std::string node;
   model::Incarnation incarnation;
   model::MemberState state = model::MemberState::kAlive;
-  bool has_record = false;  // false if it runs an older version or has membership off
+  // False if the node has no membership record: it runs an older version or has membership off.
+  bool has_record = false;
   bool leading = false;
   uint64_t state_age_ms = 0;  // how long the reporting node has known it in this state
   std::vector<std::string> suspected_by;
@@ -121,10 +122,10 @@
 // Block messages (src/blocks) are sent only to nodes whose recorded format is at least
 // store::kBlocksFormat; others may not understand them.
 
-// The state of machines that a controller needs to place tasks in its block: the changes since the
-// previous view.
+// The state of machines that the owner of a block needs to place tasks on them: the changes since
+// the previous view.
 struct BlockView {
-  model::FencingToken token;  // of the sending leader; views with a lower one are outdated
+  model::FencingToken token;  // of the sending leader; outdated if below the highest received
   uint64_t sequence = 0;      // 1 starts over: all earlier views are void
   std::vector<model::MachineView> changed;
   std::vector<std::string> removed;          // removed machines
@@ -133,9 +134,9 @@
 };
 
 struct BlockAcknowledgement {
-  uint64_t sequence = 0;   // of the view; 0 if a view was missed and all must be sent again
+  uint64_t sequence = 0;   // of the view; 0 if one was missed and all must be sent again
   uint64_t session = 0;    // of the acknowledging process
-  bool can_place = false;  // the state service answers it, and its watch cache is current
+  bool can_place = false;  // it reaches the state service and its watch cache is current
   bool operator==(const BlockAcknowledgement&) const = default;
 };
 
--- a/src/wire/url_query.cc
+++ b/src/wire/url_query.cc
@@ -14,10 +14,10 @@
 
 // Returns -1 if `c` is not a hexadecimal digit.
 int HexDigitValue(char c) {
-  constexpr int kTen = 10;
+  constexpr int kValueOfA = 10;
   if (IsDigit(c)) return c - '0';
-  if (c >= 'a' && c <= 'f') return c - 'a' + kTen;
-  if (c >= 'A' && c <= 'F') return c - 'A' + kTen;
+  if (c >= 'a' && c <= 'f') return c - 'a' + kValueOfA;
+  if (c >= 'A' && c <= 'F') return c - 'A' + kValueOfA;
   return -1;
 }
 
