--- a/src/blocks/assignment_planner.cc
+++ b/src/blocks/assignment_planner.cc
@@ -50,7 +50,7 @@
   const bool owner_joined = std::any_of(
       next.owners.begin(), next.owners.end(),
       [&](const BlockOwner& owner) { return FindOwner(current.owners, owner.node) == nullptr; });
-  // The revision keeps epochs distinct if a record was lost or deleted.
+  // The revision keeps epochs distinct even if the record was lost or deleted.
   const uint64_t allocation_epoch = std::max(HighestEpoch(current) + 1, revision);
   for (BlockOwner& owner : next.owners) {
     if (from_former_term || owner_joined || owner.allocation_epoch == 0)
--- a/src/blocks/assignment_planner.h
+++ b/src/blocks/assignment_planner.h
@@ -2,9 +2,9 @@
 //
 // Two changes are safe at any time: removing an owner (its machines pass to the other owners,
 // together with the tasks placed on them), and rewriting the record under a higher token of the
-// same leader. A new owner takes machines from the others. Then all quota allocations are void
-// until the leader allocates again, since a former owner's allocation would otherwise cover
-// machines whose tasks already count for another owner.
+// same leader. Adding an owner takes machines from the others. It therefore makes all quota
+// allocations void until the leader allocates again. Otherwise a former owner's allocation would
+// still cover machines whose tasks count for another owner by then.
 #pragma once
 
 #include <cstdint>
@@ -25,14 +25,14 @@
   // `max_owners`: limit on the number of owners at a time.
   explicit AssignmentPlanner(size_t max_owners) : max_owners_(max_owners) {}
 
-  // Starts a term of this leader. Allocations recorded by earlier leaders are not trusted: they may
-  // exceed the limits by now, because a leader of an older version may have placed tasks without
-  // reading them.
+  // Starts a term of this leader. Its first change makes allocations of earlier leaders void: they
+  // may exceed the limits by now, because a leader of an older version may have placed tasks
+  // without reading them.
   void BeginTerm(model::FencingToken token) { term_token_ = token; }
 
   // Returns the record that should replace `current`; std::nullopt if no change is needed. `token`
-  // belongs to this leader, `revision` is that of its watch cache. With fewer than two candidates
-  // there are no owners.
+  // is this leader's token, `revision` the revision of its watch cache. With fewer than two
+  // candidates there are no owners.
   std::optional<BlockAssignmentRecord> PlanChange(const BlockAssignmentRecord& current,
                                                   model::FencingToken token, uint64_t revision,
                                                   const Candidates& candidates) const;
--- a/src/blocks/block_assignment.cc
+++ b/src/blocks/block_assignment.cc
@@ -15,6 +15,7 @@
   return nodes;
 }
 
+// In the stored format the field "holders" lists the owners, and "grant" is the allocation epoch.
 std::optional<BlockOwner> ReadOwner(const wire::JsonValue& value) {
   auto node = wire::GetText(value, "node");
   auto session = wire::GetCount(value, "session");
--- a/src/blocks/block_assignment.h
+++ b/src/blocks/block_assignment.h
@@ -3,8 +3,8 @@
 //
 // One record names the owners. A machine belongs to the owner that ranks highest for the machine's
 // name (blocks/rendezvous_hash.h), so that the record does not grow with the fleet. The record's
-// version is the fencing token of all blocks: every placement has preconditions on this version, on
-// the leader's token in the record, and on the version of its owner's quota allocation.
+// version is the fencing token of all blocks: every placement by an owner has preconditions on this
+// version, on the leader's token in the record, and on the version of the owner's quota allocation.
 #pragma once
 
 #include <cstdint>
@@ -23,15 +23,17 @@
 struct BlockOwner {
   std::string node;
   uint64_t session = 0;  // of the node's process (membership/member_record.h)
-  // Grows whenever machines leave the block or another process becomes its owner. An allocation of
-  // any other epoch is void (quota/allocation_record.h).
+  // Grows whenever machines leave the block or another process becomes its owner, and with the
+  // first change by a new leader (assignment_planner.h). An allocation of any other epoch is void
+  // (quota/allocation_record.h).
   uint64_t allocation_epoch = 0;
   bool operator==(const BlockOwner&) const = default;
 };
 
 struct BlockAssignmentRecord {
-  // Token of the leader that wrote the record (election/leader_election.h). A new leader of a
-  // version without blocks voids the record, because becoming leader changes the token.
+  // Token of the leader that wrote the record (election/leader_election.h). The record is void
+  // while the current token differs. Becoming leader changes the token, so even a leader of a
+  // version without blocks makes the record void.
   model::FencingToken token;
   // If empty, the leader places tasks on all machines, as without blocks.
   std::vector<BlockOwner> owners;
@@ -53,9 +55,10 @@
   // Returns the index of a machine's owner; std::nullopt if there are no owners.
   std::optional<size_t> OwnerOf(std::string_view machine) const;
   // Returns true if an owner may place tasks of a job that has waited for `waited_s`. At first only
-  // one owner may, which every node computes alike. One more owner may after each
-  // `widen_interval_s`, so that no job waits for a block without room for it. All owners may place
-  // prod and urgent jobs at once. If two owners try, the preconditions of their writes decide.
+  // the owner that ranks highest for the job's id may; the ranking is the same on every node. One
+  // more owner may after each `widen_interval_s`, so that no job waits for a block without room for
+  // it; none is added if the interval is not positive. Prod and urgent jobs may be placed by all
+  // owners from the start. If two owners try, the preconditions of their writes decide.
   bool MayPlace(size_t owner, const model::JobSpec& spec, model::Priority priority, double waited_s,
                 double widen_interval_s) const;
 
--- a/src/blocks/block_planner.cc
+++ b/src/blocks/block_planner.cc
@@ -32,7 +32,7 @@
   return amounts;
 }
 
-// Returns by owner whether it could place a job on one of its machines if these were empty.
+// Returns for each owner whether it could place a job on one of its machines if they were empty.
 std::vector<char> FindCapableOwners(const jobs::Job& job, const fleet::WorkerRegistry& registry,
                                     const plan::PlanningContext& context,
                                     const plan::PlacementScope& scope) {
@@ -101,8 +101,8 @@
     const fleet::WorkerRegistry& registry, const plan::PlanningContext& context,
     const plan::RoundResult& round, const plan::PlacementScope& scope,
     const WriteLimits& limits) const {
-  // The cache may lack placements that an owner made before its allocation shrank. Quota allocated
-  // again now would be used twice.
+  // An older cache may lack placements that an owner made before its allocation shrank. Their quota
+  // would be allocated a second time.
   if (cache.revision < records.newest_revision()) return std::nullopt;
   const BlockAssignmentRecord& block_assignment = records.block_assignment().record();
   const quota::Usage usage = quota::CountPlaced(job_table, scope.owner_count, scope.owner_of);
--- a/src/blocks/block_planner.h
+++ b/src/blocks/block_planner.h
@@ -40,8 +40,8 @@
   OwnerEligibility& eligibility() { return eligibility_; }
 
   // Returns the change that the block assignment needs; std::nullopt if it needs none.
-  // `all_support_blocks`: every configured node can read these records; if false, there are no
-  // owners.
+  // `all_support_blocks`: true if every configured node can read these records; if false, there are
+  // no owners.
   std::optional<RecordChange> PlanAssignmentChange(const BlockRecords& records,
                                                    const CacheState& cache, bool all_support_blocks,
                                                    double now);
@@ -59,8 +59,8 @@
   AssignmentPlanner assignment_planner_;
 };
 
-// Returns by owner and team the quota to leave free as the owner's tasks end, because the team's
-// next job in the queue is one that this owner can't place and another owner can.
+// Returns by owner and team the quota that must be left free as the owner's tasks end, because the
+// team's next job in the queue is one that this owner can't place but another owner can.
 std::vector<quota::AmountByTeam> ReservedForOthers(const jobs::JobTable& job_table,
                                                    const fleet::WorkerRegistry& registry,
                                                    const plan::PlanningContext& context,
--- a/src/blocks/block_records.cc
+++ b/src/blocks/block_records.cc
@@ -33,9 +33,9 @@
 }
 
 const quota::AllocationRecord& BlockRecords::AllocationOf(const std::string& node) const {
-  static const quota::AllocationRecord kNone;
+  static const quota::AllocationRecord kEmptyAllocation;
   auto it = allocations_.find(node);
-  return it == allocations_.end() ? kNone : it->second.record;
+  return it == allocations_.end() ? kEmptyAllocation : it->second.record;
 }
 
 uint64_t BlockRecords::AllocationVersion(const std::string& node) const {
@@ -60,12 +60,12 @@
   // The block was assigned to another process of this name, whose placements may still be in
   // flight.
   if (record.owners[*owner].session != session) return std::nullopt;
-  // A leader that has not confirmed the assignment, or whose version lacks blocks, may place tasks
-  // on any machine.
+  // The current leader has not confirmed the assignment, or its version lacks blocks. It may place
+  // tasks on any machine.
   if (record.token != cache.token) return std::nullopt;
   // A cache that has reached the assignment's version contains all that former owners placed on
-  // these machines. Placements since then are this process's own, whatever its allocation is by
-  // now.
+  // these machines. All placements since then were made by this process, whatever its allocation is
+  // by now.
   if (cache.revision < assignment_version_) return std::nullopt;
   return owner;
 }
@@ -98,9 +98,9 @@
   const BlockOwner& self = assignment_.record().owners.at(owner);
   const quota::Usage usage = quota::CountPlaced(job_table, scope.owner_count, scope.owner_of);
   for (const config::Team& team : settings.teams) {
-    const quota::Amount left = quota::RemainingQuota(team, AllocationOf(self.node),
-                                                     self.allocation_epoch, usage.by_owner[owner]);
-    scope.team_allowances[team.name] = {left.cpus, left.gpus, 0};
+    const quota::Amount remaining = quota::RemainingQuota(
+        team, AllocationOf(self.node), self.allocation_epoch, usage.by_owner[owner]);
+    scope.team_allowances[team.name] = {remaining.cpus, remaining.gpus, 0};
   }
   return scope;
 }
--- a/src/blocks/block_records.h
+++ b/src/blocks/block_records.h
@@ -35,9 +35,9 @@
   uint64_t block_assignment_version() const { return assignment_version_; }
   // Returns an empty allocation if the node has no record.
   const quota::AllocationRecord& AllocationOf(const std::string& node) const;
-  // Returns the revision of the newest change to any of these records. To count the placements made
-  // under them, the cache must have reached this revision: it then contains all placements from
-  // before the change.
+  // Returns the revision of the newest change to any of these records. A cache may be used to count
+  // the placements made under them only if it has reached this revision: it then contains all
+  // placements from before the change.
   uint64_t newest_revision() const { return newest_revision_; }
   // Returns preconditions on the block assignment and on all owners' allocations.
   std::vector<model::Precondition> AllPreconditions() const;
@@ -50,7 +50,8 @@
   std::vector<model::Precondition> PlacementPreconditions(size_t owner) const;
 
   // Returns the scope of the leader's round over all machines. `widen_interval_s`: see
-  // BlockAssignment::MayPlace. `time_of_day`: wall-clock time in seconds since the Unix epoch.
+  // BlockAssignment::MayPlace. `time_of_day`: wall-clock time in seconds since the Unix epoch, as
+  // in the timestamps of jobs.
   plan::PlacementScope AllMachinesScope(double widen_interval_s, double time_of_day) const;
   // Returns the scope of one owner's round over its block.
   plan::PlacementScope OwnerScope(size_t owner, double widen_interval_s, double time_of_day,
--- a/src/blocks/block_view_builder.cc
+++ b/src/blocks/block_view_builder.cc
@@ -12,8 +12,8 @@
 namespace hallpier::blocks {
 namespace {
 
-// Limit on the machines' part of a view. A frame holds four times as much, so that a view always
-// fits.
+// Limit on the part of a view that describes machines. A frame holds four times as much, so that a
+// view always fits.
 constexpr size_t kMaxViewBytes = wire::kMaxPeerFrameBytes / 4;
 
 std::vector<std::string> ImagesNeeded(const jobs::JobTable& job_table) {
--- a/src/blocks/block_view_builder.h
+++ b/src/blocks/block_view_builder.h
@@ -17,8 +17,8 @@
 
 namespace hallpier::blocks {
 
-// Describes all machines that have reported to the leader. Of their images, lists those that
-// unfinished jobs need.
+// Describes all machines that have reported to the leader. Each description lists only those of
+// the machine's images that unfinished jobs need.
 std::vector<model::MachineView> DescribeMachines(const fleet::WorkerRegistry& registry,
                                                  const jobs::JobTable& job_table, double now);
 
@@ -27,11 +27,12 @@
  public:
   // Makes the next views complete, because the link is new or the node missed a view.
   void Restart() { sequence_ = 0; }
+  // `sequence` is 0 if the node missed a view.
   void OnAcknowledged(uint64_t sequence) {
     if (sequence == 0) Restart();
   }
-  // Returns what changed since the last call, as views that each fit into a frame. There is at
-  // least one, which also confirms everything sent before. `owner`: the node's index among the
+  // Returns the changes since the last call, as views that each fit into a frame. There is at least
+  // one view, which also confirms everything sent before. `owner`: the node's index among the
   // owners; if std::nullopt, it owns no block and no machines are sent.
   std::vector<wire::BlockView> BuildViews(model::FencingToken token,
                                           const BlockAssignment& block_assignment,
--- a/src/blocks/owner_eligibility.cc
+++ b/src/blocks/owner_eligibility.cc
@@ -38,7 +38,8 @@
                                       double sent_at) {
   if (!can_place) return;
   Node& entry = nodes_[node];
-  // A late acknowledgement from a former process does not renew the lease.
+  // A late acknowledgement from a former process does not renew the lease. Sessions grow with each
+  // process of a node.
   if (session < entry.acknowledged_session) return;
   const bool same_session = session == entry.acknowledged_session && entry.renewed_at;
   entry.renewed_at = same_session ? std::max(*entry.renewed_at, sent_at) : sent_at;
--- a/src/blocks/owner_eligibility.h
+++ b/src/blocks/owner_eligibility.h
@@ -1,8 +1,10 @@
 // Tracks on the leader which controllers are eligible to own a block. Does no I/O.
 //
 // An owner acknowledges each view of its machines that the leader sends. This renews the lease of
-// its block if the owner can place tasks. The lease only tells the leader when to give the block to
-// others. Preconditions keep a former owner from placing tasks (blocks/block_assignment.h).
+// its block if the owner can place tasks. A node without a block acknowledges views that describe
+// no machines, and is eligible while its lease is current as well. The lease only tells the leader
+// when it is better to give the block to others. Preconditions keep a former owner from placing
+// tasks (blocks/block_assignment.h).
 #pragma once
 
 #include <cstdint>
@@ -17,19 +19,23 @@
 class OwnerEligibility {
  public:
   struct Options {
-    std::string node;          // the leader, which needs no lease
-    double lease_s = 0;        // without a renewal for this long, a node loses its block
-    double backoff_s = 0;      // time without a block after the first loss; doubles with each loss
-    double max_backoff_s = 0;  // upper limit of the backoff
+    std::string node;    // the leader, which needs a live session but no lease
+    double lease_s = 0;  // without a renewal for this long, a node loses its block
+    // How long a node gets no block after it lost one. Doubles with each loss, but starts over if
+    // the node was eligible for longer than `max_backoff_s` before the loss.
+    double backoff_s = 0;
+    double max_backoff_s = 0;  // upper limit of the doubled backoff
   };
   explicit OwnerEligibility(Options options) : options_(std::move(options)) {}
 
-  // Starts a term. The present owners get one lease duration to answer this leader, which has not
-  // heard from them yet.
+  // Starts a term and resets the leases and backoffs of earlier terms. The present owners get one
+  // lease duration to answer this leader, which has not heard from them yet.
   void BeginTerm(const BlockAssignmentRecord& block_assignment, double now);
-  // Renews all leases after a pause of this process, during which it sent no views.
+  // Renews the leases of all eligible nodes after a pause of this process, during which it sent no
+  // views that they could acknowledge.
   void OnPause(double now);
-  // Sets the live session from a member's record; std::nullopt if the member has none.
+  // Sets the live session from a member's record; std::nullopt if the member has no record, failed
+  // or left.
   void OnMember(const std::string& node, std::optional<uint64_t> session);
   // Handles a node's acknowledgement of a view. `can_place`: the state service answers the node and
   // its watch cache is current. `sent_at`: steady time when the view was sent.
@@ -40,7 +46,7 @@
 
  private:
   struct Node {
-    std::optional<uint64_t> session;  // the live session by the member's record
+    std::optional<uint64_t> session;  // the live session according to the member's record
     uint64_t acknowledged_session = 0;
     std::optional<double> renewed_at;
     bool eligible = false;
--- a/src/blocks/rendezvous_hash.h
+++ b/src/blocks/rendezvous_hash.h
@@ -1,7 +1,7 @@
 // Ranks nodes for a name by rendezvous hashing: Thaler and Ravishankar, "Using name-based mappings
-// to increase hit rates" (IEEE/ACM Transactions on Networking 6(1), 1998). Everyone who knows the
-// nodes computes the same ranking. Adding or removing a node moves only the names that rank it
-// highest.
+// to increase hit rates" (IEEE/ACM Transactions on Networking 6(1), 1998). All nodes that know the
+// same set of nodes compute the same ranking. Adding or removing a node moves only the names for
+// which it ranks highest.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -7,14 +7,16 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A leader has lost most of its workers if it receives less than this share of the heartbeats that
-// are due...
+// A leader has lost most of its links to workers if it receives less than this share of the
+// heartbeats that are due...
 constexpr double kMinHeartbeatShare = 0.5;
 // ...and other nodes receive at least this share of the heartbeats that it misses.
 constexpr double kMinElsewhereShare = 0.5;
-// With fewer machines, a few late heartbeats would be enough to meet both conditions.
+// With fewer machines the leader never counts as cut off from its workers, since a few late
+// heartbeats would be enough to meet both conditions.
 constexpr size_t kMinMachines = 4;
-// The event loop is delayed if it runs later than this part of a heartbeat interval...
+// The event loop counts as delayed if it runs late by more than this part of a heartbeat
+// interval...
 constexpr double kMaxLoopDelayIntervals = 0.25;
 // ...and a node whose delay is smaller by more than this factor is better placed.
 constexpr double kLoopDelayImprovement = 4;
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -25,23 +25,25 @@
     double lease_s = 0;
     // Minimum time between two changes of the leader, in leases.
     double min_handover_interval_leases = 1;
-    // How long a leader may reach the state service only through relays, in leases.
+    // How long a leader may depend on relays to reach the state service, in leases.
     double max_relayed_leases = 0;
   };
   explicit HandoverPolicy(Options options) : options_(options) {}
 
   // Called when any node has become the leader, for whatever reason.
   void OnLeaderChanged(double now);
-  // Called after this process was paused: earlier observations are discarded.
+  // Called after this process was paused: observations from before the pause prove nothing any more
+  // and are discarded.
   void OnPause();
   // Part of a heartbeat interval over which nodes count the heartbeats that reach them
   // (LeadershipFitness).
   static constexpr double kHeartbeatCountIntervals = 0.5;
 
-  // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough.
-  // Requires that this node leads. `own` is the fitness of this node, `machines` the number of
-  // running machines that should send it heartbeats, and `others` the fitness of all nodes that
-  // answer.
+  // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough
+  // and the last change of the leader is long enough ago; the second condition does not apply to a
+  // leader without the state service. Requires that this node leads. `own` is
+  // the fitness of this node, `machines` the number of running machines that should send it
+  // heartbeats, and `others` the fitness of all nodes that answer.
   std::optional<HandoverDecision> Decide(
       const model::LeadershipFitness& own, size_t machines,
       const std::map<std::string, model::LeadershipFitness>& others, double now);
--- a/src/membership/liveness_tracker.cc
+++ b/src/membership/liveness_tracker.cc
@@ -5,12 +5,14 @@
 namespace hallpier::membership {
 namespace {
 
-// Upper bound of the threshold adapted to the round trips, as a multiple of the threshold of a node
-// that answers at once: a slower link is of no use, so its node may as well be suspected.
+// Upper bound of the threshold that is adapted to round trips, as a multiple of the threshold of a
+// node that answers at once. A link that is slower than this is of no use, so its node may as well
+// be suspected.
 constexpr double kMaxAdaptedThresholdFactor = 4;
 constexpr double kBackoffFactor = 2;
 constexpr double kMaxBackoff = 64;
-// The backoff is halved after every so many unadapted thresholds without a refuted suspicion.
+// The backoff is halved after each period of this many unadapted thresholds without a refuted
+// suspicion.
 constexpr double kBackoffHalfLifeThresholds = 30;
 
 }  // namespace
--- a/src/membership/liveness_tracker.h
+++ b/src/membership/liveness_tracker.h
@@ -1,5 +1,5 @@
-// Tracks when this node last knew another node to be alive, and how long that node must be silent
-// before it is suspected. Does no I/O.
+// Tracks when another node is last known to have been alive, and how long it must be silent before
+// this node suspects it. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -22,8 +22,8 @@
   void OnProbeResponse(double sent_at, double now);
   // Records that the node was alive at `at`, as known from another source than a probe.
   void OnAliveAt(double at);
-  // Restarts the silence at `now`, because the silence so far was, or may have been, caused by this
-  // node.
+  // Measures the node's silence from `now` on, because this node caused, or may have caused, the
+  // silence so far.
   void ResetSilence(double now);
   // Records that a suspicion was refuted. Each refutation raises the threshold for the next one.
   void OnRefuted(double now);
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,6 +1,6 @@
 // Measures how far this node may trust its own observations: a process that is scheduled late, or
-// gets no response from any node, is more likely to be at fault itself. This is the local health
-// multiplier of Lifeguard. Does no I/O.
+// gets no response from any other node, is more likely to be at fault than they are. This is the
+// local health multiplier of Lifeguard. Does no I/O.
 #pragma once
 
 namespace hallpier::membership {
@@ -17,7 +17,7 @@
 
   // 0 if nothing is wrong with this node; higher values mean worse health.
   int score() const { return score_; }
-  // Returns the factor by which silence thresholds are multiplied.
+  // Returns the factor by which silence thresholds and confirmation times are multiplied.
   double TimeoutMultiplier() const { return 1.0 + score_; }
 
  private:
--- a/src/membership/member_record.h
+++ b/src/membership/member_record.h
@@ -1,6 +1,6 @@
-// The record of a member on the state service. A session is one run of a node's process, and its
-// number grows with each run. Every change is guarded by the version of the record, so that a
-// session is declared failed at most once.
+// The record of a member on the state service. A session is one run of a node's process; session
+// numbers grow with each run. Every change has a precondition on the version of the record, so that
+// a session is declared failed at most once.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr double kMsPerS = 1000;
-// A tick more than so many probe intervals after the previous one means that the process was
+// If a tick comes more than this many probe intervals after the previous one, the process was
 // paused.
 constexpr double kPauseThresholdIntervals = 2.5;
-// Other nodes' observations are up to so many probe intervals old when they arrive.
+// Other nodes' observations are up to this many probe intervals old when they arrive.
 constexpr double kObservationDelayIntervals = 2;
 // Minimum number of probe intervals between a proposal and the next one for the same node.
 constexpr double kProposalRetryIntervals = 2;
-// A recorded suspicion stands for at least so many round trips to the state service, since the
-// suspect has to learn of it there and to refute it.
+// A recorded suspicion must stay unrefuted for at least this many round trips to the state service,
+// since the suspect has to learn of it there and to refute it.
 constexpr double kMinConfirmRoundTrips = 4;
-// Observers that neither hear a member nor suspect it are waited for at most this many confirmation
-// times.
+// A node waits at most this many confirmation times for observers that neither hear a member nor
+// suspect it.
 constexpr double kMaxAbstentionConfirmations = 4;
 // Limits how many nodes that are missing from the settings are named in the log.
 constexpr size_t kMaxUnknownReported = 16;
@@ -89,16 +89,16 @@
   own_record_ = record;
   own_version_ = version;
   if (!record) return;
-  const bool mine = record->instance == options_.instance;
-  if (mine && record->incarnation.session >= own_incarnation_.session) {
+  const bool of_this_process = record->instance == options_.instance;
+  if (of_this_process && record->incarnation.session >= own_incarnation_.session) {
     if (record->incarnation.session > own_incarnation_.session)
       own_incarnation_ = record->incarnation;
     own_incarnation_.refutation =
         std::max(own_incarnation_.refutation, record->incarnation.refutation);
   }
-  const bool later =
+  const bool has_later_session =
       own_incarnation_.session != 0 && record->incarnation.session > own_incarnation_.session;
-  if (!mine && later && !superseded_) {
+  if (!of_this_process && has_later_session && !superseded_) {
     superseded_ = true;
     spdlog::error(
         "membership: another process of the same name has joined; this one stays passive: node={} "
@@ -115,8 +115,8 @@
   }
   for (const model::MemberObservation& observation : status.observations) {
     if (observation.node != options_.node) continue;
-    // A session or refutation higher than ours does not belong to this process, so there is nothing
-    // to refute.
+    // An observation with a higher session or refutation than ours can't be about this process, so
+    // there is nothing to refute.
     const bool suspects_us = observation.state == model::MemberState::kSuspect &&
                              observation.incarnation == own_incarnation_ &&
                              own_incarnation_.session != 0;
@@ -131,7 +131,7 @@
 void MemberTable::OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now) {
   Member* member = FindMember(status.node);
   if (member == nullptr) return;
-  // A delayed response from a process that has ended since.
+  // A response may arrive after its process has ended and another process has joined.
   const bool from_former_process =
       member->record && status.incarnation.session < member->record->incarnation.session;
   if (from_former_process) return;
@@ -149,8 +149,8 @@
     if (observation.node == options_.node || observation.node == status.node) continue;
     Member* member = FindMember(observation.node);
     if (member == nullptr || !member->record) continue;
-    // Ignores observations of any session other than the recorded one: that process has ended, or
-    // this node has not seen its record yet.
+    // Ignores observations of any session other than the recorded one: the observed process has
+    // ended, or this node has not seen its record yet.
     if (observation.incarnation.session != member->record->incarnation.session) continue;
     ObserverReport& report = member->reports[status.node];
     report.state = observation.state;
@@ -199,8 +199,9 @@
 }
 
 bool MemberTable::ObserversAgree(const Member& member, const std::string& node, double now) const {
-  // The wait for observers that neither hear the member nor suspect it, since they distrust
-  // themselves, is bounded. An observer that does hear it has kept this node from suspecting it.
+  // Some observers neither hear the member nor suspect it, since they distrust their own
+  // observations. The wait for them is bounded. If an observer did hear the member, this node would
+  // not suspect it.
   if (now - *member.suspect_since > kMaxAbstentionConfirmations * ConfirmationS()) return true;
   return std::all_of(members_.begin(), members_.end(), [&](const auto& entry) {
     const auto& [observer, other] = entry;
@@ -231,12 +232,12 @@
     return;
   }
   last_tick_ = now;
-  const auto probed = std::count_if(members_.begin(), members_.end(),
-                                    [](const auto& m) { return IsMember(m.second.record); });
-  const auto responsive = std::count_if(members_.begin(), members_.end(),
-                                        [&](const auto& m) { return IsResponsive(m.second, now); });
-  // With only one other node, its failure can't be told from a fault of this node.
-  if (probed >= 2 && responsive == 0) {
+  const auto member_count = std::count_if(members_.begin(), members_.end(),
+                                          [](const auto& m) { return IsMember(m.second.record); });
+  const auto responsive_count = std::count_if(
+      members_.begin(), members_.end(), [&](const auto& m) { return IsResponsive(m.second, now); });
+  // If there is only one other node, its failure can't be told from a fault of this node.
+  if (member_count >= 2 && responsive_count == 0) {
     health_.OnNoAnswers();
   } else {
     health_.OnGoodInterval();
@@ -274,8 +275,8 @@
   proposal.node = options_.node;
   proposal.preconditions = {{store::MemberKey(options_.node), own_version_}};
   proposal.record.instance = options_.instance;
-  const bool mine = IsMember(own_record_) && own_record_->instance == options_.instance;
-  if (!mine) {
+  const bool of_this_process = IsMember(own_record_) && own_record_->instance == options_.instance;
+  if (!of_this_process) {
     const uint64_t recorded = own_record_ ? own_record_->incarnation.session : 0;
     proposal.kind = Proposal::Kind::kJoin;
     proposal.record.incarnation.session = std::max(recorded, own_incarnation_.session) + 1;
@@ -314,7 +315,7 @@
 
 std::vector<Proposal> MemberTable::Tick(double now, bool reaches_state_service) {
   UpdateLocalHealth(now);
-  std::vector<Proposal> out;
+  std::vector<Proposal> proposals;
   auto propose = [&](std::optional<Proposal> proposal) {
     if (!proposal || pending_proposals_.contains(proposal->node)) return;
     if (auto wait = next_proposal_at_.find(proposal->node);
@@ -322,14 +323,14 @@
       return;
     }
     pending_proposals_.insert(proposal->node);
-    out.push_back(std::move(*proposal));
+    proposals.push_back(std::move(*proposal));
   };
   propose(ProposeForSelf());
   for (auto& [node, member] : members_) {
     UpdateSuspicion(member, node, now);
     if (reaches_state_service) propose(ProposeForOther(node, member, now));
   }
-  return out;
+  return proposals;
 }
 
 void MemberTable::OnProposalDone(const std::string& node, double now) {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -5,11 +5,11 @@
 // Every node probes every other node. A node becomes suspect if it is silent for longer than an
 // adaptive threshold and no other node has heard it either; nodes exchange their suspicions in
 // probes and responses. Once all responsive observers agree, the suspicion is recorded on the state
-// service, where the suspect refutes it if it can reach the service at all. If the recorded
+// service. The suspect refutes it there if it can reach the service at all. If the recorded
 // suspicion is not refuted within the confirmation time, the node is declared failed. Each step is
 // one transaction with the versions of the subject's and the writer's records as preconditions.
-// Therefore two nodes that suspect each other can't both succeed, and a session is declared failed
-// at most once.
+// Therefore, of two nodes that suspect each other, at most one can succeed, and a session is
+// declared failed at most once.
 //
 // docs/membership.md explains the design.
 #pragma once
@@ -106,7 +106,7 @@
   // there is none.
   std::string SuccessorNamedByOthers(double now) const;
   std::vector<wire::MemberRow> Rows(double now) const;
-  // True if the record of that other node says that it failed.
+  // True if the record of another node says that it failed.
   bool Failed(const std::string& node) const;
 
  private:
@@ -122,7 +122,7 @@
     std::optional<MemberRecord> record;
     uint64_t version = 0;  // of the record
     double record_seen_at = 0;
-    uint64_t refutation = 0;  // the highest reported by it within the session of the record
+    uint64_t refutation = 0;  // the highest that it reported in the recorded session
     bool connection_refused = false;
     bool leaving = false;
     std::optional<double> suspect_since;  // when this node began to suspect it
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -15,10 +15,10 @@
 constexpr double kMsPerS = 1000;
 // Weight of the newest tick in the smoothed delay of the event loop.
 constexpr double kLoopDelayWeight = 0.2;
-// Limit of unanswered probes that are remembered for each node.
+// Limit on the unanswered probes that are remembered for each node.
 constexpr size_t kMaxOutstandingProbes = 64;
-// A node whose links break so many times in a row without a response to a probe does not support
-// probes, although its recorded format says so: it was downgraded to an older version.
+// A node whose links break this many times in a row without a response to a probe does not support
+// probes, although its recorded format says that it does: it was downgraded to an older version.
 constexpr int kMaxUnansweredLinks = 2;
 // How often leadership is reviewed per heartbeat interval.
 constexpr double kReviewsPerHeartbeat = 4;
@@ -215,8 +215,8 @@
 void Service::ReviewLeadership(double now) {
   election::LeaderElection& election = *deps_.election;
   if (!election.leading()) {
-    // Revokes the lease of a leader that was declared failed. The leader can't have been elected
-    // again since: it would have had to rejoin first, and then its record would not say "failed".
+    // Revokes the lease of a leader that was declared failed. It can't have been elected again
+    // since then: it would have had to rejoin first, and then its record would not say "failed".
     if (table_.Failed(election.leader())) election.OnNodeFailed(election.leader());
     return;
   }
@@ -245,16 +245,16 @@
   const std::string value = WriteMember(proposal.record);
   std::vector<model::KeyWrite> writes = {{key, value, 0}};
   const double requested_at = Now();
-  auto r = co_await deps_.client->Commit(proposal.preconditions, std::move(writes),
-                                         store::RequestPriority::kUrgent);
-  if (r.ok()) {
+  auto result = co_await deps_.client->Commit(proposal.preconditions, std::move(writes),
+                                              store::RequestPriority::kUrgent);
+  if (result.ok()) {
     table_.OnStateRoundTrip(Now() - requested_at);
-    deps_.cache->ApplyAheadOfWatch(key, value, r.value.revision);
+    deps_.cache->ApplyAheadOfWatch(key, value, result.value.revision);
     co_return true;
   }
-  if (r.status == store::Status::kConflict) {
-    for (const std::string& failed : r.value.failed) {
-      bool read = co_await deps_.cache->Refresh(failed);
+  if (result.status == store::Status::kConflict) {
+    for (const std::string& failed_key : result.value.failed) {
+      bool read = co_await deps_.cache->Refresh(failed_key);
       if (!read) break;
     }
   }
@@ -277,8 +277,8 @@
   SendProbes(Now());
   deps_.election->Resign(deps_.settings->lease_s, "this node is shutting down");
   const double limit_s = kLeaveTimeoutIntervals * deps_.settings->heartbeat_interval_s;
-  const double end = Now() + limit_s;
-  while (!scope_.cancelled() && deps_.election->holds_lease() && Now() < end) {
+  const double deadline = Now() + limit_s;
+  while (!scope_.cancelled() && deps_.election->holds_lease() && Now() < deadline) {
     async::Sleep pause(scope_, limit_s / kLeasePollsBeforeLeaving);
     co_await pause;
   }
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -106,10 +106,10 @@
   double loop_delay_s_ = 0;
   double last_handled_pause_;  // steady time (s)
   double next_review_at_ = 0;
-  std::string last_leader_;  // empty until the first leader is known
-  std::string handover_from_, handover_to_;
-  double handover_at_ = 0;
-  uint64_t logged_failed_session_ = 0;  // the last session whose failure was logged
+  std::string last_leader_;                  // empty until the first leader is known
+  std::string handover_from_, handover_to_;  // the last change of the leader
+  double handover_at_ = 0;                   // steady time (s)
+  uint64_t logged_failed_session_ = 0;       // the last session whose failure was logged
 };
 
 }  // namespace hallpier::membership
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -30,8 +30,8 @@
 }
 
 void HttpClient::KeepIdle(const std::string& endpoint, Stream stream) {
-  // Thousands of endpoints appear and disappear. The number of connections kept for them is
-  // bounded, and endpoints lose idle connections in turn.
+  // Thousands of endpoints appear and disappear, so the number of connections kept for them is
+  // bounded. Endpoints lose idle connections in turn.
   while (idle_count_ > 0 && idle_count_ + active_calls_ > max_total_) EvictIdle();
   if (active_calls_ > max_total_) return;
   auto& pool = idle_streams_[endpoint];
@@ -63,7 +63,7 @@
       if (idle_count_ > 0 && idle_count_ + active_calls_ > max_total_) EvictIdle();
       stream = co_await Stream::Connect(scope, *to, deadline);
       // After a pause of the process the connection may be established although the deadline has
-      // passed. A request that is no longer wanted must not be sent.
+      // passed. A request must not be sent when its caller no longer wants it.
       if (!stream || scope.loop().Now() >= deadline) co_return std::nullopt;
     }
     wire::HttpParser parser(wire::HttpParser::Kind::kResponse, max_body_bytes_);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -26,9 +26,9 @@
       : max_idle_(max_idle), max_body_bytes_(max_body_bytes), max_total_(max_total) {}
   size_t idle() const { return idle_count_; }
 
-  // Returns std::nullopt if no response arrived in time: the request may have been executed, or may
-  // still be. If a reused connection turns out to be closed, the request is sent again only if it
-  // is `idempotent`.
+  // Returns std::nullopt if no response arrived in time. The request may then have been executed,
+  // or may still be executed later. If a reused connection turns out to be closed, the request is
+  // sent again only if it is `idempotent`.
   async::Task<std::optional<wire::HttpResponse>> Call(async::Scope& scope, std::string endpoint,
                                                       wire::HttpRequest request, double timeout_s,
                                                       bool idempotent);
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -46,7 +46,8 @@
   for (Connection* c : least_recently_active_) {
     if (c->busy) continue;
     // Machines that died never close their connections, so inactive connections are evicted. A
-    // class above its reservation loses connections in any case, since its clients connect again.
+    // class above its reservation loses recently active connections as well, since its clients
+    // connect again.
     const bool over_reservation =
         c->connection_class && open_by_class_[*c->connection_class] >
                                    limits_.connection_classes[*c->connection_class].reserved;
@@ -60,7 +61,7 @@
 }
 
 bool HttpServer::AdmitRequest(Connection& c, const wire::HttpRequest& request) {
-  if (!c.tracked) return true;  // evicted while its request arrived: answered, then closed
+  if (!c.tracked) return true;  // evicted while its request arrived: is answered, then closed
   for (size_t i = 0; i < limits_.connection_classes.size(); ++i) {
     if (!limits_.connection_classes[i].matches(request)) continue;
     if (c.connection_class == i) return true;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -15,8 +15,8 @@
  public:
   using Handler = std::function<async::Task<wire::HttpResponse>(wire::HttpRequest)>;
   // A class of connections: those whose requests `matches` accepts. A class may always have
-  // `reserved` connections, and more while others are free; additional ones are closed as soon as
-  // other classes need them.
+  // `reserved` connections, and more while the server has free ones. The additional connections are
+  // closed as soon as other classes need them.
   struct ConnectionClass {
     std::function<bool(const wire::HttpRequest&)> matches;
     size_t reserved;
@@ -29,7 +29,7 @@
     size_t max_body_bytes;
     double idle_s;     // a connection without a request is closed after this
     double request_s;  // a request must be complete this long after its first byte
-    // A connection without a request for this long is closed if another one needs its place.
+    // A connection without a request for this long is closed if a new one needs its place.
     double evictable_after_s;
     std::vector<ConnectionClass> connection_classes =
         {};  // the first that matches a request applies
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -20,7 +20,8 @@
 // A link without incoming data for this many ping intervals is considered broken.
 constexpr double kDeadLinkPings = 6;
 constexpr double kRelayTimeoutS = 0.8;
-// Limit of relayed requests that wait for one peer; a peer at the limit is not chosen.
+// Limit on relayed requests that wait for one peer. A peer at the limit is not chosen; if there is
+// no other, a request fails at once.
 constexpr size_t kMaxPendingRelays = 64;
 
 }  // namespace
@@ -145,10 +146,10 @@
       SetLink(peer, false);
       continue;
     }
-    // A packet filter also refuses connections, and then mostly between all nodes. A refusal counts
-    // only if another peer is reachable, since otherwise it says nothing about this peer.
-    // It also counts only if a link has broken before, and once per link; otherwise a live leader
-    // behind a filter would lose leadership repeatedly.
+    // A packet filter also refuses connections, and then mostly between all nodes. Therefore a
+    // refusal counts only if another peer is reachable; otherwise it says nothing about this peer.
+    // It also counts only after a link to this peer has broken, and only once per link. Otherwise a
+    // live leader behind a filter would lose leadership again and again.
     if (error == ECONNREFUSED && peer->link_broken && AnyFreshStatus()) {
       peer->link_broken = false;
       hooks_.on_connection_refused(peer->seed.node);
@@ -168,8 +169,9 @@
       peer->ping_times.push_back(now);
       const bool supported = hooks_.supports_cancellation_reports &&
                              hooks_.supports_cancellation_reports(peer->seed.node);
-      if (auto q = supported ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
-        peer->outbox += wire::EncodeFrame(wire::WritePeerMessage(*q));
+      if (auto report_request =
+              supported ? hooks_.cancellation_report_request(peer->seed.node) : std::nullopt) {
+        peer->outbox += wire::EncodeFrame(wire::WritePeerMessage(*report_request));
         peer->report_request_times.push_back(now);
       }
       next_ping = now + PingIntervalS();
@@ -186,8 +188,8 @@
 }
 
 void PeerMesh::OnStatus(Peer* peer, const wire::PeerStatus& status) {
-  // Each ping is answered by one status, in order. A status is dated by the ping that requested it,
-  // since a process that was paused finds outdated responses in its buffers.
+  // Each ping is answered by one status, in order. The age of a status counts from the ping that
+  // requested it, since a process that was paused finds outdated responses in its buffers.
   if (peer->ping_times.empty()) return;
   peer->status_requested_at = peer->ping_times.front();
   peer->ping_times.pop_front();
@@ -197,30 +199,31 @@
     hooks_.on_status_answered(peer->seed.node, peer->status_requested_at);
 }
 
-bool PeerMesh::HandleAnswer(Peer* peer, const std::string& payload) {
-  auto m = wire::ReadPeerMessage(payload);
-  if (!m) {
-    spdlog::warn("peer message refused: node={} reason={}", peer->seed.node, m.error().reason);
+bool PeerMesh::HandleResponse(Peer* peer, const std::string& payload) {
+  auto message = wire::ReadPeerMessage(payload);
+  if (!message) {
+    spdlog::warn("peer message refused: node={} reason={}", peer->seed.node,
+                 message.error().reason);
     return false;
   }
-  if (auto* s = std::get_if<wire::PeerStatus>(&*m)) {
-    OnStatus(peer, *s);
-  } else if (auto* v = std::get_if<wire::CancellationReport>(&*m)) {
-    // Like a status, a report is dated by its request.
+  if (auto* status = std::get_if<wire::PeerStatus>(&*message)) {
+    OnStatus(peer, *status);
+  } else if (auto* report = std::get_if<wire::CancellationReport>(&*message)) {
+    // As for a status, the age of a report counts from its request.
     if (peer->report_request_times.empty()) return true;
     const double requested_at = peer->report_request_times.front();
     peer->report_request_times.pop_front();
-    hooks_.on_cancellation_report(peer->seed.node, requested_at, *v);
-  } else if (auto* a = std::get_if<wire::RelayResponse>(&*m)) {
-    auto it = peer->pending_relays.find(a->id);
+    hooks_.on_cancellation_report(peer->seed.node, requested_at, *report);
+  } else if (auto* relayed = std::get_if<wire::RelayResponse>(&*message)) {
+    auto it = peer->pending_relays.find(relayed->id);
     if (it == peer->pending_relays.end()) return true;
-    if (a->has_response) it->second->response = std::move(a->response);
+    if (relayed->has_response) it->second->response = std::move(relayed->response);
     it->second->done = true;
     it->second->event.Notify();
-  } else if (auto* response = std::get_if<wire::MemberProbeResponse>(&*m)) {
+  } else if (auto* response = std::get_if<wire::MemberProbeResponse>(&*message)) {
     if (hooks_.on_member_probe_response)
       hooks_.on_member_probe_response(peer->seed.node, *response);
-  } else if (auto* acknowledged = std::get_if<wire::BlockAcknowledgement>(&*m)) {
+  } else if (auto* acknowledged = std::get_if<wire::BlockAcknowledgement>(&*message)) {
     if (hooks_.on_block_acknowledged) hooks_.on_block_acknowledged(peer->seed.node, *acknowledged);
   }
   return true;
@@ -232,7 +235,7 @@
   bool readable = true;
   while (!scope_.cancelled() && !frames.corrupt()) {
     while (auto payload = frames.Next()) {
-      readable = HandleAnswer(peer, *payload);
+      readable = HandleResponse(peer, *payload);
       if (!readable) break;
     }
     if (!readable) break;
@@ -258,34 +261,34 @@
 }
 
 async::Task<std::optional<std::string>> PeerMesh::HandleRequest(std::string payload) {
-  auto m = wire::ReadPeerMessage(payload);
-  if (!m) {
-    spdlog::warn("peer message refused: node=unknown reason={}", m.error().reason);
+  auto message = wire::ReadPeerMessage(payload);
+  if (!message) {
+    spdlog::warn("peer message refused: node=unknown reason={}", message.error().reason);
     co_return std::nullopt;
   }
   std::optional<wire::PeerMessage> response;
-  if (auto* s = std::get_if<wire::PeerStatus>(&*m)) {
-    hooks_.on_status(*s);
+  if (auto* status = std::get_if<wire::PeerStatus>(&*message)) {
+    hooks_.on_status(*status);
     response = hooks_.status();
-  } else if (auto* v = std::get_if<wire::CancellationReportRequest>(&*m)) {
-    response = hooks_.cancellation_report(*v);
-  } else if (auto* n = std::get_if<wire::CancelNotice>(&*m)) {
-    hooks_.on_cancel_notice(*n);
-  } else if (auto* q = std::get_if<wire::RelayRequest>(&*m)) {
+  } else if (auto* report_request = std::get_if<wire::CancellationReportRequest>(&*message)) {
+    response = hooks_.cancellation_report(*report_request);
+  } else if (auto* notice = std::get_if<wire::CancelNotice>(&*message)) {
+    hooks_.on_cancel_notice(*notice);
+  } else if (auto* relay = std::get_if<wire::RelayRequest>(&*message)) {
     wire::RelayResponse relayed;
-    relayed.id = q->id;
-    auto r = co_await hooks_.execute(std::move(q->request));
-    relayed.has_response = r.has_value();
-    if (r) relayed.response = std::move(*r);
+    relayed.id = relay->id;
+    auto result = co_await hooks_.execute(std::move(relay->request));
+    relayed.has_response = result.has_value();
+    if (result) relayed.response = std::move(*result);
     response = std::move(relayed);
-  } else if (auto* probe = std::get_if<wire::MemberProbe>(&*m)) {
+  } else if (auto* probe = std::get_if<wire::MemberProbe>(&*message)) {
     if (hooks_.on_member_probe) response = hooks_.on_member_probe(*probe);
-  } else if (auto* view = std::get_if<wire::BlockView>(&*m)) {
+  } else if (auto* view = std::get_if<wire::BlockView>(&*message)) {
     if (hooks_.on_block_view) response = hooks_.on_block_view(*view);
-  } else if (std::holds_alternative<wire::MembersRequest>(*m)) {
-    wire::MembersReport off;
-    off.node = settings_.node;
-    response = hooks_.members_report ? hooks_.members_report() : std::move(off);
+  } else if (std::holds_alternative<wire::MembersRequest>(*message)) {
+    wire::MembersReport disabled;
+    disabled.node = settings_.node;
+    response = hooks_.members_report ? hooks_.members_report() : std::move(disabled);
   }
   co_return response ? wire::EncodeFrame(wire::WritePeerMessage(*response)) : std::string();
 }
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -27,8 +27,8 @@
     // Executes a peer's request to the state service.
     std::function<async::Task<std::optional<wire::HttpResponse>>(wire::HttpRequest)> execute;
     std::function<void(const wire::PeerStatus&)> on_status;
-    // Called when a node has answered a ping that was sent at `requested_at`. This hook and those
-    // below may be empty.
+    // Called when a node has answered a ping that was sent at `requested_at` (steady time, s). This
+    // hook and those below may be empty.
     std::function<void(const std::string& node, double requested_at)> on_status_answered;
     // Called when the link to a node is established (`up`) or broken.
     std::function<void(const std::string& node, bool up)> on_link;
@@ -50,7 +50,7 @@
         cancellation_report_request;
     std::function<wire::CancellationReport(const wire::CancellationReportRequest&)>
         cancellation_report;
-    // `requested_at`: when the report was requested.
+    // `requested_at`: steady time (s) when the report was requested.
     std::function<void(const std::string& node, double requested_at,
                        const wire::CancellationReport&)>
         on_cancellation_report;
@@ -64,13 +64,14 @@
   // Relays a request through a peer that can reach the state service. `sent` is false if there is
   // no such peer; `response` is empty if no response arrived.
   async::Task<RelayResult> Relay(wire::HttpRequest request);
-  // True if the fresh status of every other node says that it can't reach the state service either.
+  // True if every other node has a fresh status that says that it can't reach the state service
+  // either.
   bool AllPeersReportOutage() const;
   // Sends a cancellation that was just recorded to all connected nodes that support the notice.
   void BroadcastCancellation(const wire::CancelNotice& notice);
   // Sends a message on the link to a node; does nothing if there is no link.
   void Send(const std::string& node, const wire::PeerMessage& message);
-  // True if the fresh status of another node says that it can reach the state service.
+  // True if another node has a fresh status that says that it can reach the state service.
   bool AnyPeerReachesState() const;
 
  private:
@@ -84,7 +85,8 @@
     bool connected = false;
     bool link_broken = false;       // a link has broken since the last on_connection_refused call
     std::deque<double> ping_times;  // steady times (s) of unanswered pings, oldest first
-    // Steady time (s) of the ping that `status` answered: the status may be that old.
+    // Steady time (s) of the ping that `status` answered. The status may have been written at any
+    // time since then.
     double status_requested_at = -1;
     wire::PeerStatus status;
     // Steady times (s) of unanswered cancellation report requests, oldest first.
@@ -97,11 +99,12 @@
   async::Task<> DialLoop(Peer* peer);
   async::Task<> ReadLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
   async::Task<> WriteLoop(Peer* peer, std::shared_ptr<Stream> stream, std::shared_ptr<bool> open);
-  // Handles a message on a link that this node opened; returns false if it is malformed.
-  bool HandleAnswer(Peer* peer, const std::string& payload);
+  // Handles a message that arrived on a link which this node opened. Returns false if the message
+  // is malformed.
+  bool HandleResponse(Peer* peer, const std::string& payload);
   void OnStatus(Peer* peer, const wire::PeerStatus& status);
-  // Returns the frame that answers a peer's message, empty if it needs no response; std::nullopt if
-  // the message is malformed.
+  // Returns the frame with the response to a peer's message. The string is empty if the message
+  // needs no response; std::nullopt if the message is malformed.
   async::Task<std::optional<std::string>> HandleRequest(std::string payload);
   void SetLink(Peer* peer, bool up);
   async::Task<> AcceptLoop(Listener listener);
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -11,7 +11,7 @@
 namespace hallpier::net {
 namespace {
 
-// Limit of one read, so that a fast peer can't occupy the event loop.
+// Limit on the bytes of one read, so that a fast peer can't occupy the event loop.
 constexpr size_t kReadSize = size_t{64} * 1024;
 
 void SetNoDelay(int fd) {
@@ -35,10 +35,10 @@
 
 async::Task<bool> Stream::Read(async::Scope& scope, std::string& out, double deadline,
                                bool wait_first) {
-  // Shared by all coroutines of a thread, since it holds no data while a coroutine is suspended. As
-  // a local variable of the coroutine it would take this much memory for every idle connection. It
-  // is per thread, because event loops of two threads that read at the same time mixed up their
-  // data when they shared one buffer.
+  // All coroutines of a thread share this buffer, since it holds no data while a coroutine is
+  // suspended. A local variable of the coroutine would take this much memory for every idle
+  // connection. Each thread has a buffer, because event loops of two threads that shared one mixed
+  // up the data that they read at the same time.
   thread_local std::array<char, kReadSize> chunk;
   while (true) {
     if (!wait_first) {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -33,8 +33,8 @@
 
   // Appends the available bytes to `out`. Returns false at the end of the stream, on errors, at the
   // deadline (steady time, s) or when the scope is cancelled.
-  // `wait_first` waits before the first read: no data is expected yet, so reading at once would be
-  // wasted.
+  // If `wait_first` is true, waits until the stream is readable before the first read; for callers
+  // that expect no data yet, so that reading at once would be a wasted system call.
   async::Task<bool> Read(async::Scope& scope, std::string& out, double deadline,
                          bool wait_first = false);
   // Writes all of `data`. Returns false in the same cases as Read().
@@ -46,8 +46,8 @@
   // True if an idle stream can't be reused: the peer closed it, or sent data without a request.
   bool Stale() const;
 
-  // Returns std::nullopt on failure. `error`, if given, then gets the errno value where one is
-  // known.
+  // Returns std::nullopt on failure. If `error` is given, it then gets the errno value of the
+  // failure, if one is known.
   static async::Task<std::optional<Stream>> Connect(async::Scope& scope, const sockaddr_in& to,
                                                     double deadline, int* error = nullptr);
 
--- a/src/quota/allocation_planner.cc
+++ b/src/quota/allocation_planner.cc
@@ -17,8 +17,8 @@
 // Returns the allocated amounts; empty if the allocation belongs to another epoch.
 const AmountByTeam& AllocatedInEpoch(const AllocationRecord& allocation,
                                      uint64_t allocation_epoch) {
-  static const AmountByTeam kNothing;
-  return allocation.allocation_epoch == allocation_epoch ? allocation.allocated : kNothing;
+  static const AmountByTeam kNoAmounts;
+  return allocation.allocation_epoch == allocation_epoch ? allocation.allocated : kNoAmounts;
 }
 
 // Returns the new allocations of one kind of resource, in the order of the owners.
@@ -42,7 +42,7 @@
 void AllocateKind(double Amount::*kind, double limit, const std::string& team,
                   const TeamUsage& usage, const std::vector<OwnerAccount>& owners,
                   std::vector<AllocationChange>* changes) {
-  if (limit <= 0) return;  // no limit
+  if (limit <= 0) return;  // the team has no limit
   const std::vector<double> allocated = RebalanceKind(kind, limit, team, usage, owners);
   for (size_t i = 0; i < allocated.size(); ++i)
     (*changes)[i].record.allocated[team].*kind = allocated[i];
--- a/src/quota/allocation_planner.h
+++ b/src/quota/allocation_planner.h
@@ -1,9 +1,9 @@
 // Allocates each team's limit to the owners of blocks. Does no I/O.
 //
 // The caller writes the changes with preconditions on all allocation records and on the block
-// assignment, so that any change that it has not seen makes the write fail. Its view of the
-// placements must be at least as new as all of these records: everything that was placed before an
-// allocation shrank must be counted.
+// assignment, so that the write fails if there is any change that the caller has not seen. The
+// placements that the caller counts must be at least as new as all of these records: everything
+// that was placed before an allocation shrank must be counted.
 #pragma once
 
 #include <string>
@@ -33,7 +33,7 @@
 // Amounts by team that belong to no owner's account.
 struct TeamUsage {
   AmountByTeam unowned;        // placed on machines without an owner
-  AmountByTeam smallest_task;  // smallest amount that a task takes; 0 if not known
+  AmountByTeam smallest_task;  // smallest amount that a task of the team takes; 0 if not known
 };
 
 // Returns the allocation records that have to be written; empty if all are up to date.
--- a/src/quota/allocation_record.cc
+++ b/src/quota/allocation_record.cc
@@ -21,6 +21,8 @@
 
 }  // namespace
 
+// In the stored format the field "grant" is the allocation epoch, and "lent" holds the allocated
+// amounts.
 std::string WriteAllocation(const AllocationRecord& record) {
   wire::JsonWriter w;
   w.StartObject();
--- a/src/quota/allocation_record.h
+++ b/src/quota/allocation_record.h
@@ -27,9 +27,9 @@
 // Returns std::nullopt if the text is malformed; callers then treat the allocation as empty.
 std::optional<AllocationRecord> ReadAllocation(std::string_view json);
 
-// Removes the smallest amounts until the record fits into `max_value_bytes`. An owner with less
-// quota than it could use is safe, but a record that the state service refuses would block all
-// others.
+// Removes the smallest amounts until the record fits into `max_value_bytes`. It is safe if an owner
+// has less quota than it could use, but a record that the state service refuses would hold up the
+// records of all other owners.
 AllocationRecord TrimToSize(AllocationRecord record, size_t max_value_bytes);
 
 }  // namespace hallpier::quota
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -1,4 +1,4 @@
-// An amount of the resources that team limits apply to.
+// An amount of those resources that team limits apply to.
 #pragma once
 
 #include <algorithm>
--- a/src/quota/team_account.cc
+++ b/src/quota/team_account.cc
@@ -8,7 +8,7 @@
 namespace hallpier::quota {
 namespace {
 
-// Spare amounts are evened out only once an owner has less than this fraction of an even part,
+// Spare amounts are evened out only if an owner has less than this fraction of an even part,
 // because each change costs a write.
 constexpr double kMinSpareRatio = 0.5;
 
@@ -60,8 +60,9 @@
     }
     return;
   }
-  // More is placed than the limit allows. Each allocation shrinks to its proportional part of the
-  // limit, so that ended tasks are not replaced until the total is within the limit.
+  // More is placed than the limit allows. Each allocation shrinks to a part of the limit that is
+  // proportional to the placed amount, so that ended tasks are not replaced until the total is
+  // within the limit.
   for (size_t i = 0; i < allocated->size(); ++i) {
     (*allocated)[i] = std::min((*allocated)[i], available * owners_[i].placed / placed);
   }
@@ -82,6 +83,7 @@
     if (owner.planned <= 0 || owner.reserved_for_others > 0 ||
         (*allocated)[i] >= Need(i) - kTolerance)
       continue;
+    // What is placed is committed in any case, so only the amount above it takes from `free`.
     const double base = std::max((*allocated)[i], owner.placed);
     const double added = std::min(free, Need(i) - base);
     if (added <= kTolerance) continue;
@@ -138,12 +140,13 @@
     return allocated;
   }
   ShrinkForOthers(&allocated);
-  const double left = AllocateNeeded(limit_ - Committed(), &allocated);
+  // Committed() counts the current allocations, so that no amount which this call reclaims is free.
+  const double remaining = AllocateNeeded(limit_ - Committed(), &allocated);
   const double shortfall = Shortfall(allocated);
   if (shortfall > kTolerance) {
     ReclaimIdle(shortfall, &allocated);
   } else {
-    AllocateSpare(left, &allocated);
+    AllocateSpare(remaining, &allocated);
   }
   return allocated;
 }
--- a/src/quota/team_account.h
+++ b/src/quota/team_account.h
@@ -3,8 +3,9 @@
 // An owner counts with the larger of its allocated and its placed amount: it may place up to its
 // allocation at any moment, and a placed task counts until it is proven gone. The committed amount
 // is the sum over all owners, plus what is placed on machines without an owner. No allocation ever
-// raises the committed amount above the limit. Allocating less than is placed is always safe; this
-// is how an allocation shrinks as tasks end.
+// raises the committed amount above the limit. An allocation below the placed amount is always
+// safe, since the placed amount counts then. Such an allocation makes the owner's part shrink as
+// its tasks end.
 #pragma once
 
 #include <cstddef>
@@ -15,9 +16,9 @@
 // One owner's part of the account.
 struct OwnerAmounts {
   double allocated = 0;
-  double placed = 0;   // by the records, on machines of its block
-  double planned = 0;  // would be placed there now by the leader's plan
-  // To be left free as tasks end, for work of the team that this owner can't place.
+  double placed = 0;   // according to the records, on machines of its block
+  double planned = 0;  // what the leader's plan would place there now
+  // Must be left free as tasks end, for work of the team that this owner can't place.
   double reserved_for_others = 0;
 };
 
@@ -28,11 +29,11 @@
   TeamAccount(double limit, double unowned, std::vector<OwnerAmounts> owners,
               double smallest_task = 0);
 
-  // Returns the committed amount with the present allocations.
+  // Returns the committed amount with the current allocations.
   double Committed() const;
-  // Returns each owner's next allocation. An amount that is reclaimed from one owner goes to
-  // another only after the reduction is recorded and the first owner's last placements are known; a
-  // later call then allocates it.
+  // Returns each owner's next allocation. An amount that is reclaimed from one owner is not
+  // allocated to another by the same call, but by a later one, after the reduction is recorded and
+  // the first owner's last placements are known.
   std::vector<double> Rebalance() const;
 
  private:
@@ -42,6 +43,7 @@
   // Returns the committed amount with these allocations.
   double CommittedWith(const Amounts& allocated) const;
   double Idle(const Amounts& allocated, size_t i) const;
+  // Returns by how much these allocations fall short of the needs of owners with planned tasks.
   double Shortfall(const Amounts& allocated) const;
   void ShrinkToLimit(Amounts* allocated) const;
   void ShrinkForOthers(Amounts* allocated) const;
@@ -49,9 +51,11 @@
   double AllocateNeeded(double free, Amounts* allocated) const;
   // Reclaims idle amounts, the largest first, until `shortfall` is covered.
   void ReclaimIdle(double shortfall, Amounts* allocated) const;
-  // Allocates the amount that no plan needs yet evenly, so that new work need not wait for the
-  // leader. Does nothing if an even part is smaller than any task: an unallocated amount need not
-  // be reclaimed when it is needed.
+  // Allocates an even part of the amount that no plan needs yet to each owner that has too little
+  // of it, so that new work need not wait for the leader. If `free` does not suffice, reclaims idle
+  // amounts above an even part.
+  // Does nothing if an even part is smaller than any task: an amount that stays unallocated need
+  // not be reclaimed first when a task needs it.
   void AllocateSpare(double free, Amounts* allocated) const;
 
   const double limit_;
--- a/src/quota/usage.h
+++ b/src/quota/usage.h
@@ -21,8 +21,8 @@
 // Returns the index of a machine's owner; std::nullopt if it has none.
 using OwnerLookup = std::function<std::optional<size_t>(const std::string& machine)>;
 
-// Counts every recorded placement, even of an ended task: the task may be alive until the records
-// say otherwise. `owners`: the number of owners; all indexes from `owner_of` are below it.
+// Counts every recorded placement, even that of an ended task: until the records say otherwise, the
+// task may be alive. `owners`: the number of owners; all indexes from `owner_of` are below it.
 Usage CountPlaced(const jobs::JobTable& job_table, size_t owners, const OwnerLookup& owner_of);
 
 // Returns by team the smallest amount of each kind of resource that a task of an unfinished job
