--- a/src/controller/block_coordinator.cc
+++ b/src/controller/block_coordinator.cc
@@ -43,7 +43,8 @@
 
 void BlockCoordinator::OnMemberRecord(const std::string& node,
                                       const std::optional<membership::MemberRecord>& record) {
-  // A suspect may still refute the suspicion; if it doesn't respond, its lease expires first.
+  // A suspect counts as present: it may still refute the suspicion, and if it does not respond, its
+  // lease expires.
   const bool present = record && (record->state == model::MemberState::kAlive ||
                                   record->state == model::MemberState::kSuspect);
   block_planner_.eligibility().OnMember(
@@ -56,14 +57,15 @@
 }
 
 void BlockCoordinator::OnAcknowledged(const std::string& node,
-                                      const wire::BlockAcknowledgement& answer) {
+                                      const wire::BlockAcknowledgement& acknowledgement) {
   auto it = links_.find(node);
   if (it == links_.end()) return;
   Link& link = it->second;
-  link.view_builder.OnAcknowledged(answer.sequence);
-  auto sent = link.unacknowledged.find(answer.sequence);
+  link.view_builder.OnAcknowledged(acknowledgement.sequence);
+  auto sent = link.unacknowledged.find(acknowledgement.sequence);
   if (sent == link.unacknowledged.end()) return;
-  block_planner_.eligibility().OnAcknowledged(node, answer.session, answer.can_place, sent->second);
+  block_planner_.eligibility().OnAcknowledged(node, acknowledgement.session,
+                                              acknowledgement.can_place, sent->second);
   link.unacknowledged.erase(link.unacknowledged.begin(), std::next(sent));
 }
 
@@ -198,7 +200,7 @@
     for (const wire::BlockView& view : link.view_builder.BuildViews(
              services_.election->token(), block_assignment, owner, machines, std::move(failures))) {
       link.unacknowledged[view.sequence] = Now();
-      services_.send(node, view);
+      services_.send_to_node(node, view);
     }
     while (link.unacknowledged.size() > kMaxUnacknowledgedViews) {
       link.unacknowledged.erase(link.unacknowledged.begin());
@@ -209,8 +211,8 @@
 async::Task<> BlockCoordinator::SendViewsPeriodically() {
   async::Scope& term = *term_;
   while (!term.cancelled()) {
-    async::Sleep pause(term, ViewIntervalS());
-    co_await pause;
+    async::Sleep wait(term, ViewIntervalS());
+    co_await wait;
     if (!term.cancelled() && Now() - views_sent_at_ >= ViewIntervalS()) SendViews();
   }
 }
--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -33,10 +33,10 @@
   // can't be decoded.
   void OnMemberRecord(const std::string& node,
                       const std::optional<membership::MemberRecord>& record);
-  // Handles a link to a node that was established or lost.
+  // Called when the link to a node was established or lost.
   void OnLinkChanged(const std::string& node);
   // Handles an owner's acknowledgement of a view.
-  void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& answer);
+  void OnAcknowledged(const std::string& node, const wire::BlockAcknowledgement& acknowledgement);
 
   // True while blocks have owners, according to the records known to this node.
   bool has_owners() const { return services_.block_records->block_assignment().has_owners(); }
@@ -47,13 +47,14 @@
   // Returns this node's index among the owners, or std::nullopt if it may not place on a block now.
   // `session` is the membership session of this process.
   std::optional<size_t> OwnerIndex(uint64_t session) const;
-  // Return the scope of a plan over all machines and of a plan over one owner's block.
+  // Returns the scope of a plan over all machines.
   plan::PlacementScope AllMachinesScope() const;
+  // Returns the scope of a plan over one owner's block.
   plan::PlacementScope OwnerScope(size_t owner) const;
 
   // Called after a plan over all machines: writes the necessary changes of the block assignment and
-  // the allocations, and sends the owners their updates. `scope` is the scope of the plan, null if
-  // no block had an owner.
+  // the allocations, and sends views to the owners. `scope` is the scope of the plan, null if no
+  // block had an owner.
   async::Task<> ReviewAfterRound(const plan::RoundResult& round, const plan::PlacementScope* scope);
 
  private:
--- a/src/controller/block_placement_loop.cc
+++ b/src/controller/block_placement_loop.cc
@@ -35,7 +35,7 @@
 
 BlockPlacementLoop::BlockPlacementLoop(const NodeServices& services)
     : services_(services),
-      machines_(RegistryOptions(*services.settings)),
+      machine_replica_(RegistryOptions(*services.settings)),
       committer_(services, CommitHooks(trigger_)) {
   context_.settings = services.settings;
   context_.operator_options = services.operator_options;
@@ -49,23 +49,23 @@
 }
 
 std::optional<wire::BlockAcknowledgement> BlockPlacementLoop::OnView(const wire::BlockView& view) {
-  const std::optional<uint64_t> sequence = machines_.Apply(view, Now());
+  const std::optional<uint64_t> sequence = machine_replica_.Apply(view, Now());
   if (!sequence) return std::nullopt;
   if (!view.changed.empty() || !view.failures.empty()) RequestRound();
-  return wire::BlockAcknowledgement{*sequence, services_.session(), CanPlace()};
+  return wire::BlockAcknowledgement{*sequence, services_.membership_session(), CanPlace()};
 }
 
 std::optional<size_t> BlockPlacementLoop::OwnerIndex() const {
-  // A leader places in its own rounds. After a pause the watch cache must first catch up: tasks may
-  // have been cancelled in the meantime.
+  // A leader places in its own rounds (RoundRunner). After a pause of the process the watch cache
+  // must first catch up: tasks may have been cancelled in the meantime.
   const bool paused = services_.cache->current_as_of() < services_.scope->loop().resumed_at();
   if (services_.election->leading() || paused || services_.formats->change_pending()) {
     return std::nullopt;
   }
   const blocks::CacheState cache_state = {services_.cache->revision(),
                                           services_.cache->fencing_token()};
-  return services_.block_records->ActiveOwnerIndex(services_.settings->node, services_.session(),
-                                                   cache_state);
+  return services_.block_records->ActiveOwnerIndex(services_.settings->node,
+                                                   services_.membership_session(), cache_state);
 }
 
 async::Task<> BlockPlacementLoop::Run() {
@@ -93,8 +93,8 @@
       services_.operator_options->blocks.widen_ratio * services_.settings->heartbeat_interval_s;
   const plan::PlacementScope scope = services_.block_records->OwnerScope(
       owner, widening_interval_s, time_of_day, *services_.settings, *services_.job_table);
-  plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table, machines_.registry(),
-                                           now, time_of_day, &scope);
+  plan::RoundResult plan = plan::PlanRound(context_, *services_.job_table,
+                                           machine_replica_.registry(), now, time_of_day, &scope);
   last_planning_s_ = Now() - now;
   return plan;
 }
@@ -102,8 +102,8 @@
 async::Task<> BlockPlacementLoop::RunRound() {
   async::Scope& scope = *services_.scope;
   const double budget_s = services_.operator_options->round_s;
-  // Resolved even if another node holds the block now: the records show whether these placements
-  // were committed.
+  // Unanswered transactions are resolved even if another node owns the block now: the records show
+  // whether their placements were committed.
   const bool resolved = co_await committer_.ResolveUnanswered(scope, budget_s);
   if (scope.cancelled()) co_return;
   if (!resolved) {
@@ -114,7 +114,7 @@
   if (!owner) co_return;
   plan::RoundResult plan = Plan(*owner);
   for (const std::string& job : plan.retried_jobs) {
-    machines_.registry().failure_tracker().OnRetry(job, Now());
+    machine_replica_.registry().failure_tracker().OnRetry(job, Now());
   }
   if (plan.placements.empty()) co_return;
   spdlog::info("round: block={} waiting={} placed={} plan_ms={:.1f}", *owner, plan.waiting_tasks,
--- a/src/controller/block_placement_loop.h
+++ b/src/controller/block_placement_loop.h
@@ -38,7 +38,7 @@
   double Now() const { return services_.scope->loop().Now(); }
 
   const NodeServices& services_;
-  blocks::MachineStateReplica machines_;
+  blocks::MachineStateReplica machine_replica_;
   plan::PlanningContext context_;
   RoundTrigger trigger_;
   TransactionCommitter committer_;
--- a/src/controller/cache_revalidation.cc
+++ b/src/controller/cache_revalidation.cc
@@ -3,7 +3,8 @@
 namespace hallpier::controller {
 namespace {
 
-// Checks for a pause of the process within the duration of the shortest pause that counts.
+// Number of checks for a pause of the process within the shortest pause that counts
+// (LeaderElection::MaxRenewalGapS).
 constexpr double kChecksPerMinPause = 10;
 
 }  // namespace
@@ -13,8 +14,8 @@
                                          double retry_s) {
   async::Scope& scope = *services.scope;
   while (!scope.cancelled()) {
-    async::Sleep pause(scope, services.election->MaxRenewalGapS() / kChecksPerMinPause);
-    co_await pause;
+    async::Sleep wait(scope, services.election->MaxRenewalGapS() / kChecksPerMinPause);
+    co_await wait;
     while (!scope.cancelled() && services.cache->current_as_of() < scope.loop().resumed_at()) {
       const bool confirmed = co_await linearizable_read.CatchUp();
       if (confirmed) break;
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -25,7 +25,7 @@
   return watermark_.BuildReportRequest(node, services_.cache->revision());
 }
 
-wire::CancellationReport CancellationExchange::Report(
+wire::CancellationReport CancellationExchange::BuildReport(
     const wire::CancellationReportRequest& request) const {
   wire::CancellationReport report;
   report.revision = services_.cache->revision();
@@ -34,10 +34,10 @@
     if (version > request.after_revision) report.cancelled.push_back({id, version});
   }
   // The report is incomplete if this process was restarted and has not loaded the records since: it
-  // does not know which cancellations its predecessor acknowledged. It is also incomplete while a
-  // cancellation is being recorded, since the outcome is not known yet. A cancellation whose write
-  // gets no response is acknowledged to no user, and a node that reads it later has it in its watch
-  // cache before it acknowledges it.
+  // does not know which cancellations the former process acknowledged. It is also incomplete while
+  // a cancellation is being recorded, since the outcome is not known yet. A cancellation whose
+  // write gets no response is acknowledged to no user, and a node that reads it later has it in its
+  // watch cache before it acknowledges it.
   report.complete = services_.cache->loaded() && pending_cancellations_() == 0 &&
                     report.cancelled.size() <= wire::kMaxCancellationsPerFrame;
   if (!report.complete) report.cancelled.clear();
@@ -46,8 +46,8 @@
 
 void CancellationExchange::OnReport(const std::string& node, double requested_at,
                                     const wire::CancellationReport& report) {
-  // The cancellations are applied first: the report may extend the renewal of leases only once the
-  // commands that stop the cancelled tasks are being sent.
+  // The cancellations are applied first: leases may be renewed on the basis of the report only once
+  // the commands that stop the cancelled tasks are being sent.
   for (const wire::Cancellation& cancellation : report.cancelled) OnCancellation(cancellation);
   watermark_.OnCancellationReport(node, requested_at, report);
 }
--- a/src/controller/cancellation_exchange.h
+++ b/src/controller/cancellation_exchange.h
@@ -19,11 +19,11 @@
   // recording. `services` must outlive this object.
   CancellationExchange(const NodeServices& services, std::function<int()> pending_cancellations);
 
-  // Returns the request to send to a node now, or std::nullopt if no report is needed or this node
-  // does not lead.
+  // Returns the report request to send to a node now, or std::nullopt if no report is needed or
+  // this node does not lead.
   std::optional<wire::CancellationReportRequest> BuildReportRequest(const std::string& node);
-  // Returns the response to a leader that can't reach the state service.
-  wire::CancellationReport Report(const wire::CancellationReportRequest& request) const;
+  // Returns this node's report to a leader that can't reach the state service.
+  wire::CancellationReport BuildReport(const wire::CancellationReportRequest& request) const;
   // Handles a node's response to a request that was sent at `requested_at` (steady time, s).
   void OnReport(const std::string& node, double requested_at,
                 const wire::CancellationReport& report);
--- a/src/controller/command_dispatcher.cc
+++ b/src/controller/command_dispatcher.cc
@@ -26,10 +26,10 @@
 }  // namespace
 
 CommandDispatcher::CommandDispatcher(const NodeServices& services, fleet::WorkerRegistry& registry,
-                                     CommandSource& commands, RoundTrigger& trigger)
+                                     CommandSource& command_source, RoundTrigger& trigger)
     : services_(services),
       registry_(registry),
-      commands_(commands),
+      command_source_(command_source),
       trigger_(trigger),
       max_active_machines_(MaxActiveMachines(*services.settings)),
       queue_(max_active_machines_),
@@ -71,11 +71,11 @@
   fleet::Machine* worker = registry_.Find(machine);
   if (!IsReachable(worker) || !services_.election->MayAct()) co_return false;
   const model::FencingToken token = registry_.token();
-  auto commands = commands_.CommandsFor(*worker, true);
-  // No commands: a heartbeat has fetched them in the meantime, or they have to wait until the watch
-  // cache is current. With a current cache, a worker that does not know our token yet is sent the
-  // token even without commands.
-  if (commands.empty() && (worker->agent.token == token || !commands_.CacheIsCurrent()))
+  auto commands = command_source_.CommandsFor(*worker, true);
+  // There are no commands if a heartbeat has fetched them in the meantime or if they have to wait
+  // until the watch cache is current. With a current cache, a worker that does not know our token
+  // yet is sent the token even without commands.
+  if (commands.empty() && (worker->agent.token == token || !command_source_.CacheIsCurrent()))
     co_return false;
   wire::HttpRequest request{
       .method = "POST",
--- a/src/controller/command_dispatcher.h
+++ b/src/controller/command_dispatcher.h
@@ -18,7 +18,7 @@
  public:
   // All references must outlive this object.
   CommandDispatcher(const NodeServices& services, fleet::WorkerRegistry& registry,
-                    CommandSource& commands, RoundTrigger& trigger);
+                    CommandSource& command_source, RoundTrigger& trigger);
 
   // Starts a term. All coroutines of the previous term have ended.
   void BeginTerm(async::Scope& term);
@@ -40,7 +40,7 @@
 
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
-  CommandSource& commands_;
+  CommandSource& command_source_;
   RoundTrigger& trigger_;
   const size_t max_active_machines_;
   DirectCommandQueue queue_;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -132,8 +132,8 @@
   services.block_records = &block_records_;
   services.election = &election_;
   services.time_of_day = TimeOfDay;
-  services.session = [this] { return membership_ ? membership_->session() : 0; };
-  services.send = [this](const std::string& node, const wire::PeerMessage& message) {
+  services.membership_session = [this] { return membership_ ? membership_->session() : 0; };
+  services.send_to_node = [this](const std::string& node, const wire::PeerMessage& message) {
     peers_.Send(node, message);
   };
   return services;
@@ -146,7 +146,7 @@
   dependencies.client = &client_;
   dependencies.cache = &cache_;
   dependencies.election = &election_;
-  dependencies.send = services_.send;
+  dependencies.send = services_.send_to_node;
   dependencies.supports_membership = [this](const std::string& node) {
     return formats_.SupportsMembership(node);
   };
@@ -195,15 +195,15 @@
     return block_placement_->OnView(view);
   };
   hooks->on_block_acknowledged = [this](const std::string& node,
-                                        const wire::BlockAcknowledgement& answer) {
-    if (election_.leading()) leader_.blocks()->OnAcknowledged(node, answer);
+                                        const wire::BlockAcknowledgement& acknowledgement) {
+    if (election_.leading()) leader_.block_coordinator()->OnAcknowledged(node, acknowledgement);
   };
 }
 
 void Controller::AddMembershipHooks(net::PeerMesh::Hooks* hooks) {
   hooks->on_link = [this](const std::string& node, bool connected) {
     membership_->OnLink(node, connected);
-    if (leader_.blocks() != nullptr) leader_.blocks()->OnLinkChanged(node);
+    if (leader_.block_coordinator() != nullptr) leader_.block_coordinator()->OnLinkChanged(node);
   };
   hooks->on_status_answered = [this](const std::string& node, double requested_at) {
     membership_->OnStatusAnswered(node, requested_at);
@@ -212,8 +212,8 @@
     return membership_->OnProbe(probe);
   };
   hooks->on_member_probe_response = [this](const std::string& node,
-                                           const wire::MemberProbeResponse& answer) {
-    membership_->OnProbeResponse(node, answer);
+                                           const wire::MemberProbeResponse& response) {
+    membership_->OnProbeResponse(node, response);
   };
   hooks->members_report = [this] { return membership_->Report(); };
 }
@@ -226,7 +226,7 @@
     return cancellations_.BuildReportRequest(node);
   };
   hooks->cancellation_report = [this](const wire::CancellationReportRequest& request) {
-    return cancellations_.Report(request);
+    return cancellations_.BuildReport(request);
   };
   hooks->on_cancellation_report = [this](const std::string& node, double requested_at,
                                          const wire::CancellationReport& report) {
--- a/src/controller/dependency_outcomes.cc
+++ b/src/controller/dependency_outcomes.cc
@@ -58,8 +58,8 @@
   } else {
     // Not found, because the end of the job has not reached the watch cache yet, or not readable.
     // The dependent jobs keep waiting.
-    async::Sleep pause(scope_, kRetryS);
-    co_await pause;
+    async::Sleep wait(scope_, kRetryS);
+    co_await wait;
   }
   reading_.erase(job);
   wake_.Notify();
--- a/src/controller/direct_command_queue.h
+++ b/src/controller/direct_command_queue.h
@@ -19,11 +19,11 @@
 
   // Removes all entries, at the start of a term.
   void Clear();
-  // Requests a command for a machine. Returns true if the machine is now active, in which case the
-  // caller must send its commands. Returns false if another command to it is in flight, after which
-  // the caller must send again, or if the maximum number of machines is active.
+  // Requests a command for a machine. Returns true if the machine has become active; the caller
+  // must then send its commands. Returns false if it was active already, which makes NeedsRepeat()
+  // true, or if the maximum number of machines is active, which makes the machine wait.
   bool Request(const std::string& machine);
-  // Called when an active machine's commands are computed: they include all requests so far.
+  // Called when an active machine's commands are computed: they cover all requests so far.
   void OnCommandsCollected(const std::string& machine) { requested_.erase(machine); }
   // True if commands were requested for an active machine since they were last computed.
   bool NeedsRepeat(const std::string& machine) const { return requested_.contains(machine); }
--- a/src/controller/heartbeat_handler.cc
+++ b/src/controller/heartbeat_handler.cc
@@ -21,7 +21,7 @@
   std::vector<model::WorkerCommand> commands;
   // A heartbeat that arrives after a newer one gets a response without commands.
   const bool is_newest = machine->IsNewestStatus(report);
-  if (is_newest) commands = commands_.CommandsFor(*machine, false);
+  if (is_newest) commands = command_source_.CommandsFor(*machine, false);
   // Recorded before the response is sent: from now on the worker may consider its lease renewed.
   registry_.OnResponseSent(report, commands, now);
   return {.status = kOk, .body = wire::WriteHeartbeatResponse(registry_.token(), commands)};
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -15,8 +15,11 @@
  public:
   // All references must outlive this object.
   HeartbeatHandler(const NodeServices& services, fleet::WorkerRegistry& registry,
-                   CommandSource& commands, RoundTrigger& trigger)
-      : services_(services), registry_(registry), commands_(commands), trigger_(trigger) {}
+                   CommandSource& command_source, RoundTrigger& trigger)
+      : services_(services),
+        registry_(registry),
+        command_source_(command_source),
+        trigger_(trigger) {}
 
   // Returns the response to a heartbeat: 200 with commands, which renews the worker's lease, or 421
   // if the worker knows a higher token, which ends our term. Requires that this node leads and that
@@ -26,7 +29,7 @@
  private:
   const NodeServices& services_;
   fleet::WorkerRegistry& registry_;
-  CommandSource& commands_;
+  CommandSource& command_source_;
   RoundTrigger& trigger_;
 };
 
--- a/src/controller/leader.cc
+++ b/src/controller/leader.cc
@@ -40,32 +40,32 @@
     : services_(services),
       registry_(RegistryOptions(*services.settings, *services.operator_options)),
       context_(MakeContext(services)),
-      commands_(services, registry_),
-      dispatcher_(services, registry_, commands_, trigger_),
-      heartbeats_(services, registry_, commands_, trigger_),
-      scaling_(services, registry_, context_, trigger_),
-      blocks_(services.operator_options->blocks.enabled
-                  ? std::make_unique<BlockCoordinator>(services, registry_, context_)
-                  : nullptr),
-      rounds_(services, {.registry = registry_,
-                         .context = context_,
-                         .commands = commands_,
-                         .dispatcher = dispatcher_,
-                         .scaling = scaling_,
-                         .trigger = trigger_,
-                         .blocks = blocks_.get()}) {}
+      command_source_(services, registry_),
+      command_dispatcher_(services, registry_, command_source_, trigger_),
+      heartbeat_handler_(services, registry_, command_source_, trigger_),
+      scaling_loop_(services, registry_, context_, trigger_),
+      block_coordinator_(services.operator_options->blocks.enabled
+                             ? std::make_unique<BlockCoordinator>(services, registry_, context_)
+                             : nullptr),
+      round_runner_(services, {.registry = registry_,
+                               .context = context_,
+                               .command_source = command_source_,
+                               .command_dispatcher = command_dispatcher_,
+                               .scaling_loop = scaling_loop_,
+                               .trigger = trigger_,
+                               .block_coordinator = block_coordinator_.get()}) {}
 
 void Leader::BeginTerm(async::Scope& term) {
   term_ = &term;
   const election::LeaderElection& election = *services_.election;
   registry_.BeginTerm(election.token(), term.loop().Now(), election.predecessor_answers_until());
   context_.machine_types = *services_.machine_types;
-  commands_.BeginTerm();
-  dispatcher_.BeginTerm(term);
-  rounds_.BeginTerm();
-  if (blocks_) blocks_->BeginTerm(term);
-  term.Spawn(rounds_.Run(term));
-  term.Spawn(scaling_.Run(term));
+  command_source_.BeginTerm();
+  command_dispatcher_.BeginTerm(term);
+  round_runner_.BeginTerm();
+  if (block_coordinator_) block_coordinator_->BeginTerm(term);
+  term.Spawn(round_runner_.Run(term));
+  term.Spawn(scaling_loop_.Run(term));
 }
 
 void Leader::OnJobChanged(const std::string& id) {
@@ -74,21 +74,21 @@
   if (job != nullptr && job->cancelled) {
     for (const auto& [number, task_group] : job->task_groups()) {
       for (const auto& [index, task] : task_group.open) {
-        if (!task.machine.empty()) dispatcher_.Send(task.machine);
+        if (!task.machine.empty()) command_dispatcher_.Send(task.machine);
       }
     }
   }
   if (job != nullptr && !job->blocked && job->priority <= model::Priority::kUrgent) {
-    rounds_.OnUrgentWork();
+    round_runner_.OnUrgentWork();
   }
   trigger_.Request();
 }
 
 void Leader::OnTaskGroupChanged(const store::TaskGroupKeyName& key) {
-  if (!blocks_ || !InTerm()) return;
+  if (!block_coordinator_ || !InTerm()) return;
   const jobs::Job* job = services_.job_table->Find(key.job);
   if (job == nullptr) return;
-  // The key names either one part of a group or the whole group.
+  // The key names either one part of a task group or the whole group.
   const uint32_t parts = job->groups.layout().parts_per_base_group;
   const uint32_t first = key.task_group * parts + key.part.value_or(0);
   const uint32_t end = key.part ? first + 1 : first + parts;
@@ -97,7 +97,7 @@
     for (const auto& [index, task] : it->second.open) {
       if (!task.machine.empty() &&
           fleet::IsStartDue(registry_, task.machine, {key.job, index}, task.attempt)) {
-        dispatcher_.Send(task.machine);
+        command_dispatcher_.Send(task.machine);
       }
     }
   }
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -32,35 +32,35 @@
   void BeginTerm(async::Scope& term);
   // Handles a change of a job's record, which the next round considers.
   void OnJobChanged(const std::string& id);
-  // Handles a change of a task group's record. If other nodes place tasks too, the leader learns
-  // this way which machines have tasks to start.
+  // Handles a change of a task group's record. If other nodes place tasks too, these changes tell
+  // the leader which machines have tasks to start.
   void OnTaskGroupChanged(const store::TaskGroupKeyName& key);
   // Requests a round after an event that it should consider, such as free capacity or the end of an
   // awaited job.
   void RequestRound() { trigger_.Request(); }
   // Returns the response to a worker's heartbeat (HeartbeatHandler::OnHeartbeat).
   wire::HttpResponse OnHeartbeat(const model::Heartbeat& report) {
-    return heartbeats_.OnHeartbeat(report);
+    return heartbeat_handler_.OnHeartbeat(report);
   }
   // Returns the number of machines that have reported and are not being terminated.
   size_t ReportingMachineCount() const;
   // Null if blocks are disabled.
-  BlockCoordinator* blocks() { return blocks_.get(); }
+  BlockCoordinator* block_coordinator() { return block_coordinator_.get(); }
 
  private:
-  // True while this node leads and after a term has been started here.
+  // True while this node leads, once BeginTerm() has been called.
   bool InTerm() const { return services_.election->leading() && term_ != nullptr; }
 
   const NodeServices& services_;
   fleet::WorkerRegistry registry_;
   plan::PlanningContext context_;
   RoundTrigger trigger_;
-  CommandSource commands_;
-  CommandDispatcher dispatcher_;
-  HeartbeatHandler heartbeats_;
-  ScalingLoop scaling_;
-  std::unique_ptr<BlockCoordinator> blocks_;
-  RoundRunner rounds_;
+  CommandSource command_source_;
+  CommandDispatcher command_dispatcher_;
+  HeartbeatHandler heartbeat_handler_;
+  ScalingLoop scaling_loop_;
+  std::unique_ptr<BlockCoordinator> block_coordinator_;
+  RoundRunner round_runner_;
   async::Scope* term_ = nullptr;
 };
 
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -1,6 +1,6 @@
-// The controller's answers to the election: the membership decides whether this node may become the
-// leader, the peers confirm outages, and the exchange of cancellations decides whether workers'
-// leases may be renewed.
+// The controller's implementation of the election's policy: the membership decides whether this
+// node may become the leader, the peers confirm outages, and the exchange of cancellations decides
+// whether workers' leases may be renewed.
 #pragma once
 
 #include <memory>
@@ -28,7 +28,8 @@
                        : std::vector<model::Precondition>();
   }
   double AcquireDelayS() const override { return membership_ ? membership_->AcquireDelayS() : 0; }
-  // Only with a membership does a leader yield because the state service refuses it alone.
+  // A leader gives up leadership because the state service refuses only its requests, but only if
+  // the membership is enabled.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
   bool OutageConfirmedByAll() const override { return peers_.AllPeersReportOutage(); }
--- a/src/controller/node_services.h
+++ b/src/controller/node_services.h
@@ -36,9 +36,9 @@
   // Returns the wall-clock time in seconds since the epoch.
   std::function<double()> time_of_day;
   // Returns the membership session of this process, or 0 if it has none.
-  std::function<uint64_t()> session;
+  std::function<uint64_t()> membership_session;
   // Sends a message over the link to a node; does nothing while there is no link.
-  std::function<void(const std::string& node, const wire::PeerMessage& message)> send;
+  std::function<void(const std::string& node, const wire::PeerMessage& message)> send_to_node;
 };
 
 }  // namespace hallpier::controller
--- a/src/controller/node_shutdown.cc
+++ b/src/controller/node_shutdown.cc
@@ -3,10 +3,10 @@
 namespace hallpier::controller {
 
 void NodeShutdown::Begin(membership::Service* membership, std::function<void()> done) {
-  if (routines_.cancelled() || begun_) return;
+  if (node_scope_.cancelled() || begun_) return;
   begun_ = true;
   if (membership != nullptr) {
-    scope_.Spawn(LeaveThenCancel(membership, std::move(done)));
+    shutdown_scope_.Spawn(LeaveThenCancel(membership, std::move(done)));
   } else {
     CancelThenJoin(std::move(done));
   }
@@ -19,12 +19,12 @@
 }
 
 void NodeShutdown::CancelThenJoin(std::function<void()> done) {
-  routines_.Cancel();
-  scope_.Spawn(Join(std::move(done)));
+  node_scope_.Cancel();
+  shutdown_scope_.Spawn(Join(std::move(done)));
 }
 
 async::Task<> NodeShutdown::Join(std::function<void()> done) {
-  co_await routines_.Join();
+  co_await node_scope_.Join();
   done();
 }
 
--- a/src/controller/node_shutdown.h
+++ b/src/controller/node_shutdown.h
@@ -12,8 +12,9 @@
 
 class NodeShutdown {
  public:
-  // `routines` is the scope of all coroutines of the node.
-  explicit NodeShutdown(async::Scope& routines) : routines_(routines), scope_(routines.loop()) {}
+  // `node_scope` is the scope of all coroutines of the node.
+  explicit NodeShutdown(async::Scope& node_scope)
+      : node_scope_(node_scope), shutdown_scope_(node_scope.loop()) {}
 
   // Starts the shutdown; a repeated call does nothing. `membership` is null if it is disabled.
   // `done` is called after all coroutines of the node have ended.
@@ -24,8 +25,8 @@
   void CancelThenJoin(std::function<void()> done);
   async::Task<> Join(std::function<void()> done);
 
-  async::Scope& routines_;
-  async::Scope scope_;  // of the shutdown's coroutines, which outlive the node's
+  async::Scope& node_scope_;
+  async::Scope shutdown_scope_;  // of the shutdown's coroutines, which outlive the node's
   bool begun_ = false;
 };
 
--- a/src/controller/oversized_writes.h
+++ b/src/controller/oversized_writes.h
@@ -17,9 +17,9 @@
   // Removes all entries, at the start of a term.
   void Clear();
   // Records that a transaction of these writes was rejected. If the first key was not isolated yet,
-  // isolates all keys, so that their writes share no transaction with others from now on, and
-  // returns false. If it was, the writes are not sent again while they have the same sizes; returns
-  // true.
+  // isolates all their keys and returns false: from now on each of these writes shares no
+  // transaction with others. If the first key was isolated already, marks the writes as rejected
+  // (IsRejected), so that they are not sent again while they have the same sizes, and returns true.
   bool OnRejected(const std::vector<model::KeyWrite>& writes);
   // True if these writes were rejected in an isolated transaction, with the same sizes.
   bool IsRejected(const std::vector<model::KeyWrite>& writes) const;
@@ -27,8 +27,8 @@
   const std::set<std::string>& isolated_keys() const { return isolated_keys_; }
 
  private:
-  // The parts of a write that a rejection for size depends on. Values are not compared, so other
-  // times in a final record make no difference.
+  // The properties of a write that a rejection for size depends on. Values are not compared, so a
+  // final record that differs only in its times counts as the same write.
   struct WriteSize {
     std::string key;
     size_t value_bytes;
--- a/src/controller/record_dispatcher.cc
+++ b/src/controller/record_dispatcher.cc
@@ -43,9 +43,9 @@
 
 void RecordDispatcher::OnMember(const std::string& node, const std::string& value) {
   if (membership_) membership_->OnRecord(node, value);
-  if (leader_.blocks() == nullptr) return;
-  leader_.blocks()->OnMemberRecord(node,
-                                   value.empty() ? std::nullopt : membership::ReadMember(value));
+  if (leader_.block_coordinator() == nullptr) return;
+  leader_.block_coordinator()->OnMemberRecord(
+      node, value.empty() ? std::nullopt : membership::ReadMember(value));
 }
 
 void RecordDispatcher::OnBlockAssignment(const std::string& key, const std::string& value) {
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -56,7 +56,7 @@
   const double started_at = services_.scope->loop().Now();
   const bool from_user = request.path() != kHeartbeatPath && request.path() != kReadyPath;
   wire::HttpResponse response = co_await Route(std::move(request));
-  // If the data was read before a pause of the process, another node may have returned newer data
+  // If the process was paused after it had read the data, another node may have returned newer data
   // in the meantime.
   const bool succeeded = response.status < kFirstErrorStatus;
   if (from_user && succeeded && services_.scope->loop().resumed_at() > started_at) {
--- a/src/controller/round_runner.cc
+++ b/src/controller/round_runner.cc
@@ -59,16 +59,16 @@
 
 }  // namespace
 
-RoundRunner::RoundRunner(const NodeServices& services, Parts parts)
+RoundRunner::RoundRunner(const NodeServices& services, Components components)
     : services_(services),
-      parts_(parts),
+      components_(components),
       committer_(services, CommitHooks()),
       replan_policy_(kBackgroundIntervalRatio * services.settings->heartbeat_interval_s) {}
 
 TransactionCommitter::Hooks RoundRunner::CommitHooks() {
   TransactionCommitter::Hooks hooks;
   hooks.should_replan = [this](const jobs::Transaction& transaction) {
-    return replan_policy_.ShouldReplan(transaction, parts_.trigger.requested(),
+    return replan_policy_.ShouldReplan(transaction, components_.trigger.requested(),
                                        services_.scope->loop().Now());
   };
   hooks.describe = [this](const jobs::Transaction& transaction) {
@@ -77,22 +77,24 @@
   hooks.on_committed = [this](const jobs::Transaction& transaction) {
     RecordFinishedJobs(transaction.writes, *services_.job_table);
   };
-  hooks.on_placed = [this](const std::string& machine) { parts_.dispatcher.Send(machine); };
-  hooks.on_not_written = [this] { parts_.trigger.Request(); };
+  hooks.on_placed = [this](const std::string& machine) {
+    components_.command_dispatcher.Send(machine);
+  };
+  hooks.on_not_written = [this] { components_.trigger.Request(); };
   return hooks;
 }
 
 void RoundRunner::BeginTerm() {
   replan_policy_.OnRoundStarted();
   committer_.Reset();
-  parts_.trigger.Request();  // for the unfinished work of the previous leader
+  components_.trigger.Request();  // for the unfinished work of the previous leader
 }
 
 async::Task<> RoundRunner::Run(async::Scope& term) {
   while (!term.cancelled()) {
     co_await AwaitNextRound(term);
     if (term.cancelled()) break;
-    parts_.trigger.Clear();
+    components_.trigger.Clear();
     co_await RunRound(term);
   }
 }
@@ -102,26 +104,26 @@
       RoundGapS(*services_.settings, *services_.operator_options, last_planning_s_);
   async::Sleep gap(term, gap_s);
   co_await gap;
-  if (!parts_.trigger.requested()) {
+  if (!components_.trigger.requested()) {
     auto wait =
-        parts_.trigger.Await(term, std::max(0.0, services_.operator_options->round_s - gap_s));
+        components_.trigger.Await(term, std::max(0.0, services_.operator_options->round_s - gap_s));
     co_await wait;
   }
-  // Checked last: the process may have been paused during any of the waits above.
-  while (!term.cancelled() && !parts_.commands.CacheIsCurrent()) {
+  // The cache is checked last: the process may have been paused during any of the waits above.
+  while (!term.cancelled() && !components_.command_source.CacheIsCurrent()) {
     auto wait = services_.cache->changed().Await(term, services_.settings->heartbeat_interval_s);
     co_await wait;
   }
 }
 
 async::Task<bool> RoundRunner::PrepareRound(async::Scope& term) {
-  if (fleet::NeedsHigherToken(parts_.registry, *services_.job_table)) {
+  if (fleet::NeedsHigherToken(components_.registry, *services_.job_table)) {
     const bool raised = co_await services_.election->RaiseToken();
-    if (raised) parts_.registry.SetToken(services_.election->token());
+    if (raised) components_.registry.SetToken(services_.election->token());
   }
   const bool resolved =
       co_await committer_.ResolveUnanswered(term, services_.operator_options->round_s);
-  if (!resolved) parts_.trigger.Request();
+  if (!resolved) components_.trigger.Request();
   co_return resolved;
 }
 
@@ -130,45 +132,47 @@
   if (!prepared) co_return;
   const double started_at = term.loop().Now();
   replan_policy_.OnRoundStarted();
-  parts_.registry.UpdateObservations(*services_.job_table);
+  components_.registry.UpdateObservations(*services_.job_table);
   std::vector<jobs::TaskTransition> transitions =
-      fleet::CollectTaskTransitions(parts_.registry, *services_.job_table, started_at);
+      fleet::CollectTaskTransitions(components_.registry, *services_.job_table, started_at);
   LogRequeued(transitions);
   std::optional<plan::PlacementScope> scope;
-  if (parts_.blocks != nullptr && parts_.blocks->has_owners())
-    scope = parts_.blocks->AllMachinesScope();
+  if (components_.block_coordinator != nullptr && components_.block_coordinator->has_owners())
+    scope = components_.block_coordinator->AllMachinesScope();
   const plan::PlacementScope* plan_scope = scope ? &*scope : nullptr;
   plan::RoundResult plan = Plan(started_at, plan_scope);
-  parts_.scaling.SetDemands(std::move(plan.demands));
+  components_.scaling_loop.SetDemands(std::move(plan.demands));
   RequestPreemptions(plan.preemptions);
   PlacementDecision decision = co_await DecidePlacements(term, plan, plan_scope);
   if (term.cancelled()) co_return;
   for (const std::string& job : plan.retried_jobs) {
     spdlog::info("retry: one task of a job that fails on every machine job={}", job);
-    parts_.registry.failure_tracker().OnRetry(job, started_at);
+    components_.registry.failure_tracker().OnRetry(job, started_at);
   }
   LogRound(plan, decision.placements);
-  // All transitions of a task group are combined into one write: the state service's write rate is
-  // limited.
+  // Placements and other transitions are committed together: all transitions of a task group are
+  // combined into one write, since the state service's write rate is limited.
   std::move(decision.placements.begin(), decision.placements.end(),
             std::back_inserter(transitions));
   co_await Commit(term, std::move(transitions), std::move(decision.preconditions));
 }
 
 plan::RoundResult RoundRunner::Plan(double started_at, const plan::PlacementScope* scope) {
-  plan::RoundResult plan = plan::PlanRound(parts_.context, *services_.job_table, parts_.registry,
-                                           started_at, services_.time_of_day(), scope);
+  plan::RoundResult plan =
+      plan::PlanRound(components_.context, *services_.job_table, components_.registry, started_at,
+                      services_.time_of_day(), scope);
   last_planning_s_ = services_.scope->loop().Now() - started_at;
   return plan;
 }
 
 void RoundRunner::RequestPreemptions(const std::vector<plan::Preemption>& preemptions) {
   for (const plan::Preemption& preemption : preemptions) {
-    parts_.registry.stop_requests().Add(preemption.task, preemption.attempt, preemption.grace_s);
+    components_.registry.stop_requests().Add(preemption.task, preemption.attempt,
+                                             preemption.grace_s);
     spdlog::debug("preempt: task={} attempt={} machine={} reason={}",
                   model::TaskName(preemption.task), preemption.attempt, preemption.machine,
                   preemption.for_job.empty() ? "spot notice" : "for job " + preemption.for_job);
-    parts_.dispatcher.Send(preemption.machine);
+    components_.command_dispatcher.Send(preemption.machine);
   }
 }
 
@@ -176,30 +180,32 @@
     async::Scope& term, plan::RoundResult& plan, const plan::PlacementScope* scope) {
   PlacementDecision decision;
   decision.preconditions = {store::FencingTokenPrecondition(services_.election->token())};
-  if (parts_.blocks == nullptr) {
+  if (components_.block_coordinator == nullptr) {
     decision.placements = std::move(plan.placements);
     co_return decision;
   }
-  co_await parts_.blocks->ReviewAfterRound(plan, scope);
+  co_await components_.block_coordinator->ReviewAfterRound(plan, scope);
   if (term.cancelled()) co_return decision;
-  if (scope == nullptr && parts_.blocks->MayPlaceOnAllMachines()) {
+  if (scope == nullptr && components_.block_coordinator->MayPlaceOnAllMachines()) {
     decision.placements = std::move(plan.placements);
     co_return decision;
   }
-  const std::optional<size_t> owner = parts_.blocks->OwnerIndex(services_.session());
+  const std::optional<size_t> owner =
+      components_.block_coordinator->OwnerIndex(services_.membership_session());
   if (!owner) {
-    // The watch cache has not passed the latest writes yet, or this node holds no block.
-    parts_.trigger.Request();
+    // The watch cache does not contain the latest writes yet, or this node owns no block.
+    components_.trigger.Request();
     co_return decision;
   }
   co_return PlaceOnOwnBlock(*owner);
 }
 
 RoundRunner::PlacementDecision RoundRunner::PlaceOnOwnBlock(size_t owner) {
-  const plan::PlacementScope own_scope = parts_.blocks->OwnerScope(owner);
+  const plan::PlacementScope own_scope = components_.block_coordinator->OwnerScope(owner);
   const double started_at = services_.scope->loop().Now();
-  plan::RoundResult plan = plan::PlanRound(parts_.context, *services_.job_table, parts_.registry,
-                                           started_at, services_.time_of_day(), &own_scope);
+  plan::RoundResult plan =
+      plan::PlanRound(components_.context, *services_.job_table, components_.registry, started_at,
+                      services_.time_of_day(), &own_scope);
   last_planning_s_ += services_.scope->loop().Now() - started_at;
   return {std::move(plan.placements), services_.block_records->PlacementPreconditions(owner)};
 }
@@ -207,11 +213,12 @@
 async::Task<> RoundRunner::Commit(async::Scope& term, std::vector<jobs::TaskTransition> transitions,
                                   std::vector<model::Precondition> preconditions) {
   if (services_.formats->change_pending()) {
-    parts_.trigger.Request();
+    components_.trigger.Request();
     co_return;
   }
   jobs::TransactionLimits limits = committer_.Limits(std::move(preconditions));
-  limits.concurrent_placement = parts_.blocks != nullptr && parts_.blocks->has_owners();
+  limits.concurrent_placement =
+      components_.block_coordinator != nullptr && components_.block_coordinator->has_owners();
   auto version = [this](const std::string& key) { return services_.cache->Version(key); };
   auto transactions = jobs::BuildTransactions(*services_.job_table, transitions, limits, version);
   LogTransactions(transactions);
--- a/src/controller/round_runner.h
+++ b/src/controller/round_runner.h
@@ -25,16 +25,16 @@
 class RoundRunner {
  public:
   // The other components of the leader, which must outlive this object.
-  struct Parts {
+  struct Components {
     fleet::WorkerRegistry& registry;
     plan::PlanningContext& context;
-    CommandSource& commands;
-    CommandDispatcher& dispatcher;
-    ScalingLoop& scaling;
+    CommandSource& command_source;
+    CommandDispatcher& command_dispatcher;
+    ScalingLoop& scaling_loop;
     RoundTrigger& trigger;
-    BlockCoordinator* blocks;  // null if blocks are disabled
+    BlockCoordinator* block_coordinator;  // null if blocks are disabled
   };
-  RoundRunner(const NodeServices& services, Parts parts);
+  RoundRunner(const NodeServices& services, Components components);
 
   // Starts a term.
   void BeginTerm();
@@ -53,8 +53,8 @@
   // Waits until a round is due and the watch cache is current.
   async::Task<> AwaitNextRound(async::Scope& term);
   async::Task<> RunRound(async::Scope& term);
-  // Voids lost start commands that block progress, and resolves transactions without a response.
-  // Returns false if no round can be planned yet.
+  // Raises the token if lost start commands block progress, since a higher token invalidates them.
+  // Resolves transactions without a response. Returns false if no round can be planned yet.
   async::Task<bool> PrepareRound(async::Scope& term);
   plan::RoundResult Plan(double started_at, const plan::PlacementScope* scope);
   void RequestPreemptions(const std::vector<plan::Preemption>& preemptions);
@@ -71,7 +71,7 @@
                 const std::vector<jobs::TaskTransition>& placements) const;
 
   const NodeServices& services_;
-  const Parts parts_;
+  const Components components_;
   TransactionCommitter committer_;
   ReplanPolicy replan_policy_;
   double last_planning_s_ = 0;  // planning time of the last round
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -71,8 +71,8 @@
       rate_limiter_.Acquire(term.loop().Now(), 1, store::RequestPriority::kUrgent, kCloudTimeoutS);
   if (wait_s < 0) co_return std::nullopt;
   if (wait_s > 0) {
-    async::Sleep pause(term, wait_s);
-    co_await pause;
+    async::Sleep wait(term, wait_s);
+    co_await wait;
   }
   const bool repeatable = request.method == "GET";
   // During the wait, another node may have become the leader, or a pause of the process may have
@@ -168,7 +168,7 @@
                                    max_requests, term.loop().Now());
   requests = fleet::Autoscaler::LimitBooting(registry_, context_.machine_types, term.loop().Now(),
                                              std::move(requests));
-  // Pools without remaining capacity are not requested from again.
+  // Pools without remaining capacity, from which no further machines are requested.
   std::set<CapacityPool> exhausted;
   for (const model::ScaleOutRequest& request : requests) {
     if (exhausted.contains(CapacityPoolOf(request))) continue;
@@ -179,15 +179,16 @@
     autoscaler_.OnCapacityShortage(request, term.loop().Now());
     exhausted.insert(CapacityPoolOf(request));
   }
-  // Demands that rounds have set in the meantime do not account for these machines yet.
+  // Demands that rounds have set in the meantime do not account for these machines yet, so they are
+  // cleared too.
   demands_.clear();
 }
 
 async::Task<ScalingLoop::RentResult> ScalingLoop::Rent(async::Scope& term,
                                                        model::ScaleOutRequest request) {
-  wire::HttpRequest call{
+  wire::HttpRequest http_request{
       .method = "POST", .target = "/rentals", .body = wire::WriteScaleOutRequest(request)};
-  auto response = co_await CallCloud(term, std::move(call));
+  auto response = co_await CallCloud(term, std::move(http_request));
   if (!response) {
     spdlog::warn("scale out: no answer request={}", request.request);
     co_return RentResult::kFailed;
@@ -258,8 +259,8 @@
     }
     co_await ScaleIn(term);
     if (listed) co_await ScaleOut(term);
-    async::Sleep pause(term, seconds_per_call);
-    co_await pause;
+    async::Sleep wait(term, seconds_per_call);
+    co_await wait;
   }
 }
 
--- a/src/controller/scaling_loop.h
+++ b/src/controller/scaling_loop.h
@@ -32,11 +32,11 @@
 
   // Runs during a term: ends when the scope is cancelled or this node resigns leadership.
   async::Task<> Run(async::Scope& term);
-  // Sets the machines that the last round would have used.
+  // Sets the machines that the last round would have used if they had been available.
   void SetDemands(std::vector<plan::CapacityDemand> demands) { demands_ = std::move(demands); }
 
  private:
-  // Calls the cloud within its rate limit. Returns std::nullopt if there was no response or the
+  // Calls the cloud API within its rate limit. Returns std::nullopt if there was no response or the
   // call was not made.
   async::Task<std::optional<wire::HttpResponse>> CallCloud(async::Scope& term,
                                                            wire::HttpRequest request);
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -56,11 +56,11 @@
     async::Scope& scope, const jobs::Transaction& transaction, double max_wait_s) {
   std::vector<std::string> log_lines;
   if (hooks_.describe) log_lines = hooks_.describe(transaction);
-  const auto urgent = transaction.priority <= jobs::WritePriority::kJobEnd
-                          ? store::RequestPriority::kUrgent
-                          : store::RequestPriority::kNormal;
+  const auto request_priority = transaction.priority <= jobs::WritePriority::kJobEnd
+                                    ? store::RequestPriority::kUrgent
+                                    : store::RequestPriority::kNormal;
   auto result = co_await services_.client->Commit(transaction.preconditions, transaction.writes,
-                                                  urgent, max_wait_s);
+                                                  request_priority, max_wait_s);
   if (scope.cancelled()) co_return Outcome::kNoAnswer;
   if (result.ok()) {
     for (const std::string& line : log_lines) spdlog::info("{}", line);
@@ -104,8 +104,8 @@
     std::vector<std::string> failed_keys) {
   const bool all_read = co_await Refresh(scope, std::move(failed_keys));
   if (scope.cancelled()) co_return Outcome::kNoAnswer;
-  // The conflicting write may be an earlier copy of this transaction; then there are tasks to
-  // start.
+  // The conflicting write may be an earlier copy of this transaction; in that case its placements
+  // are recorded and there are tasks to start.
   NotifyPlaced(transaction);
   co_return all_read ? Outcome::kSuperseded : Outcome::kNotApplied;
 }
@@ -116,7 +116,7 @@
   // write would fail in every round, along with all writes that follow it.
   bool all_read = true;
   for (const std::string& key : keys) {
-    // Only the election determines which node holds the token.
+    // Only the election determines the token and the node that holds it.
     if (key == store::FencingTokenKey()) continue;
     const bool read = co_await services_.cache->Refresh(key);
     if (scope.cancelled()) co_return false;
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -46,10 +46,11 @@
   // anything that was not written, based on the records at that time.
   async::Task<> Commit(async::Scope& scope, std::vector<jobs::Transaction> transactions,
                        double budget_s);
-  // Resends the transactions that got no response; returns false if one still has none. Placements
-  // without a response may be executed at any time, so until their outcome is known neither quota
-  // usage nor the tasks per zone can be counted. Resending settles the outcome: afterwards they
-  // either count or can never count, since both copies have the same preconditions.
+  // Resends the transactions that got no response; returns false if one of them still has an
+  // unknown outcome. Placements without a response may be executed at any time, so until their
+  // outcome is known neither quota usage nor the tasks per zone can be counted. Resending settles
+  // the outcome: afterwards the placements either are recorded or can never be, since both copies
+  // of the transaction have the same preconditions.
   async::Task<bool> ResolveUnanswered(async::Scope& scope, double budget_s);
 
  private:
@@ -65,10 +66,13 @@
                             double max_wait_s);
   void OnCommitted(const jobs::Transaction& transaction, uint64_t revision);
   void OnMalformed(const std::vector<model::KeyWrite>& writes);
-  // Handles a failed precondition: reads the keys again.
+  // Handles failed preconditions: reads their keys again.
   async::Task<Outcome> OnConflict(async::Scope& scope, const jobs::Transaction& transaction,
                                   std::vector<std::string> failed_keys);
+  // Reads the keys into the watch cache, except for that of the fencing token. Returns false if one
+  // of them could not be read.
   async::Task<bool> Refresh(async::Scope& scope, std::vector<std::string> keys) const;
+  // Calls `on_placed` for each machine of the transaction.
   void NotifyPlaced(const jobs::Transaction& transaction) const;
 
   const NodeServices& services_;
--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -10,8 +10,8 @@
 constexpr double kMaxClockDriftRatio = 0.001;
 // Share of a heartbeat interval that covers clock steps and late timers.
 constexpr double kTimerMarginRatio = 1.0 / 3;
-// A watch without events is answered once per heartbeat interval. A watch cache that has not been
-// confirmed for this many intervals is stale.
+// A watch without events is answered once per heartbeat interval. A watch cache is stale if the
+// time as of which it was last confirmed is more than this many intervals ago.
 constexpr double kMaxQuietHeartbeats = 1.5;
 // Share of the renewal bound after which an unconfirmed watch cache is stale in any case, so that
 // reports are requested before the bound is reached.
@@ -22,9 +22,9 @@
   const double bound = options.cancel_s * (1 - kMaxClockDriftRatio) -
                        options.lease_s * (1 + kMaxClockDriftRatio) -
                        kTimerMarginRatio * options.heartbeat_interval_s;
-  // If cancel_s leaves no time besides one lease, leases alone can't guarantee cancel_s. A leader
-  // whose watch is answered must still not stop answering workers between two responses of the
-  // watch.
+  // If cancel_s leaves no time besides one lease, leases alone can't guarantee cancel_s. The bound
+  // has a minimum nevertheless: a leader whose watch is answered must not stop answering workers
+  // between two responses of the watch.
   return std::max(bound, kMaxQuietHeartbeats * options.heartbeat_interval_s);
 }
 
@@ -41,8 +41,9 @@
 
 wire::CancellationReportRequest CancellationWatermark::BuildReportRequest(const std::string& node,
                                                                           uint64_t revision) const {
-  // Revisions are the same on all nodes. Therefore this node knows what one process of the other
-  // node has reported, even if another process of that node answers the next request.
+  // A revision means the same on all nodes and in all their processes. What was reported up to a
+  // revision therefore need not be reported again, even if another process of that node answers
+  // this request.
   return {std::max(revision, reports_.at(node).known_through)};
 }
 
@@ -57,12 +58,13 @@
 
 double CancellationWatermark::Watermark(double now) const {
   // Only the node itself can report which cancellations it has acknowledged: once it has lost its
-  // connections to the other nodes and the state service, no other node knows. So the oldest report
-  // decides.
+  // connections to the other nodes and to the state service, no other node can report them. So the
+  // oldest report decides.
   double oldest_report_at = now;  // without other nodes, all acknowledged cancellations are known
   for (const auto& [node, report] : reports_) {
     oldest_report_at = std::min(oldest_report_at, report.complete_at);
   }
+  // A confirmed watch cache needs no reports: a cancellation is recorded before it is acknowledged.
   return std::max(cache_confirmed_at_, oldest_report_at);
 }
 
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -11,8 +11,9 @@
 // Safety of the bound: a task ends at the latest when the lease from the last answered heartbeat
 // expires. A cancellation that this leader does not know was acknowledged after the watermark.
 // Therefore, if the last response is given no later than cancel_s minus one lease after the
-// watermark, every such task has ended within cancel_s of the acknowledgement; see
-// renewal_bound_s().
+// watermark, every task of such a cancellation has ended within cancel_s of the acknowledgement.
+// renewal_bound_s() applies this limit, but has a minimum: if cancel_s leaves less time than that,
+// leases alone don't guarantee cancel_s.
 #pragma once
 
 #include <map>
@@ -35,7 +36,8 @@
 
   // Called when this node's watch cache is known to contain everything recorded by `as_of`.
   void OnCacheConfirmed(double as_of);
-  // Returns the request to a node. `revision`: this node's watch cache is complete up to it.
+  // Returns the report request to send to a node. `revision`: this node's watch cache is complete
+  // up to it.
   wire::CancellationReportRequest BuildReportRequest(const std::string& node,
                                                      uint64_t revision) const;
   // Called with a node's response to a request that was sent at `requested_at`. Requires that the
--- a/src/election/election_policy.h
+++ b/src/election/election_policy.h
@@ -28,8 +28,7 @@
   // none.
   virtual double AcquireDelayS() const { return 0; }
   // Returns true if the lease of an ended term may be revoked via a peer. A node that gives up
-  // leadership because the state service refuses only its requests can't revoke the lease
-  // otherwise.
+  // leadership because the state service refuses only its requests has no other way to revoke it.
   virtual bool MayRevokeViaPeer() const { return false; }
   // Returns true if workers' leases may be renewed without ignoring an acknowledged cancellation
   // (election/cancellation_watermark.h).
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -44,23 +44,24 @@
 
 bool LeaderElection::MayAct() const {
   if (!leading() || lost_) return false;
-  // The lease has expired although no renewal has failed: this process was paused or is far behind.
-  // Another node may have become leader since. The next renewal shows whether one has; until then
-  // nothing is answered, since the state from before the pause may be outdated.
+  // No renewal has failed, but the last one is so old that the lease has expired: this process was
+  // paused or is far behind. Another node may have become leader since. The next renewal shows
+  // whether one has; until then no worker is answered, since the state from before the pause may be
+  // outdated.
   if (!renewal_failing_ && scope_.loop().Now() > last_renewal_ + MaxRenewalGapS()) return false;
   // Even if this node is still the leader, renewing workers' leases while it may not know a
   // cancellation would keep cancelled tasks running (election/cancellation_watermark.h).
   if (!policy_.MayRenewWorkerLeases()) return false;
   // Without the state service this node can't know whether another node has become leader. It
   // continues to answer workers for a fixed share of the workers' lease, so that running tasks
-  // survive an outage. This is safe because a successor waits that long (predecessor_answers_until)
-  // before it relies on the expiry of a lease. It does not hold after a pause: the outage may have
-  // ended in the meantime.
+  // survive an outage. This is safe because a successor waits that long from the start of its term
+  // (predecessor_answers_until) before it relies on the expiry of a worker's lease. After a pause
+  // this node does not continue in this way: the outage may have ended in the meantime.
   const bool paused = scope_.loop().resumed_at() > last_renewal_;
   if (!paused && scope_.loop().Now() < last_renewal_ + OutageAnswerWindowS()) return true;
-  // After that, workers are answered only while every other node currently confirms the outage, so
-  // that no successor can exist. A majority is not enough: the node that does not answer may be the
-  // new leader.
+  // After a pause or after that share of the lease, workers are answered only while every other
+  // node currently confirms the outage, so that no successor can exist. A majority is not enough:
+  // the node that does not answer may be the new leader.
   return policy_.OutageConfirmedByAll();
 }
 
@@ -69,17 +70,18 @@
 }
 
 void LeaderElection::OnNodeFailed(const std::string& node) {
-  if (leading() || !record_ || record_->node != node) return;
-  if (failed_node_lease_id_ == record_->lease_id) return;
+  if (leading() || !leader_record_ || leader_record_->node != node) return;
+  if (failed_node_lease_id_ == leader_record_->lease_id) return;
   spdlog::warn("failover: revoking leader lease node={} reason=process has probably ended", node);
-  failed_node_lease_id_ = record_->lease_id;
+  failed_node_lease_id_ = leader_record_->lease_id;
   wake_.Notify();
 }
 
 void LeaderElection::OnLeaderRecord(const std::string& value) {
-  record_.reset();
-  if (!value.empty()) record_ = store::RecordOrLog(store::LeaderKey(), store::ReadLeader(value));
-  if (leading() && (!record_ || record_->lease_id != lease_id_)) {
+  leader_record_.reset();
+  if (!value.empty())
+    leader_record_ = store::RecordOrLog(store::LeaderKey(), store::ReadLeader(value));
+  if (leading() && (!leader_record_ || leader_record_->lease_id != lease_id_)) {
     spdlog::warn("failover: leadership lost token={} reason=leader record replaced",
                  token_.value());
     lost_ = true;
@@ -88,7 +90,9 @@
 }
 
 void LeaderElection::OnTokenSeen(model::FencingToken token) {
-  // While this node raises its token, other nodes may learn of the new token first.
+  // While this node raises its token, other nodes may learn of the new token first, so a higher
+  // token does not end the term. If the write fails, RaiseToken() checks the token in the watch
+  // cache.
   if (!leading() || lost_ || raising_token_ || token <= token_) return;
   spdlog::warn("failover: leadership lost token={} reason=higher token {} seen", token_.value(),
                token.value());
@@ -133,21 +137,22 @@
   for (model::Precondition& precondition : policy_.AcquirePreconditions()) {
     preconditions.push_back(std::move(precondition));
   }
-  const std::string leader = store::WriteLeader({settings_.node, lease_id.value});
+  const std::string leader_record = store::WriteLeader({settings_.node, lease_id.value});
   const std::string token_record = store::WriteFencingTokenRecord(settings_.node);
-  std::vector<model::KeyWrite> writes = {{store::LeaderKey(), leader, lease_id.value},
+  std::vector<model::KeyWrite> writes = {{store::LeaderKey(), leader_record, lease_id.value},
                                          {store::FencingTokenKey(), token_record, 0}};
   auto result = co_await client_.Commit(std::move(preconditions), std::move(writes),
                                         store::RequestPriority::kUrgent);
   if (!result.ok()) {
     // If there was no response, the transaction may have been applied or may still be applied. It
-    // can't be applied once the lease is revoked.
+    // can't be applied once the lease is revoked. If the lease can't be revoked now, the leader
+    // record that the transaction may leave behind is removed later (OrphanedLease).
     auto revoked = co_await client_.RevokeLease(lease_id.value);
     (void)revoked;
     co_return false;
   }
   BeginTerm(model::FencingToken(result.value.revision), lease_id.value, requested_at);
-  cache_.ApplyAheadOfWatch(store::LeaderKey(), leader, token_.value());
+  cache_.ApplyAheadOfWatch(store::LeaderKey(), leader_record, token_.value());
   cache_.ApplyAheadOfWatch(store::FencingTokenKey(), token_record, token_.value());
   spdlog::info("failover: leadership acquired token={}", token_.value());
   co_return true;
@@ -155,8 +160,8 @@
 
 void LeaderElection::BeginTerm(model::FencingToken token, uint64_t lease_id, double requested_at) {
   // The window counts from now. The duration of the former leader's lease must not be subtracted,
-  // since that lease may have been revoked a moment ago (OnNodeFailed). This also applies if this
-  // node was the leader before a restart: the predecessor of its former process may still be
+  // since that lease may have been revoked a moment ago (OnNodeFailed). The window is also needed
+  // if this node itself was the leader before a restart: the leader before that term may still be
   // answering workers.
   predecessor_answers_until_ = scope_.loop().Now() + OutageAnswerWindowS();
   lease_id_ = lease_id;
@@ -187,11 +192,11 @@
 async::Task<> LeaderElection::RenewUntilLost() {
   while (!scope_.cancelled() && !lost_) {
     const bool paused = scope_.loop().resumed_at() > last_renewal_;
-    auto pause = wake_.Await(scope_, paused && !renewal_failing_ ? 0 : RenewalIntervalS());
-    co_await pause;
+    auto wait = wake_.Await(scope_, paused && !renewal_failing_ ? 0 : RenewalIntervalS());
+    co_await wait;
     if (scope_.cancelled() || lost_) break;
-    const double since = scope_.loop().Now() - last_renewal_;
-    if (!paused && since < RenewalIntervalS() * kMinRenewalWaitRatio) continue;
+    const double since_renewal_s = scope_.loop().Now() - last_renewal_;
+    if (!paused && since_renewal_s < RenewalIntervalS() * kMinRenewalWaitRatio) continue;
     co_await Renew();
   }
   lost_ = true;
@@ -219,19 +224,19 @@
 
 async::Task<> LeaderElection::AwaitRecordRemoval(uint64_t lease_id, bool revoked) {
   // The watch may have delivered the removal before the response arrived.
-  if (revoked && (!record_ || record_->lease_id != lease_id)) co_return;
-  auto pause = wake_.Await(scope_, RenewalIntervalS());
-  co_await pause;
+  if (revoked && (!leader_record_ || leader_record_->lease_id != lease_id)) co_return;
+  auto wait = wake_.Await(scope_, RenewalIntervalS());
+  co_await wait;
 }
 
 std::optional<uint64_t> LeaderElection::OrphanedLease() const {
-  if (!record_) return std::nullopt;
-  // A record with this node's name was left by a former process of this node, or by a transaction
-  // of this process that got no response. Only one process runs per node, so no other process acts
-  // under this record.
-  const bool own = record_->node == settings_.node;
-  if (!own && record_->lease_id != failed_node_lease_id_) return std::nullopt;
-  return record_->lease_id;
+  if (!leader_record_) return std::nullopt;
+  // A record with this node's name was left by a former process of this node, by a transaction of
+  // this process that got no response, or by an ended term whose lease could not be revoked. Only
+  // one process runs per node, so no other process acts under this record.
+  const bool is_own_record = leader_record_->node == settings_.node;
+  if (!is_own_record && leader_record_->lease_id != failed_node_lease_id_) return std::nullopt;
+  return leader_record_->lease_id;
 }
 
 async::Task<> LeaderElection::RevokeOrphanedLease(uint64_t lease_id) {
@@ -241,21 +246,21 @@
 
 async::Task<bool> LeaderElection::AwaitEligibility() {
   const double now = scope_.loop().Now();
-  if (record_ || now < earliest_reacquire_) {
-    auto pause = wake_.Await(scope_, record_ ? LeaseTtlS() : earliest_reacquire_ - now);
-    co_await pause;
+  if (leader_record_ || now < earliest_reacquire_) {
+    auto wait = wake_.Await(scope_, leader_record_ ? LeaseTtlS() : earliest_reacquire_ - now);
+    co_await wait;
     co_return false;
   }
   if (!policy_.MayBecomeLeader()) {
-    auto pause = wake_.Await(scope_, RenewalIntervalS());
-    co_await pause;
+    auto wait = wake_.Await(scope_, RenewalIntervalS());
+    co_await wait;
     co_return false;
   }
   const double delay_s = policy_.AcquireDelayS();
   if (delay_s <= 0) co_return true;
-  auto pause = wake_.Await(scope_, delay_s);
-  co_await pause;
-  co_return !record_ && !scope_.cancelled();
+  auto wait = wake_.Await(scope_, delay_s);
+  co_await wait;
+  co_return !leader_record_ && !scope_.cancelled();
 }
 
 async::Task<> LeaderElection::AcquireAndRunTerm() {
@@ -264,15 +269,15 @@
     co_await RunTerm();
     co_return;
   }
-  async::Sleep pause(scope_, RenewalIntervalS() * retry_jitter_(random_));
-  co_await pause;
+  async::Sleep wait(scope_, RenewalIntervalS() * retry_jitter_(random_));
+  co_await wait;
 }
 
 async::Task<> LeaderElection::Run() {
   while (!scope_.cancelled()) {
     if (!cache_.loaded()) {
-      auto pause = cache_.changed().Await(scope_, LeaseTtlS());
-      co_await pause;
+      auto wait = cache_.changed().Await(scope_, LeaseTtlS());
+      co_await wait;
       continue;
     }
     if (const std::optional<uint64_t> lease_id = OrphanedLease()) {
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -45,38 +45,38 @@
   // does not exist.
   void OnLeaderRecord(const std::string& value);
   // Called with a token that another node or the watch cache has reported. Ends the term of this
-  // node if the token is higher than its own.
+  // node if the token is higher than its own, except while this node raises its token (RaiseToken).
   void OnTokenSeen(model::FencingToken token);
   // Called when a node's process has most likely ended. If that node is the leader, its lease is
-  // revoked on its behalf. This is safe even if the process is still running: the preconditions of
-  // its transactions fail because of its old token, and its successor waits out all leases that it
-  // may still have renewed by answering workers.
+  // revoked on its behalf. This is safe even if the process is still running: its transactions have
+  // a precondition on its old token and fail, and its successor waits out all leases that it may
+  // still have renewed by answering workers.
   void OnNodeFailed(const std::string& node);
 
   // Returns true while this node has a token, whether or not it may still act under it.
   bool leading() const { return token_.is_set(); }
   // The token of this node; unknown while it is not the leader.
   model::FencingToken token() const { return token_; }
-  // Returns the highest token that this node knows, its own or that of another node.
+  // Returns the higher of this node's own token and the token in its watch cache.
   model::FencingToken HighestToken() const;
   // Returns true while this node may answer workers and send commands to the cloud under its token.
   bool MayAct() const;
-  // Returns the longest time in seconds between renewals without a failed renewal. A leader whose
-  // last renewal is older was paused.
+  // Returns the maximum seconds since the last renewal while no renewal has failed. If the last
+  // renewal of a leader is older and none has failed, its process was paused.
   double MaxRenewalGapS() const;
   // Steady time (s) until which a former leader may have answered workers under an older token.
   double predecessor_answers_until() const { return predecessor_answers_until_; }
   // Returns the leader according to the record known to this node; empty if there is none.
-  std::string leader() const { return record_ ? record_->node : std::string(); }
-  // Returns true while this node is the leader, and after its term until its lease has been
-  // revoked.
+  std::string leader() const { return leader_record_ ? leader_record_->node : std::string(); }
+  // Returns true during a term of this node, and after it until the attempt to revoke its lease has
+  // finished.
   bool holds_lease() const { return holds_lease_; }
 
   // Gives up leadership and does not acquire it again for `pause_s` seconds. `reason` is logged.
   void Resign(double pause_s, const std::string& reason);
   // Replaces the token by a higher one, which invalidates all start commands still in flight.
-  // Returns false if the transaction was rejected or not answered; if it was committed
-  // nevertheless, the term ends.
+  // Returns false if the transaction was rejected or not answered. If it was committed
+  // nevertheless, the term ends as soon as this node learns of the higher token.
   async::Task<bool> RaiseToken();
 
  private:
@@ -93,8 +93,8 @@
   // Returns the lease of the current leader record if this node must revoke it, because the holder
   // is a former process of this node or a failed node. std::nullopt otherwise.
   std::optional<uint64_t> OrphanedLease() const;
-  // Waits while another leader record exists or this node may not become leader yet. Returns true
-  // if it may try to acquire leadership now.
+  // Waits while a leader record exists or this node may not become leader yet. Returns true if it
+  // may try to acquire leadership now, and false if the caller must check again.
   async::Task<bool> AwaitEligibility();
   async::Task<> AcquireAndRunTerm();
   // Returns the time to live of the leader's lease in seconds.
@@ -114,7 +114,7 @@
   const TermStarter start_term_;
   std::mt19937 random_{std::random_device{}()};
   std::uniform_real_distribution<double> retry_jitter_{0.5, 1.0};
-  std::optional<store::LeaderRecord> record_;
+  std::optional<store::LeaderRecord> leader_record_;
   model::FencingToken token_;
   uint64_t lease_id_ = 0;
   double last_renewal_ = -1;         // steady time of the request of the last successful renewal
@@ -122,7 +122,7 @@
   double predecessor_answers_until_ = 0;
   double earliest_reacquire_ = 0;  // steady time
   uint64_t failed_node_lease_id_ = 0;
-  bool lost_ = false;  // the term must end
+  bool lost_ = false;  // leadership was lost or given up: the term must end
   bool holds_lease_ = false;
   bool renewal_failing_ = false;  // the last renewal failed
   bool raising_token_ = false;
