--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -29,7 +29,7 @@
     const auto owners = cluster_->CurrentAssignment().owners;
     return owners.size() == static_cast<size_t>(options.nodes) &&
            std::all_of(owners.begin(), owners.end(),
-                       [&](const auto& h) { return cluster_->ShareCpus(h.node) > 0; });
+                       [&](const auto& h) { return cluster_->AllocatedCpus(h.node) > 0; });
   }
   void Submit(int jobs, uint32_t tasks, double cpus = 1) {
     for (int i = 0; i < jobs; ++i) {
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -31,10 +31,10 @@
   }
   // Measures the peak from the tasks on the fake workers only; each task takes one processor.
   void RecordPeakAndWrites() {
-    cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
+    cloud_->SetStartHook([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
     });
-    state_->Watch([this](const std::string& key, const std::string& value) {
+    state_->SetWriteHook([this](const std::string& key, const std::string& value) {
       if (key == store::BlockAssignmentKey()) ++assignment_writes_;
       if (store::IsKeyOfKind<store::AllocationKeyName>(key) && !value.empty()) ++allocation_writes_;
     });
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -246,7 +246,7 @@
     co_await StartOthersOnceNode0Leads();
     for (int i = 1; i <= 4; ++i) co_await Submit(1, Spec("run-" + std::to_string(i), 4));
     for (int i = 1; i <= 4; ++i) co_await ExpectRunning("run-" + std::to_string(i), 4);
-    cloud_->WatchStarts([this](const model::TaskId& t) {
+    cloud_->SetStartHook([this](const model::TaskId& t) {
       if (acknowledged_at_.contains(t.job) && loop_.Now() > acknowledged_at_[t.job] + 1)
         ++late_starts_;
     });
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -27,8 +27,8 @@
 
   ~EndToEndTest() override {
     // The members of a derived fixture that these callbacks use are already destroyed.
-    if (state_) state_->Watch({});
-    if (cloud_) cloud_->WatchStarts({});
+    if (state_) state_->SetWriteHook({});
+    if (cloud_) cloud_->SetStartHook({});
     // All nodes shut down in order. A coroutine that does not end makes the test hang here.
     size_t running = nodes_.size() - shut_down_.size();
     auto on_shutdown = [&] {
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -43,7 +43,7 @@
   // Returns the number of running tasks of all jobs whose names begin with `prefix`.
   int RunningWithPrefix(const std::string& prefix) const;
   // Sets a hook that is called before each task start.
-  void WatchStarts(std::function<void(const model::TaskId&)> on_start) {
+  void SetStartHook(std::function<void(const model::TaskId&)> on_start) {
     on_start_ = std::move(on_start);
   }
 
--- a/tests/fakes/fake_state_service.h
+++ b/tests/fakes/fake_state_service.h
@@ -61,7 +61,7 @@
   void SetWatchLag(double lag_s) { watch_lag_s_ = lag_s; }
   // Called after each executed write. `value` is empty if the key was dropped.
   using OnWrite = std::function<void(const std::string& key, const std::string& value)>;
-  void Watch(OnWrite on_write) { on_write_ = std::move(on_write); }
+  void SetWriteHook(OnWrite on_write) { on_write_ = std::move(on_write); }
   // Returns the value of a key. Empty if the key does not exist.
   std::string Value(const std::string& key) const;
   // During an outage every request is refused, and no lease expires.
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -236,7 +236,7 @@
 
   async::Task<> RunWithMembershipOff() {
     co_await StartOthersOnceNode0Leads();
-    state_->Watch([this](const std::string& key, const std::string& /*value*/) {
+    state_->SetWriteHook([this](const std::string& key, const std::string& /*value*/) {
       if (store::IsKeyOfKind<store::MemberKeyName>(key)) ++member_writes_;
     });
     co_await RunJob(1);
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -30,7 +30,7 @@
   }
   // Records each task start of a job whose awaited jobs are not all recorded as done.
   void CheckStartOrder() {
-    cloud_->WatchStarts([this](const model::TaskId& task) {
+    cloud_->SetStartHook([this](const model::TaskId& task) {
       ++starts_by_job_[task.job];
       for (const std::string& awaited : awaits_by_job_[task.job]) {
         if (state_->Value(store::FinalKey(awaited)).find("done\"") == std::string::npos) {
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -155,7 +155,7 @@
   }
 
   void WatchState() {
-    state_->Watch([this](const std::string& key, const std::string& value) {
+    state_->SetWriteHook([this](const std::string& key, const std::string& value) {
       const store::ParsedKey parsed = store::ParseKey(key);
       if (std::holds_alternative<store::LeaderKeyName>(parsed)) {
         if (!leader_.empty() && !value.empty()) ++leader_overwrites_;
@@ -248,7 +248,7 @@
   }
   // Counts only the tasks that the fake workers run. Each task takes one CPU.
   void WatchPeak() {
-    cloud_->WatchStarts([this](const model::TaskId& /*task*/) {
+    cloud_->SetStartHook([this](const model::TaskId& /*task*/) {
       peak_cpus_ = std::max(peak_cpus_, cloud_->RunningWithPrefix("run-") + 1);
     });
   }
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -137,7 +137,7 @@
   return blocks::BlockAssignment(CurrentAssignment()).IndexOf(name).has_value();
 }
 
-double BlocksCluster::ShareCpus(const std::string& name) const {
+double BlocksCluster::AllocatedCpus(const std::string& name) const {
   auto share = quota::ReadAllocation(store_.Value(store::AllocationKey(name)));
   return share && share->allocated.contains("team") ? share->allocated.at("team").cpus : 0;
 }
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -108,7 +108,7 @@
   blocks::BlockAssignmentRecord CurrentAssignment() const;
   bool OwnsBlock(const std::string& name) const;
   // Returns the processors in the node's share of the limit of "team".
-  double ShareCpus(const std::string& name) const;
+  double AllocatedCpus(const std::string& name) const;
   double widen_s() const { return WidenS(); }
   const Peak& peak() const { return peak_; }
   int starts_over_limit() const { return starts_over_limit_; }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -62,7 +62,7 @@
  public:
   // Checks every write until the formats change, and counts records in newer formats after that.
   void WatchWrites() {
-    state_->Watch([this](const std::string& key, const std::string& value) {
+    state_->SetWriteHook([this](const std::string& key, const std::string& value) {
       if (key == store::FormatKey()) formats_changed_ = true;
       if (value.empty()) return;
       if (!formats_changed_ && !OldVersionKeeps(key, value))
@@ -204,7 +204,7 @@
 TEST_F(UpgradeTest, RollingUpgradeChangesFormatsOnceAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
-  cloud_->WatchStarts([this](const model::TaskId& task) { ++starts_by_job_[task.job]; });
+  cloud_->SetStartHook([this](const model::TaskId& task) { ++starts_by_job_[task.job]; });
   Run(UpgradeNodes());
 }
 
