--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -58,8 +58,9 @@
     out.kind = JobLookup::Kind::kActive;
     out.job = std::move(*job);
     out.version = active.value.version;
-    // This node must be able to hand over everything that it reports: a cancellation that it reads
-    // here is part of a response, and the node that recorded it may be gone.
+    // This node must be able to tell the other nodes of every cancellation that it reports to
+    // users. A cancellation that it reads here becomes part of a response, and the node that
+    // recorded it may be gone.
     deps_.cache->ApplyAheadOfWatch(active.value.key, active.value.value, active.value.version);
     co_return out;
   }
@@ -159,7 +160,8 @@
 
 async::Task<std::optional<wire::HttpResponse>> UserApi::CheckDependencies(
     std::vector<std::string> dependencies, bool* cancelled) {
-  // Checks only what is known at this time; every node determines the rest by itself later.
+  // Checks the dependencies as far as they are known now. Every node finds out the rest by itself
+  // later.
   *cancelled = false;
   const bool caught_up = co_await deps_.linearizable_read->CatchUp();
   for (const std::string& id : dependencies) {
@@ -201,8 +203,9 @@
     status.done = found.final_record.done;
     return Answer(200, wire::WriteJobStatus(status));
   }
-  // The counts are informational and may lag. That the job is not cancelled comes from the lookup;
-  // the watch cache may have learned of a cancellation since, and a cancellation is never undone.
+  // The counts are informational and may lag. If the job was not cancelled at the time of the
+  // lookup, the watch cache may have learned of a cancellation since; reporting it is correct,
+  // because a cancellation is never undone.
   model::JobStatus status;
   status.id = id;
   if (const jobs::Job* job = deps_.job_table->Find(id)) status = job->Status();
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -2,7 +2,8 @@
 // the state service.
 //
 // No node may contradict an earlier response of any node: accepted, done and cancelled are reported
-// only after they have been recorded, and only final states are reported from memory.
+// only after they have been recorded, and only final states are reported from memory, without a
+// read.
 #pragma once
 
 #include <deque>
@@ -50,6 +51,7 @@
 
  private:
   struct JobLookup {
+    // kUnknown: the state could not be read.
     enum class Kind { kActive, kFinal, kNotFound, kUnknown } kind = Kind::kUnknown;
     store::JobRecord job;
     uint64_t version = 0;           // of the active job's record
@@ -58,11 +60,12 @@
   };
   // Reads the job's records from the state service.
   async::Task<JobLookup> Lookup(std::string id);
-  // Same result, but reads active jobs from the watch cache after a linearizable read that
-  // concurrent lookups share. Falls back to Lookup() if the watch cache can't catch up.
+  // Returns the same as Lookup(), but takes active jobs from the watch cache, after a linearizable
+  // read that concurrent lookups share. Falls back to Lookup() if the watch cache can't catch up.
   async::Task<JobLookup> LookupLinearizable(std::string id);
+  // Reads the job's final record from the state service.
   async::Task<JobLookup> LookupFinal(std::string id);
-  // The lookup for responses to users: also reports the job as cancelled if a job that it depends
+  // The lookup for responses to users. Also reports the job as cancelled if a job that it depends
   // on is cancelled.
   async::Task<JobLookup> LookupWithDependencies(std::string id);
   // Finds out whether a job that is not cancelled itself is cancelled through its dependencies.
@@ -74,7 +77,7 @@
   // already cancelled.
   async::Task<std::optional<wire::HttpResponse>> CheckDependencies(
       std::vector<std::string> dependencies, bool* cancelled);
-  // Records the job. Returns std::nullopt if the job exists already.
+  // Records the job. Returns the response; std::nullopt if the job exists already.
   async::Task<std::optional<wire::HttpResponse>> Accept(model::JobSpec spec);
   wire::HttpResponse StatusResponse(const std::string& id, const JobLookup& found) const;
   // Returns the job's final state if it is cached; otherwise kind is kUnknown.
--- a/src/async/event_loop.h
+++ b/src/async/event_loop.h
@@ -17,15 +17,16 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Runs until Stop(). Posted coroutines are resumed only from here, never re-entrantly.
+  // Runs until Stop(). Coroutines posted meanwhile are resumed only by Run(), never re-entrantly.
   void Run();
   void Stop() { stopped_ = true; }
   // Resumes a suspended coroutine at the loop's next turn.
   void Post(std::coroutine_handle<> suspended) { ready_.push_back(suspended); }
   // Returns monotonic time in seconds.
   double Now() const;
-  // Treats a gap of more than `threshold_s` between two turns as a pause of the whole process: it
-  // was not scheduled while the clocks advanced, so all of its state may be out of date.
+  // Treats a gap of more than `threshold_s` between two turns as a pause of the whole process,
+  // during which it was not scheduled while the clocks advanced. All of its state may then be out
+  // of date.
   void DetectPauses(double threshold_s);
   // Returns the monotonic time in seconds at which the process resumed after its last pause; minus
   // infinity if there was none. A pause is reported as soon as it has ended, even before the loop's
@@ -43,7 +44,7 @@
   struct ev_loop* loop_;
   std::deque<std::coroutine_handle<>> ready_;
   bool stopped_ = false;
-  ev_timer turn_timer_;  // makes turns frequent enough to detect pauses
+  ev_timer turn_timer_;  // causes turns that are frequent enough to detect pauses by
   double pause_threshold_s_ = std::numeric_limits<double>::infinity();
   double last_turn_ = 0;
   double resumed_at_ = -std::numeric_limits<double>::infinity();
--- a/src/async/wait.cc
+++ b/src/async/wait.cc
@@ -8,7 +8,7 @@
 }
 
 Wait::~Wait() {
-  // A coroutine may be destroyed while it waits (at exit); it must not stay registered with the
+  // At exit a coroutine may be destroyed while it waits. Its wait must not stay registered with the
   // loop.
   if (pending_) {
     scope_.waits_.erase(link_);
--- a/src/async/wait.h
+++ b/src/async/wait.h
@@ -67,7 +67,8 @@
   ev_io io_;
 };
 
-// A stateless condition: Notify() wakes all current waiters and has no effect on later ones.
+// A condition without a state: Notify() wakes the coroutines that wait at that moment and has no
+// effect on later waits.
 class Event {
  public:
   class Waiter : public Wait {
--- a/src/config/consistency_check.cc
+++ b/src/config/consistency_check.cc
@@ -26,8 +26,8 @@
 std::vector<ConfigError> CheckConsistency(const Settings& settings,
                                           const OperatorOptions& options) {
   std::vector<ConfigError> errors;
-  // With blocks enabled, block owners get allocations of the team's limit, which never exceed the
-  // limit in total, so a guarantee above the limit could not be met.
+  // With blocks enabled, controllers share a team's limit: their allocations never exceed the limit
+  // in total, so a guarantee above the limit could never be met.
   if (!options.blocks.enabled) return errors;
   for (const Team& team : settings.teams) {
     CheckQuota(team, {"cpus", team.cpus, team.cpus_max}, &errors);
--- a/src/config/operator_options.cc
+++ b/src/config/operator_options.cc
@@ -22,8 +22,8 @@
   double maximum;
 };
 
-// Receives the errors of the current parse. A global, because libconfuse reports errors through a
-// plain function. Safe because options are parsed by one thread, at the start of the process.
+// Receives the errors of the current parse. It is global because libconfuse reports errors through
+// a plain function, and safe because one thread parses the options, at the start of the process.
 std::vector<ConfigError>* parse_errors = nullptr;
 
 void OnParseError(cfg_t* file, const char* format, va_list args) {
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -30,14 +30,14 @@
 struct OperatorOptions {
   double round_s = 2.0;           // initial interval between scheduling rounds
   double leader_ttl_ratio = 0.5;  // TTL of the leader's lease / heartbeat_interval_s
-  double blind_ratio = 0.5;       // max time of renewing leases without the state service / lease_s
-  double silent_ratio = 3.0;      // missed heartbeats after which a machine is given up
-  double idle_ratio = 6.0;        // idle time before a machine is scaled in / nominal boot time
-  double headroom = 1.0;          // spare capacity / demand
-  double patience_ratio = 0.32;   // waiting time after which best-effort jobs move up / objective
-  double starve_s = 150;          // waiting time after which a job counts as starved and goes first
-  double starve_share = 0.25;     // share of all CPUs that starved jobs may use
-  double urgent_reserve = 0.08;   // share of all CPUs reserved for prod and urgent jobs
+  double blind_ratio = 0.5;      // time limit on lease renewals without the state service / lease_s
+  double silent_ratio = 3.0;     // heartbeat intervals of silence after which a machine is given up
+  double idle_ratio = 6.0;       // idle time before a machine is scaled in / nominal boot time
+  double headroom = 1.0;         // spare capacity / demand
+  double patience_ratio = 0.32;  // waiting time after which best-effort jobs move up / objective
+  double starve_s = 150;         // waiting time after which a job counts as starved and goes first
+  double starve_share = 0.25;    // share of all CPUs that starved jobs may use
+  double urgent_reserve = 0.08;  // share of all CPUs reserved for prod and urgent jobs
   MembershipOptions membership;
   BlockOptions blocks;
 };
@@ -47,7 +47,7 @@
 // heartbeat interval does not increase this time.
 double ReactionTimeS(const Settings& settings, const OperatorOptions& options);
 
-// Errors name the field and, for a number out of range, its value.
+// Errors name the field and, for an invalid number, its value.
 ParseResult<OperatorOptions> ParseOperatorOptions(const std::string& text);
 ParseResult<OperatorOptions> LoadOperatorOptions(const std::string& path);
 
--- a/src/config/settings_parser.cc
+++ b/src/config/settings_parser.cc
@@ -14,8 +14,8 @@
 
 // Larger than any sensible value of a setting.
 constexpr double kMaxNumber = 1e15;
-// Smallest limit on the writes of a transaction that this program supports: records that belong
-// together are written in one transaction.
+// Smallest limit on the writes of a transaction that this program supports, because records that
+// belong together are written in one transaction.
 constexpr double kMinTransactionWrites = 4;
 
 // A table of the file, and the prefix of its field names in errors ("params.state.").
--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -7,7 +7,7 @@
 namespace hallpier::model {
 
 struct ScaleOutRequest {
-  std::string request;  // idempotency key: a request name is never reused, so retries are safe
+  std::string request;  // unique name; never reused, so that repeating a request is idempotent
   std::string machine_type;
   std::string zone;
   bool spot = false;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -37,9 +37,10 @@
   bool spot = false;                       // may run on spot machines
   double estimated_run_s = 0;              // run time of a task, as its owner estimates it
   double checkpoint_every_s = 0;
-  double checkpoint_s = 0;                // time that writing a checkpoint takes
-  double deadline_s = 0;                  // relative to the submission; 0: no deadline
-  std::vector<std::string> dependencies;  // ids of jobs that must be done first (DAG)
+  double checkpoint_s = 0;  // time that writing a checkpoint takes
+  double deadline_s = 0;    // relative to the submission; 0: no deadline
+  // Ids of the jobs that must be done before any task of this job starts (DAG).
+  std::vector<std::string> dependencies;
 
   bool AllowsMachineType(std::string_view machine_type) const;
 };
--- a/src/model/machine_view.h
+++ b/src/model/machine_view.h
@@ -34,11 +34,11 @@
   bool operator==(const MachineView&) const = default;
 };
 
-// Failures of a job's tasks that the leader has recorded.
+// Failures of a job's tasks, as the leader knows them.
 struct JobFailures {
   std::string job;
-  bool suspected = false;              // the job itself is the suspected cause of its failures
-  bool retry_allowed = false;          // the owner of the block may start one more of its tasks
+  bool suspected = false;      // the job itself is suspected to cause its failures
+  bool retry_allowed = false;  // the receiving block owner may start one more task of the job
   std::vector<std::string> failed_on;  // machines
   bool operator==(const JobFailures&) const = default;
 };
--- a/src/model/member.h
+++ b/src/model/member.h
@@ -29,11 +29,11 @@
   bool operator==(const MemberObservation&) const = default;
 };
 
-// Indicators of how well a node could serve as the leader.
+// Indicators of how well a node can serve as the leader.
 struct LeadershipFitness {
   bool leading = false;
   bool reaches_state_service = false;  // the state service answers this node without a relay
-  uint64_t event_loop_lag_ms = 0;      // recent delay of event loop turns
+  uint64_t event_loop_lag_ms = 0;      // how late the event loop's recent turns were
   uint64_t recent_heartbeats = 0;      // received in the last half of a heartbeat interval
   bool operator==(const LeadershipFitness&) const = default;
 };
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -1,6 +1,6 @@
-// A fake cloud that speaks the cloud's HTTP protocol on loopback. It rents machines that are
-// running immediately, each with a FakeWorker. Counts the task starts on all machines, and the
-// duplicate starts: those of a task that was running on another machine at the time.
+// A fake cloud that speaks the cloud's HTTP protocol on loopback. The machines that it rents run
+// immediately, each with a FakeWorker. Counts the task starts on all machines, and the duplicate
+// starts: those of a task that was running on another machine at the time.
 //
 // Runs in the given scope. Owned by a test.
 #pragma once
--- a/tests/fakes/fake_state_service.cc
+++ b/tests/fakes/fake_state_service.cc
@@ -59,9 +59,9 @@
   scope_.Spawn(ExpireLoop());
 }
 
-void FakeStateService::SetOutage(bool on) {
-  outage_ = on;
-  if (on) return;
+void FakeStateService::SetOutage(bool outage) {
+  outage_ = outage;
+  if (outage) return;
   // After an outage every lease has its full duration again.
   for (auto& [lease_id, lease] : leases_) lease.expires_at = scope_.loop().Now() + lease.ttl_s;
 }
--- a/tests/fakes/fake_state_service.h
+++ b/tests/fakes/fake_state_service.h
@@ -31,7 +31,7 @@
   bool ListenSecondary(const std::string& address, std::string* error) {
     return secondary_server_.Listen(address, error);
   }
-  void CutSecondary(bool on) { secondary_cut_ = on; }
+  void CutSecondary(bool cut) { secondary_cut_ = cut; }
   // Limits on writes from now on; 0 means unlimited.
   struct Limits {
     size_t value_bytes = 0;
@@ -40,8 +40,9 @@
   };
   void SetLimits(Limits limits) { limits_ = limits; }
   int refused() const { return refused_; }  // transactions refused for their size or rate
-  // Loses the answers to the next `count` transactions that write a key with this prefix. They are
-  // executed immediately, or only when ExecuteDeferred() is called.
+  // Loses the answers to the next `count` transactions that write a key with this prefix. An empty
+  // prefix matches every transaction that writes. The transactions are executed immediately, or
+  // only when ExecuteDeferred() is called.
   enum class Execution { kImmediate, kDeferred };
   void LoseAnswers(std::string prefix, Execution execution, int count = 1) {
     lose_prefix_ = std::move(prefix);
@@ -59,13 +60,13 @@
   }
   // Delays the answers of watches by `lag_s` seconds.
   void SetWatchLag(double lag_s) { watch_lag_s_ = lag_s; }
-  // Called after each executed write. `value` is empty if the key was dropped.
+  // Hook that is called after each executed write. `value` is empty if the key was deleted.
   using OnWrite = std::function<void(const std::string& key, const std::string& value)>;
   void SetWriteHook(OnWrite on_write) { on_write_ = std::move(on_write); }
   // Returns the value of a key. Empty if the key does not exist.
   std::string Value(const std::string& key) const;
   // During an outage every request is refused, and no lease expires.
-  void SetOutage(bool on);
+  void SetOutage(bool outage);
   uint64_t writes() const { return revision_; }
   // Number of requests so far, including refused ones.
   int requests() const { return requests_; }
--- a/tests/fakes/main.cc
+++ b/tests/fakes/main.cc
@@ -6,7 +6,7 @@
 #include "fakes/fake_cloud.h"
 #include "fakes/fake_state_service.h"
 
-// An exception that reaches main terminates the process, which is intended.
+// An exception that reaches main() intentionally terminates the process.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App cli("fake state service and fake cloud with workers, on loopback");
--- a/tests/simulation/blocks_cluster.cc
+++ b/tests/simulation/blocks_cluster.cc
@@ -138,8 +138,10 @@
 }
 
 double BlocksCluster::AllocatedCpus(const std::string& name) const {
-  auto share = quota::ReadAllocation(store_.Value(store::AllocationKey(name)));
-  return share && share->allocated.contains("team") ? share->allocated.at("team").cpus : 0;
+  auto allocation = quota::ReadAllocation(store_.Value(store::AllocationKey(name)));
+  return allocation && allocation->allocated.contains("team")
+             ? allocation->allocated.at("team").cpus
+             : 0;
 }
 
 double BlocksCluster::TakeLongestStall() {
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -1,5 +1,5 @@
-// Simulates several controllers that share the machines in blocks, in fake time. Their copies of
-// the records lag behind the state service. Leaders and block owners freeze, terminate and are
+// Simulates several controllers that share the machines in blocks, in fake time. Their watch caches
+// lag behind the state service. Leaders and block owners freeze, terminate and are
 // partitioned; transactions lose their answers or are executed late; workers run the commands that
 // they receive. One seed determines the whole run. The tests and tools/blocks_report use it.
 //
@@ -53,7 +53,8 @@
     double max_late_s = 8;  // maximum delay of a late transaction
     double max_owners = 9;  // at least 2; 0 disables blocks
     // Safety checks to disable in experiments. "token", "division", "share" and "job" omit the
-    // precondition on that record. With "copy" a node assumes that its watch cache is complete.
+    // preconditions on the fencing token, the block assignment, the allocations and the jobs. With
+    // "copy" a node assumes that its watch cache is complete.
     std::set<std::string> disabled_checks = {};
   };
   struct Peak {
@@ -77,7 +78,7 @@
   void Cancel(const std::string& job);
   void SetLimit(double limit);
 
-  // ConfigError injection.
+  // Fault injection.
   void Freeze(const std::string& name);
   void Resume(const std::string& name);
   void Kill(const std::string& name);
@@ -90,7 +91,7 @@
   // If false, every leader elected from now on runs a version without blocks, which places on all
   // machines.
   void SetNewLeadersUseBlocks(bool use_blocks) { new_leaders_use_blocks_ = use_blocks; }
-  // ConfigError in the delivery of a transaction to the state service or of its answer.
+  // Fault in the delivery of a transaction to the state service, or of its answer to the node.
   enum class DeliveryFault { kNone, kAnswerLost, kLate, kNotSent };
   // Injects a fault into the node's next transaction with placements. `on_sent` is called when the
   // node sends the transaction.
@@ -107,7 +108,7 @@
   std::string OwnerOtherThan(const std::string& name) const;
   blocks::BlockAssignmentRecord CurrentAssignment() const;
   bool OwnsBlock(const std::string& name) const;
-  // Returns the processors in the node's share of the limit of "team".
+  // Returns the processors that the node's allocation of the limit of "team" contains.
   double AllocatedCpus(const std::string& name) const;
   double widen_s() const { return WidenS(); }
   const Peak& peak() const { return peak_; }
@@ -120,7 +121,7 @@
   // Seconds from submission to the first start, one entry for each task.
   const std::vector<double>& waits() const { return waits_; }
   // Returns the longest stall since the last call, in seconds. A stall is a period in which no task
-  // started although one waited that fitted on a machine and within the limit minus all tasks
+  // started although a waiting task fitted on a machine and within the limit minus all tasks
   // recorded as placed.
   double TakeLongestStall();
   // Processor seconds left unused while a waiting task would have fitted beside the running tasks.
@@ -182,8 +183,8 @@
   bool ReachesState(const Node& node) const {
     return node.process->running() && !outage_ && !node.state_cut;
   }
-  // Runs `run` after the delay in the process of the node with this generation. Deferred while the
-  // process is frozen; dropped if it has ended.
+  // Runs `run` after the delay in the node's process of this generation. Deferred while the process
+  // is frozen; dropped if it has ended.
   void InProcessAfter(double delay_s, const std::string& name, uint64_t generation,
                       std::function<void()> run);
 
@@ -202,8 +203,8 @@
   // there is no leader or the leader has not reached the state service for kLeaderTtlS.
   void ElectIfNeeded(Node& node);
   void BeginTerm(Node& node);
-  // Membership: a node that is unavailable for longer than a failure declaration takes counts as
-  // failed and rejoins with a new session.
+  // Simulates membership: a node that is unavailable for longer than a failure declaration takes
+  // counts as failed. Rejoin() starts a new session for such a node.
   void ReportMember(Node& leader, const std::string& name);
   void Rejoin(Node& node);
   double WidenS() const {
--- a/tests/simulation/blocks_cluster_transactions.cc
+++ b/tests/simulation/blocks_cluster_transactions.cc
@@ -39,8 +39,8 @@
   if (std::holds_alternative<store::BlockAssignmentKeyName>(parsed)) {
     node.records.SetBlockAssignment(value, version);
   }
-  if (const auto* share = std::get_if<store::AllocationKeyName>(&parsed)) {
-    node.records.SetAllocation(share->node, value, version);
+  if (const auto* allocation = std::get_if<store::AllocationKeyName>(&parsed)) {
+    node.records.SetAllocation(allocation->node, value, version);
   }
   const bool superseded = key == store::FencingTokenKey() && version != node.token.value();
   if (node.is_leader && superseded) node.is_leader = false;
--- a/tests/simulation/membership_cluster.h
+++ b/tests/simulation/membership_cluster.h
@@ -48,8 +48,8 @@
     std::string node;
     std::string by;
     uint64_t session;
-    // True if the node in question ran and reached the state service for long enough to refute the
-    // suspicion.
+    // True if the node declared failed ran and reached the state service for long enough to refute
+    // the suspicion.
     bool was_healthy;
   };
   struct Handover {
@@ -70,7 +70,7 @@
   bool RunUntil(const std::function<bool()>& condition, double limit_s);
   void At(double delay_s, std::function<void()> run) { events_.At(delay_s, std::move(run)); }
 
-  // ConfigError injection.
+  // Fault injection.
   void Freeze(const std::string& name) { nodes_.at(name).process.Freeze(); }
   void Resume(const std::string& name);
   void Kill(const std::string& name) { nodes_.at(name).process.End(); }
@@ -87,15 +87,15 @@
   // Loses the answers to the next `count` transactions that declare a member failed. The
   // transactions are executed.
   void LoseFailureDeclarationAnswers(int count) { lose_failure_declaration_answers_ = count; }
-  // Sets a hook that is called once, after the next transaction that declares a member failed was
-  // sent and before it arrives.
+  // Sets a hook for the next transaction that declares a member failed. It is called once, after
+  // the transaction was sent and before it arrives.
   void OnFailureDeclarationSent(std::function<void(const std::string& by)> hook) {
     on_failure_declaration_sent_ = std::move(hook);
   }
-  // Delivers the present status of `from` to `to` after the delay, regardless of partitions.
+  // Delivers the current status of `from` to `to` after the delay, regardless of partitions.
   void DelayAnswer(const std::string& from, const std::string& to, double delay_s);
 
-  // Recorded events and present state.
+  // Recorded events and current state.
   const std::vector<FailureDeclaration>& failure_declarations() const {
     return failure_declarations_;
   }
@@ -105,8 +105,8 @@
   // Returns the holder of the leader's lease. Empty if there is no leader.
   std::string Leader() const { return LeaseIsValid() ? leader_ : std::string(); }
   std::optional<membership::MemberRecord> Record(const std::string& name) const;
-  // Returns true if every running node sees every other running node as alive and is in good
-  // standing, and one of them is the leader.
+  // Returns true if every running node is an active member and sees every other running node as
+  // alive, and one of them is the leader.
   bool Converged();
   // Returns the state of `subject` in the member table of `observer`.
   model::MemberState ObservedState(const std::string& observer, const std::string& subject);
@@ -130,7 +130,7 @@
   };
 
   void StartProcess(const std::string& name);
-  // Runs `run` after the delay in the present process of the node. Deferred while the process is
+  // Runs `run` after the delay in the current process of the node. Deferred while the process is
   // frozen; dropped if it has ended.
   void InProcessAfter(double delay_s, const std::string& name, std::function<void()> run);
 
@@ -151,7 +151,8 @@
   bool Commit(const std::string& by, const membership::Proposal& proposal);
   void RecordFailureDeclaration(const std::string& by, const membership::Proposal& proposal);
   uint64_t VersionOf(const std::string& key) const;
-  // Delivers the member record to the node's watch, as it is at the time of delivery.
+  // Delivers the member record of `subject` to the node's watch, as the record is at the time of
+  // delivery.
   void NotifyWatch(const std::string& name, const std::string& subject);
   void ApplyRecord(const std::string& name, const std::string& subject);
   void Resync(const std::string& name);
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -1,6 +1,6 @@
 // Machines of a simulation. Each sends heartbeats to the leader, executes commands, runs tasks for
-// a random duration and loses them when its lease expires. The tasks that run here are the ground
-// truth against which the controllers' records are checked.
+// a random duration and loses its tasks when its lease expires. The tasks that run here are the
+// ground truth against which the controllers' records are checked.
 //
 // Owned by a simulated cluster, which delivers the heartbeats and their answers.
 #pragma once
@@ -44,8 +44,8 @@
   std::vector<std::string> Names() const;
   // Partitions a machine from the controllers. Its tasks continue to run.
   void Cut(const std::string& machine, bool cut) { workers_.at(machine).cut = cut; }
-  // Makes a machine send its next heartbeat after `delay_s`, because the leader has commands for
-  // it.
+  // Makes a machine send its next heartbeat after Options::delay_s, because the leader has commands
+  // for it.
   void RequestHeartbeat(const std::string& machine);
   // Handles the answer to a heartbeat that was sent at `sent`.
   void OnAnswer(const model::Heartbeat& heartbeat, model::FencingToken token,
@@ -55,7 +55,7 @@
   double UsedCpus();
   // Returns the largest number of free processors on one machine, if each has `machine_cpus`.
   double MaxFreeCpus(double machine_cpus) const;
-  // Starts of a task that was already running on a machine.
+  // Number of starts of a task that was already running on a machine.
   int duplicate_starts() const { return duplicate_starts_; }
 
  private:
--- a/tests/simulation/versioned_store.h
+++ b/tests/simulation/versioned_store.h
@@ -1,5 +1,5 @@
 // State service of a simulation: keys with versions, transactions with preconditions, and an
-// ordered log of changes from which nodes update their copies. It answers immediately; the
+// ordered log of changes from which nodes update their watch caches. It answers immediately; the
 // simulated cluster adds delays and faults.
 #pragma once
 
@@ -17,7 +17,7 @@
   struct Change {
     double at;  // fake time, in seconds
     std::string key;
-    std::string value;  // empty if the key was dropped
+    std::string value;  // empty if the key was deleted
     uint64_t revision;
   };
 
@@ -33,7 +33,7 @@
   uint64_t Version(const std::string& key) const;
   // Revision of the last change.
   uint64_t revision() const { return revision_; }
-  // Number of keys written or dropped so far.
+  // Number of keys written or deleted so far.
   uint64_t writes() const { return writes_; }
   const std::vector<Change>& changes() const { return changes_; }
 
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -79,9 +79,9 @@
 // Kills an owner that is not the leader or, with one block, the leader.
 Experiment MeasureOwnerFailure(const RunOptions& run_options) {
   Experiment experiment = MakeExperiment(
-      "after_death", "Time from a holder's failure to the next start on its machines", "s",
-      "With one block the holder is the leader. The lower bound is the time to a verdict, 2 s "
-      "here, plus two writes.");
+      "after_death", "Time from a block owner's failure to the next start on its machines", "s",
+      "With one block the owner is the leader. The lower bound is the time until the failure is "
+      "declared, 2 s here, plus two writes.");
   experiment.x_label = "blocks";
   experiment.series = {"full load"};
   for (int blocks = 1; blocks <= kMaxBlocks; ++blocks) {
@@ -117,7 +117,7 @@
           MakeExperiment(
               "wait", "Time from submission to start, by task", "s",
               "Under full load a task mainly waits for its team's limit. One block is the "
-              "optimum, because it needs no lending."),
+              "optimum, because it needs no allocations."),
           kTimeRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             for (const double wait : cluster.waits()) samples.Add(wait);
@@ -132,15 +132,15 @@
       MeasureUnderLoad(
           MakeExperiment(
               "writes", "Keys written for each task", "keys",
-              "Submissions, placements, task ends and, with more than one block, lent shares."),
+              "Submissions, placements, task ends and, with more than one block, allocations."),
           kCountRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             samples.Add(static_cast<double>(cluster.writes()) / cluster.starts());
           }),
       MeasureUnderLoad(
-          MakeExperiment(
-              "conflicts", "Failed transactions for each task", "transactions",
-              "Two transactions wrote the same task group, or the sender's share has changed."),
+          MakeExperiment("conflicts", "Failed transactions for each task", "transactions",
+                         "Two transactions wrote the same task group, or the sender's allocation "
+                         "has changed."),
           kCountRange, run_options,
           [](BlocksCluster& cluster, double /*duration_s*/, Samples& samples) {
             samples.Add(static_cast<double>(cluster.conflicts()) / cluster.starts());
--- a/tools/blocks_report/main.cc
+++ b/tools/blocks_report/main.cc
@@ -3,7 +3,7 @@
 #include "experiments.h"
 #include "page.h"
 
-// An exception that reaches main terminates the process, which is intended.
+// An exception that reaches main() intentionally terminates the process.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   using namespace hallpier::report;
--- a/tools/membership_report/experiments.h
+++ b/tools/membership_report/experiments.h
@@ -1,6 +1,6 @@
 // Experiments of the membership report, in fake time on simulated nodes, with membership off and
-// on: the time to detect and to replace a failed leader, and the rate of false suspicions and
-// verdicts.
+// on: the time to detect a failed node and to replace a failed leader, and the rate of false
+// suspicions and false failure declarations.
 #pragma once
 
 #include <vector>
--- a/tools/report/experiment.h
+++ b/tools/report/experiment.h
@@ -34,7 +34,7 @@
 
 struct RunOptions {
   int runs = 100;     // number of runs for each point
-  uint64_t seed = 1;  // seed of the first run; later runs count up
+  uint64_t seed = 1;  // seed of the first run; each later run adds 1
 };
 
 // Range and number of bins of a histogram. A quantile beyond the range is reported as `max`.
--- a/tools/scale/main.cc
+++ b/tools/scale/main.cc
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-// An exception that reaches main terminates the process, which is intended.
+// An exception that reaches main() intentionally terminates the process.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App cli("scale: duration of a leader takeover and of a round by fleet size");
