--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -106,7 +106,7 @@
   EXPECT_EQ(CountTerminating(), 4) << "silent for too long to be only partitioned";
 }
 
-model::ScaleOutRequest RequestOf(int count) {
+model::ScaleOutRequest MakeScaleOutRequest(int count) {
   model::ScaleOutRequest request;
   request.machine_type = "c4";
   request.zone = "a";
@@ -122,11 +122,11 @@
     std::vector<std::string> names;
     names.reserve(count);
     for (int i = 0; i < count; ++i) names.push_back("vm-" + std::to_string(first + i));
-    registry_.OnScaledOut(names, RequestOf(count), now);
+    registry_.OnScaledOut(names, MakeScaleOutRequest(count), now);
   }
   // Returns how many machines may be requested if `needed` are needed.
   int AllowedRequests(int needed, double now) {
-    std::vector<model::ScaleOutRequest> requests = {RequestOf(needed)};
+    std::vector<model::ScaleOutRequest> requests = {MakeScaleOutRequest(needed)};
     requests =
         Autoscaler::LimitBooting(registry_, context_.machine_types, now, std::move(requests));
     return requests.empty() ? 0 : requests[0].count;
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -39,11 +39,11 @@
 list_lag_s = 3.0
 )";
 
-// Returns the lines that are printed for the faults.
+// Returns the line that is printed for each error.
 template <class T>
-std::vector<std::string> FaultLines(const config::ParseResult<T>& parsed) {
+std::vector<std::string> ErrorLines(const config::ParseResult<T>& parsed) {
   std::vector<std::string> lines;
-  for (const config::ConfigError& fault : parsed.errors) lines.push_back(fault.Text());
+  for (const config::ConfigError& error : parsed.errors) lines.push_back(error.Text());
   return lines;
 }
 
@@ -57,25 +57,25 @@
   EXPECT_EQ(s.FindTeam("x"), nullptr);
 }
 
-TEST(ParseSettings, EveryFaultGetsALineWithItsField) {
+TEST(ParseSettings, ReportsEveryErrorWithItsField) {
   std::string text = kValidSettings;
   text.replace(text.find("lease_s = 45"), 12, "lease_s = -1");
   text.replace(text.find("127.0.0.1:5"), 11, "state.local");
-  const auto faults = FaultLines(config::ParseSettings(text));
-  ASSERT_EQ(faults.size(), 2U);
-  EXPECT_EQ(faults[0], "services.state: not an IPv4 address with a port: state.local");
-  EXPECT_EQ(faults[1], "params.workers.lease_s: -1 is not between 0.1 and 1e+15");
+  const auto errors = ErrorLines(config::ParseSettings(text));
+  ASSERT_EQ(errors.size(), 2U);
+  EXPECT_EQ(errors[0], "services.state: not an IPv4 address with a port: state.local");
+  EXPECT_EQ(errors[1], "params.workers.lease_s: -1 is not between 0.1 and 1e+15");
 }
 
-TEST(ParseOperatorOptions, OverridesDefaultsAndNamesFaults) {
+TEST(ParseOperatorOptions, OverridesDefaultsAndReportsErrors) {
   const auto parsed = config::ParseOperatorOptions("round_s = 1.5 # seconds\nheadroom = 0.5\n");
   EXPECT_TRUE(parsed.ok());
   EXPECT_EQ(parsed.value.round_s, 1.5);
   EXPECT_EQ(parsed.value.headroom, 0.5);
   EXPECT_EQ(parsed.value.silent_ratio, config::OperatorOptions().silent_ratio);
-  const auto faults = FaultLines(config::ParseOperatorOptions("silent_ratio = 0.1\n"));
-  ASSERT_EQ(faults.size(), 1U);
-  EXPECT_EQ(faults[0], "silent_ratio: 0.1 is not between 2 and 100");
+  const auto errors = ErrorLines(config::ParseOperatorOptions("silent_ratio = 0.1\n"));
+  ASSERT_EQ(errors.size(), 1U);
+  EXPECT_EQ(errors[0], "silent_ratio: 0.1 is not between 2 and 100");
   EXPECT_EQ(config::ParseOperatorOptions("no_such = 1\n").errors.size(), 1U);
 }
 
@@ -87,36 +87,36 @@
   EXPECT_TRUE(parsed.value.membership.enabled);
   EXPECT_EQ(parsed.value.membership.missed_probes, 5);
   EXPECT_EQ(parsed.value.membership.probe_ratio, config::MembershipOptions().probe_ratio);
-  const auto faults = FaultLines(
+  const auto errors = ErrorLines(
       config::ParseOperatorOptions("membership {\n probe_ratio = 7\n confirm_probes = 0\n}\n"));
-  ASSERT_EQ(faults.size(), 2U);
-  EXPECT_EQ(faults[0], "membership.probe_ratio: 7 is not between 0.01 and 1");
-  EXPECT_EQ(faults[1], "membership.confirm_probes: 0 is not between 1 and 100");
+  ASSERT_EQ(errors.size(), 2U);
+  EXPECT_EQ(errors[0], "membership.probe_ratio: 7 is not between 0.01 and 1");
+  EXPECT_EQ(errors[1], "membership.confirm_probes: 0 is not between 1 and 100");
   EXPECT_EQ(config::ParseOperatorOptions("membership {\n enabled = perhaps\n}\n").errors.size(),
             1U);
 }
 
-TEST(ParseOperatorOptions, EveryBlocksFaultGetsALine) {
-  auto fault_lines = [](const std::string& text) {
-    return FaultLines(config::ParseOperatorOptions(text));
+TEST(ParseOperatorOptions, ReportsEveryErrorInBlocksSection) {
+  auto error_lines = [](const std::string& text) {
+    return ErrorLines(config::ParseOperatorOptions(text));
   };
   const std::string membership = "membership {\n enabled = true\n}\n";
-  EXPECT_TRUE(fault_lines(membership + "blocks {\n enabled = true\n holders = 3\n}\n").empty());
-  EXPECT_EQ(fault_lines("blocks {\n enabled = true\n}\n"),
+  EXPECT_TRUE(error_lines(membership + "blocks {\n enabled = true\n holders = 3\n}\n").empty());
+  EXPECT_EQ(error_lines("blocks {\n enabled = true\n}\n"),
             std::vector<std::string>{"blocks.enabled: needs membership.enabled"});
-  EXPECT_EQ(fault_lines("blocks {\n holders = 1\n}\n"),
+  EXPECT_EQ(error_lines("blocks {\n holders = 1\n}\n"),
             std::vector<std::string>{"blocks.holders: 1 is not between 2 and 64"});
-  EXPECT_EQ(fault_lines("blocks {\n holders = 2.5\n}\n"),
+  EXPECT_EQ(error_lines("blocks {\n holders = 2.5\n}\n"),
             std::vector<std::string>{"blocks.holders: 2.500000 is not a whole number"});
-  EXPECT_EQ(fault_lines("blocks {\n lease_ratio = 0\n widen_ratio = 101\n}\n").size(), 2U);
+  EXPECT_EQ(error_lines("blocks {\n lease_ratio = 0\n widen_ratio = 101\n}\n").size(), 2U);
 }
 
-TEST(CheckConsistency, GuaranteeOverTheLimitIsAFaultIfBlocksAreOn) {
+TEST(CheckConsistency, RejectsGuaranteeOverLimitIfBlocksAreOn) {
   config::Settings settings;
   settings.teams = {{"well", 4, 4, 1, 0}, {"beyond", 5, 4, 0, 0}};
   config::OperatorOptions operator_options;
   EXPECT_TRUE(config::CheckConsistency(settings, operator_options).empty())
-      << "no fault while blocks are off";
+      << "no error while blocks are off";
   operator_options.blocks.enabled = true;
   const auto inconsistencies = config::CheckConsistency(settings, operator_options);
   ASSERT_EQ(inconsistencies.size(), 1U);
@@ -124,13 +124,13 @@
             "params.teams: beyond is guaranteed 5 cpus, more than its limit of 4");
 }
 
-TEST(ParseSettings, DuplicateNodeNameIsAFault) {
+TEST(ParseSettings, RejectsDuplicateNodeName) {
   std::string text = kValidSettings;
   text.insert(text.find("[services]"),
               "[[seeds]]\nnode = \"n-1\"\narea = \"a\"\nendpoint = \"127.0.0.1:9\"\n");
-  const auto faults = FaultLines(config::ParseSettings(text));
-  ASSERT_EQ(faults.size(), 1U);
-  EXPECT_EQ(faults[0], "seeds: two nodes are named n-1");
+  const auto errors = ErrorLines(config::ParseSettings(text));
+  ASSERT_EQ(errors.size(), 1U);
+  EXPECT_EQ(errors[0], "seeds: two nodes are named n-1");
 }
 
 }  // namespace
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -40,11 +40,11 @@
   }
   const Job& Get(const std::string& id) { return *job_table_.Find(id); }
   bool IsPlacementWritten(const std::string& id) {
-    TaskTransition m;
-    m.task = {id, 0};
-    m.attempt = 1;
-    m.machine = "vm-1";
-    return !BuildTransactions(job_table_, {m}, limits_, [](const std::string&) {
+    TaskTransition transition;
+    transition.task = {id, 0};
+    transition.attempt = 1;
+    transition.machine = "vm-1";
+    return !BuildTransactions(job_table_, {transition}, limits_, [](const std::string&) {
               return 0;
             }).empty();
   }
@@ -80,8 +80,9 @@
 }
 
 // When another node ends a job, this node sees only the deletion of the job's record. The final
-// record is not in the watch cache, so the job that awaits it must stay blocked until it is read.
-TEST_F(DependencyGraphTest, UnknownOutcomeOfAnAwaitedJobBlocksTheJob) {
+// record is not in the watch cache, so a dependent must stay blocked until the final record is
+// read.
+TEST_F(DependencyGraphTest, UnknownOutcomeOfAwaitedJobBlocksDependent) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   DeleteRecord("run-1");
@@ -129,7 +130,7 @@
 // Guards against the deletion of a cancelled job's record while a dependent is unfinished: a new
 // leader would have to find out from final records which jobs are cancelled. So jobs become final
 // from the last dependent backwards.
-TEST_F(DependencyGraphTest, DependentsOfACancelledJobBecomeFinalBeforeIt) {
+TEST_F(DependencyGraphTest, DependentsOfCancelledJobBecomeFinalBeforeIt) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   Put("run-3", {"run-1", "run-2"});
@@ -154,7 +155,7 @@
   EXPECT_EQ(FinalJobIds(), (std::vector<std::string>{"run-3", "run-2"}));
 }
 
-TEST_F(DependencyGraphTest, LateFinalRecordDoesNotChangeADoneJob) {
+TEST_F(DependencyGraphTest, LateFinalRecordDoesNotChangeDoneJob) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
   End("run-1", model::JobPhase::kDone);
@@ -164,7 +165,7 @@
   EXPECT_FALSE(Get("run-2").blocked);
 }
 
-TEST_F(DependencyGraphTest, AwaitedJobInheritsPriorityAndDeadline) {
+TEST_F(DependencyGraphTest, AwaitedJobInheritsPriorityAndDeadlineOfDependents) {
   model::JobSpec last_job = SpecAwaiting("run-4", {"run-2", "run-3"});
   last_job.priority = model::Priority::kUrgent;
   last_job.deadline_s = 200;
@@ -202,7 +203,7 @@
 
 // Guards against quadratic work and recursion in deep chains and with many dependents of one job: a
 // change updates only the jobs that it affects.
-TEST_F(DependencyGraphTest, ThousandsOfDependentsStayCheap) {
+TEST_F(DependencyGraphTest, UpdatesThousandsOfDependentsWithoutQuadraticWork) {
   constexpr int kJobs = 6000;
   const auto begin = std::chrono::steady_clock::now();
   auto name = [](int i) { return "run-" + std::to_string(i); };
@@ -227,9 +228,10 @@
   EXPECT_LT(elapsed.count(), 30);
 }
 
-// Guards against many jobs that are cancelled with an awaited job and use up the write budget of
-// placements. They can wait, since every node already reports them as cancelled. Jobs that a user
-// cancelled directly are recorded as before.
+// Guards against cancelled dependents that use up the write budget and so delay placements. Many
+// jobs may be cancelled with the job that they await. Their final records can wait, since every
+// node already reports them as cancelled. Jobs that a user cancelled directly are recorded as
+// before.
 TEST_F(DependencyGraphTest, CancelledDependentsAreWrittenAfterPlacements) {
   Put("run-1", {});
   Put("run-2", {"run-1"});
@@ -237,13 +239,13 @@
   Put("run-4", {});
   Cancel("run-1");
   Cancel("run-3");
-  TaskTransition m;
-  m.task = {"run-4", 0};
-  m.attempt = 1;
-  m.machine = "vm-1";
+  TaskTransition transition;
+  transition.task = {"run-4", 0};
+  transition.attempt = 1;
+  transition.machine = "vm-1";
   std::vector<std::string> order;
   for (const auto& t :
-       BuildTransactions(job_table_, {m}, limits_, [](const std::string&) { return 0; })) {
+       BuildTransactions(job_table_, {transition}, limits_, [](const std::string&) { return 0; })) {
     for (const auto& w : t.writes) {
       const auto key = store::ParseKey(w.key);
       if (const auto* name = std::get_if<store::FinalKeyName>(&key)) order.push_back(name->job);
@@ -251,7 +253,8 @@
     }
   }
   EXPECT_EQ(order, (std::vector<std::string>{"run-3", "run-4", "run-2", "run-1"}));
-  // They still come before ends of single tasks: otherwise, under load, they would never end.
+  // They are still written before the ends of single tasks: otherwise, under load, these jobs
+  // would never end.
   EXPECT_LT(WritePriority::kCleanup, WritePriority::kTaskEnd);
   EXPECT_GT(WritePriority::kCleanup, WritePriority::kPlacement);
 }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -21,23 +21,23 @@
 inline constexpr model::FencingToken kTestToken{7};
 
 inline model::JobSpec Spec(const std::string& id, uint32_t tasks, double cpus = 1) {
-  model::JobSpec s;
-  s.id = id;
-  s.job_class = "lane";
-  s.team = "team";
-  s.tasks = tasks;
-  s.cpus = cpus;
-  s.memory_gb = 1;
-  s.image = "img";
-  s.spot = true;
-  s.estimated_run_s = 10;
-  return s;
+  model::JobSpec spec;
+  spec.id = id;
+  spec.job_class = "lane";
+  spec.team = "team";
+  spec.tasks = tasks;
+  spec.cpus = cpus;
+  spec.memory_gb = 1;
+  spec.image = "img";
+  spec.spot = true;
+  spec.estimated_run_s = 10;
+  return spec;
 }
 
-inline void PutJob(jobs::JobTable& job_table, const model::JobSpec& spec, double submitted = 1,
+inline void PutJob(jobs::JobTable& job_table, const model::JobSpec& spec, double submitted_at = 1,
                    bool cancelled = false) {
   job_table.Apply(store::ParseKey(store::JobKey(spec.id)),
-                  store::WriteJob({spec, submitted, cancelled, 0}));
+                  store::WriteJob({spec, submitted_at, cancelled, 0}));
 }
 
 inline void PutTaskGroup(jobs::JobTable& job_table, const std::string& id, uint32_t number,
@@ -46,6 +46,8 @@
                   store::WriteTaskGroup(task_group));
 }
 
+// Adds an open task to the stored group that contains it. `machine` is empty if the task is not
+// placed.
 inline void PutOpenTask(jobs::JobTable& job_table, const std::string& id, uint32_t index,
                         uint64_t attempt, const std::string& machine) {
   const jobs::Job* job = job_table.Find(id);
@@ -59,57 +61,57 @@
 
 inline model::Heartbeat MakeHeartbeat(const std::string& machine, uint64_t agent_epoch,
                                       uint64_t sequence, model::FencingToken token) {
-  model::Heartbeat r;
-  r.machine = machine;
-  r.endpoint = "127.0.0.1:1";
-  r.machine_type = "c4";
-  r.zone = "a";
-  r.agent_epoch = model::AgentEpoch(agent_epoch);
-  r.sequence = sequence;
-  r.token = token;
-  return r;
+  model::Heartbeat heartbeat;
+  heartbeat.machine = machine;
+  heartbeat.endpoint = "127.0.0.1:1";
+  heartbeat.machine_type = "c4";
+  heartbeat.zone = "a";
+  heartbeat.agent_epoch = model::AgentEpoch(agent_epoch);
+  heartbeat.sequence = sequence;
+  heartbeat.token = token;
+  return heartbeat;
 }
 
 inline model::TaskStatus MakeTaskStatus(const std::string& job, uint32_t index, uint64_t attempt,
                                         model::TaskPhase phase,
                                         model::ExitCause cause = model::ExitCause::kNone) {
-  model::TaskStatus p;
-  p.task = {job, index};
-  p.attempt = attempt;
-  p.phase = phase;
-  p.cause = cause;
-  return p;
+  model::TaskStatus status;
+  status.task = {job, index};
+  status.attempt = attempt;
+  status.phase = phase;
+  status.cause = cause;
+  return status;
 }
 
 inline config::Settings TestSettings() {
-  config::Settings s;
-  s.node = "node-0";
-  s.teams = {{"team", 0, 0, 0, 0}};
-  s.heartbeat_interval_s = 3;
-  s.lease_s = 30;
-  s.cancel_s = 50;
-  s.state_rps = 100;
-  s.state_write_rps = 50;
-  s.value_kb = 8;
-  s.txn_ops = 8;
-  s.cloud_rps = 5;
-  s.list_lag_s = 3;
-  s.memory_mb = 64;
-  s.max_sockets = 100;
-  return s;
+  config::Settings settings;
+  settings.node = "node-0";
+  settings.teams = {{"team", 0, 0, 0, 0}};
+  settings.heartbeat_interval_s = 3;
+  settings.lease_s = 30;
+  settings.cancel_s = 50;
+  settings.state_rps = 100;
+  settings.state_write_rps = 50;
+  settings.value_kb = 8;
+  settings.txn_ops = 8;
+  settings.cloud_rps = 5;
+  settings.list_lag_s = 3;
+  settings.memory_mb = 64;
+  settings.max_sockets = 100;
+  return settings;
 }
 
 inline model::MachineType MakeMachineType(const std::string& name, double cpus) {
-  model::MachineType f;
-  f.name = name;
-  f.cpus = cpus;
-  f.memory_gb = cpus * 4;
-  f.fetch_gb_per_s = 1;
-  f.price = 1;
-  f.spot_price = 0.3;
-  f.boot_s = 30;
-  f.zones = {"a", "b"};
-  return f;
+  model::MachineType machine_type;
+  machine_type.name = name;
+  machine_type.cpus = cpus;
+  machine_type.memory_gb = cpus * 4;
+  machine_type.fetch_gb_per_s = 1;
+  machine_type.price = 1;
+  machine_type.spot_price = 0.3;
+  machine_type.boot_s = 30;
+  machine_type.zones = {"a", "b"};
+  return machine_type;
 }
 
 }  // namespace hallpier::testing_support
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -10,7 +10,7 @@
 
 using State = HttpParser::State;
 
-TEST(HttpParser, ParsesARequestFedByteByByte) {
+TEST(HttpParser, ParsesRequestFedByteByByte) {
   HttpParser p(HttpParser::Kind::kRequest, 100);
   const std::string text =
       "POST /submissions?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
@@ -27,7 +27,7 @@
   EXPECT_TRUE(r.keep_alive);
 }
 
-TEST(HttpParser, KeepsRemainingBytesForTheNextMessage) {
+TEST(HttpParser, KeepsRemainingBytesForNextMessage) {
   HttpParser p(HttpParser::Kind::kRequest, 100);
   p.Feed("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n");
   ASSERT_EQ(p.Parse(), State::kDone);
@@ -85,7 +85,7 @@
                        "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n", 413}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(HttpParser, RejectsHeadersOverTheLimit) {
+TEST(HttpParser, RejectsHeadersOverLimit) {
   HttpParser p(HttpParser::Kind::kRequest, 10);
   p.Feed("GET /a HTTP/1.1\r\n");
   auto state = State::kNeedMore;
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -15,7 +15,7 @@
 using namespace testing_support;
 using Kind = TaskTransition::Kind;
 
-TEST(JobTable, TaskGroupsWithoutTheirJobAreObsolete) {
+TEST(JobTable, TaskGroupsWithoutJobAreObsolete) {
   JobTable job_table(4);
   PutJob(job_table, Spec("run-1", 40));
   PutOpenTask(job_table, "run-1", 9, 1, "");
@@ -45,9 +45,9 @@
 // Task groups of a layout that is too large for the lowered limits are migrated part by part,
 // whenever one of their tasks changes. Each part is written in a transaction within the limits,
 // with a precondition on the base group that it is migrated from.
-class TaskGroupParts : public testing::Test {
+class TaskGroupPartsTest : public testing::Test {
  protected:
-  TaskGroupParts() : job_table_(40) {
+  TaskGroupPartsTest() : job_table_(40) {
     PutJob(job_table_, Spec("run-1", 100));
     store::TaskGroup base_group;
     for (uint32_t i = 0; i < 10; ++i) base_group.done.Insert(i);
@@ -61,13 +61,13 @@
     versions_[key] = value.empty() ? 0 : ++last_version_;
   }
   std::vector<Transaction> Build(Kind kind, uint32_t index, uint64_t attempt) {
-    TaskTransition m;
-    m.kind = kind;
-    m.task = {"run-1", index};
-    m.attempt = attempt;
-    m.machine = "vm-1";
+    TaskTransition transition;
+    transition.kind = kind;
+    transition.task = {"run-1", index};
+    transition.attempt = attempt;
+    transition.machine = "vm-1";
     std::vector<TaskTransition> transitions;
-    if (attempt > 0) transitions.push_back(m);
+    if (attempt > 0) transitions.push_back(transition);
     const TransactionLimits limits = {4, {{"block", 5}}, 0, 0, true, 0};
     return BuildTransactions(job_table_, transitions, limits,
                              [this](const std::string& k) { return versions_[k]; });
@@ -79,7 +79,7 @@
   uint64_t last_version_ = 10;
 };
 
-TEST_F(TaskGroupParts, BaseGroupCountsUntilAPartIsWritten) {
+TEST_F(TaskGroupPartsTest, BaseGroupCountsUntilPartIsWritten) {
   EXPECT_EQ(job().done(), 10U);
   EXPECT_EQ(job().placed(), 20U);
   EXPECT_EQ(job().MeanRunTimeS("c4"), 5);
@@ -87,7 +87,7 @@
   EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
 }
 
-TEST_F(TaskGroupParts, WritingAPartMigratesAllTasksOfItsRange) {
+TEST_F(TaskGroupPartsTest, WritingPartMigratesAllTasksOfItsRange) {
   const std::string base_group = store::TaskGroupKey("run-1", 0),
                     second_part = store::TaskGroupPartKey("run-1", 0, 1);
   auto transactions = Build(Kind::kDone, 25, 1);
@@ -111,7 +111,7 @@
   EXPECT_EQ(job().done(), 1U);
 }
 
-TEST_F(TaskGroupParts, BaseGroupIsObsoleteOnceAllItsTasksHaveParts) {
+TEST_F(TaskGroupPartsTest, BaseGroupIsObsoleteOnceAllItsTasksHaveParts) {
   for (uint32_t index : {25U, 12U}) {
     EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
     auto transactions = Build(Kind::kDone, index, 1);
@@ -126,7 +126,7 @@
   EXPECT_TRUE(job_table_.ObsoleteKeys().empty());
 }
 
-TEST_F(TaskGroupParts, OrderOfLoadedRecordsDoesNotMatter) {
+TEST_F(TaskGroupPartsTest, OrderOfLoadedRecordsDoesNotMatter) {
   auto transactions = Build(Kind::kDone, 25, 1);
   Apply(transactions.at(0).writes.at(0).key, transactions[0].writes[0].value);
   JobTable other(40);
@@ -146,7 +146,7 @@
 }
 
 // A job whose record names a layout uses it, regardless of the settings and of other jobs.
-TEST(JobTable, LayoutInTheJobRecordTakesPrecedence) {
+TEST(JobTable, LayoutInJobRecordTakesPrecedence) {
   JobTable job_table(40);
   store::JobRecord record;
   record.spec = Spec("run-2", 100);
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -1,4 +1,4 @@
-// Components that have limits, used with a fleet of 4,000 machines, in simulated time and without
+// Tests components that have limits with a fleet of 4,000 machines, in simulated time and without
 // I/O.
 #include "large_fleet.h"
 
--- a/tests/message_codec_test.cc
+++ b/tests/message_codec_test.cc
@@ -27,7 +27,7 @@
   EXPECT_TRUE(decoded->one_zone);
 }
 
-TEST(UserCodec, InvalidSubmissionNamesTheField) {
+TEST(UserCodec, ErrorOfInvalidSubmissionNamesField) {
   auto rejected_field = [](const std::string& from, const std::string& to) {
     std::string text = kJob;
     text.replace(text.find(from), from.size(), to);
@@ -44,7 +44,7 @@
   EXPECT_EQ(rejected_field("\"spread\":false,", ""), "spread");
 }
 
-TEST(WorkerCodec, HeartbeatWithAnInvalidTaskIsRejectedWhole) {
+TEST(WorkerCodec, OneInvalidTaskRejectsWholeHeartbeat) {
   const std::string prefix =
       R"({"host":"vm-1","endpoint":"e","flavor":"f","hall":"a","tenure":1,"tick":2,"pieces":[)";
   EXPECT_TRUE(wire::ReadHeartbeat(
--- a/tests/oversized_writes_test.cc
+++ b/tests/oversized_writes_test.cc
@@ -8,7 +8,7 @@
 
 using Writes = std::vector<model::KeyWrite>;
 
-TEST(OversizedWrites, FirstRejectionIsolatesTheKeys) {
+TEST(OversizedWrites, FirstRejectionIsolatesKeys) {
   OversizedWrites oversized;
   const Writes together = {{"key-1", "1234", 0}, {"key-2", "12", 0}};
   EXPECT_FALSE(oversized.IsRejected(together));
@@ -18,7 +18,7 @@
       << "it may be accepted in a separate transaction";
 }
 
-TEST(OversizedWrites, IsolatedWriteIsNotSentAgainAtTheSameSize) {
+TEST(OversizedWrites, IsolatedWriteIsNotSentAgainAtSameSize) {
   OversizedWrites oversized;
   const Writes write = {{"key-1", "1234", 0}};
   EXPECT_FALSE(oversized.OnRejected(write));
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -45,57 +45,57 @@
 TEST(FrameDecoder, ReturnsFramesFedByteByByte) {
   const std::string large_payload(1000, 'x');
   const std::string stream = EncodeFrame("one") + EncodeFrame("") + EncodeFrame(large_payload);
-  FrameDecoder f(2000);
+  FrameDecoder decoder(2000);
   std::vector<std::string> frames;
   for (char c : stream) {
-    f.Feed(std::string_view(&c, 1));
-    while (auto p = f.Next()) frames.push_back(*p);
+    decoder.Feed(std::string_view(&c, 1));
+    while (auto p = decoder.Next()) frames.push_back(*p);
   }
   EXPECT_EQ(frames, (std::vector<std::string>{"one", "", large_payload}));
-  EXPECT_FALSE(f.corrupt());
+  EXPECT_FALSE(decoder.corrupt());
 }
 
-TEST(FrameDecoder, RejectsFramesOverTheLimit) {
-  FrameDecoder f(100);
-  f.Feed(EncodeFrame(std::string(101, 'x')));
-  EXPECT_FALSE(f.Next());
-  EXPECT_TRUE(f.corrupt());
-  FrameDecoder g(100);
-  g.Feed(std::string(10, '\xff'));
-  EXPECT_FALSE(g.Next());
-  EXPECT_TRUE(g.corrupt());
+TEST(FrameDecoder, RejectsFramesOverLimit) {
+  FrameDecoder decoder(100);
+  decoder.Feed(EncodeFrame(std::string(101, 'x')));
+  EXPECT_FALSE(decoder.Next());
+  EXPECT_TRUE(decoder.corrupt());
+  FrameDecoder second_decoder(100);
+  second_decoder.Feed(std::string(10, '\xff'));
+  EXPECT_FALSE(second_decoder.Next());
+  EXPECT_TRUE(second_decoder.corrupt());
 }
 
-TEST(PeerMessages, RoundTripAndRejectInvalidBytes) {
-  PeerStatus s{"node-1", model::FencingToken(77), true, false};
-  auto back = ReadPeerMessage(WritePeerMessage(s));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<PeerStatus>(*back), s);
-  RelayRequest q{9, {.method = "POST", .target = "/txn", .body = "{}"}};
-  const std::string payload = WritePeerMessage(q);
-  back = ReadPeerMessage(payload);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<RelayRequest>(*back).request.body, "{}");
+TEST(PeerMessages, RoundTripsAndRejectsInvalidBytes) {
+  PeerStatus status{"node-1", model::FencingToken(77), true, false};
+  auto decoded = ReadPeerMessage(WritePeerMessage(status));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(std::get<PeerStatus>(*decoded), status);
+  RelayRequest request{9, {.method = "POST", .target = "/txn", .body = "{}"}};
+  const std::string payload = WritePeerMessage(request);
+  decoded = ReadPeerMessage(payload);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(std::get<RelayRequest>(*decoded).request.body, "{}");
   for (size_t n = 0; n < payload.size(); ++n) {
     EXPECT_FALSE(ReadPeerMessage(std::string_view(payload).substr(0, n))) << n;
   }
   const std::string cancellation_report =
       WritePeerMessage(CancellationReport{true, 431, {{"run-1", 430}, {"run-2", 77}}});
-  back = ReadPeerMessage(cancellation_report);
-  ASSERT_TRUE(back);
-  EXPECT_TRUE(std::get<CancellationReport>(*back).complete);
-  EXPECT_EQ(std::get<CancellationReport>(*back).revision, 431U);
-  EXPECT_EQ(std::get<CancellationReport>(*back).cancelled,
+  decoded = ReadPeerMessage(cancellation_report);
+  ASSERT_TRUE(decoded);
+  EXPECT_TRUE(std::get<CancellationReport>(*decoded).complete);
+  EXPECT_EQ(std::get<CancellationReport>(*decoded).revision, 431U);
+  EXPECT_EQ(std::get<CancellationReport>(*decoded).cancelled,
             (std::vector<Cancellation>{{"run-1", 430}, {"run-2", 77}}));
   for (size_t n = 0; n < cancellation_report.size(); ++n) {
     EXPECT_FALSE(ReadPeerMessage(std::string_view(cancellation_report).substr(0, n))) << n;
   }
-  back = ReadPeerMessage(WritePeerMessage(CancellationReportRequest{431}));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<CancellationReportRequest>(*back).after_revision, 431U);
-  back = ReadPeerMessage(WritePeerMessage(CancelNotice{{"run-1", 430}}));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<CancelNotice>(*back).cancelled, (Cancellation{"run-1", 430}));
+  decoded = ReadPeerMessage(WritePeerMessage(CancellationReportRequest{431}));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(std::get<CancellationReportRequest>(*decoded).after_revision, 431U);
+  decoded = ReadPeerMessage(WritePeerMessage(CancelNotice{{"run-1", 430}}));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(std::get<CancelNotice>(*decoded).cancelled, (Cancellation{"run-1", 430}));
   EXPECT_FALSE(ReadPeerMessage(payload + "x")) << "a byte after the message";
   EXPECT_FALSE(ReadPeerMessage("\x63")) << "an unknown type";
 }
@@ -211,15 +211,15 @@
       const PeerMessage message = messages.OfType(type);
       ASSERT_EQ(message.index(), type);
       const std::string payload = WritePeerMessage(message);
-      const auto back = ReadPeerMessage(payload);
-      ASSERT_TRUE(back) << "seed " << seed << ": " << back.error().reason;
-      EXPECT_EQ(back->index(), type);
-      EXPECT_EQ(WritePeerMessage(*back), payload) << "seed " << seed << ", type " << type;
+      const auto decoded = ReadPeerMessage(payload);
+      ASSERT_TRUE(decoded) << "seed " << seed << ": " << decoded.error().reason;
+      EXPECT_EQ(decoded->index(), type);
+      EXPECT_EQ(WritePeerMessage(*decoded), payload) << "seed " << seed << ", type " << type;
       if (const auto* report = std::get_if<MembersReport>(&message)) {
-        EXPECT_EQ(std::get<MembersReport>(*back), *report) << "seed " << seed;
+        EXPECT_EQ(std::get<MembersReport>(*decoded), *report) << "seed " << seed;
       }
       if (const auto* view = std::get_if<BlockView>(&message)) {
-        EXPECT_EQ(std::get<BlockView>(*back), *view) << "seed " << seed;
+        EXPECT_EQ(std::get<BlockView>(*decoded), *view) << "seed " << seed;
       }
     }
   }
@@ -231,9 +231,9 @@
   MemberProbe probe;
   probe.status.observations = {
       {"node-1", {}, model::MemberState::kAlive, std::numeric_limits<uint64_t>::max()}};
-  const auto back = ReadPeerMessage(WritePeerMessage(probe));
-  ASSERT_TRUE(back);
-  EXPECT_TRUE(std::get<MemberProbe>(*back).status.observations.at(0).last_heard_ms_ago);
+  const auto decoded = ReadPeerMessage(WritePeerMessage(probe));
+  ASSERT_TRUE(decoded);
+  EXPECT_TRUE(std::get<MemberProbe>(*decoded).status.observations.at(0).last_heard_ms_ago);
 }
 
 std::string DecodeErrorOf(const std::string& payload) {
@@ -242,7 +242,7 @@
   return message ? std::string() : message.error().reason;
 }
 
-TEST(PeerMessages, DecodeErrorNamesTheMessageAndTheField) {
+TEST(PeerMessages, DecodeErrorNamesMessageAndField) {
   EXPECT_EQ(DecodeErrorOf("\x63"),
             "a message of an unknown type: message type has the invalid value 99");
   EXPECT_EQ(DecodeErrorOf(WritePeerMessage(MembersRequest{}) + "x"),
@@ -267,13 +267,13 @@
   constexpr size_t kPhase = 14;  // after the view's header, the machine, the task's id and attempt
   phase[kPhase] = 9;
   EXPECT_EQ(DecodeErrorOf(phase), "a block view: task phase has the invalid value 9");
-  std::string answer = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
-  answer.resize(3);  // the type, an id and a flag
-  PutVarint(answer, 1000);
-  EXPECT_EQ(DecodeErrorOf(answer), "a relay response: HTTP status has the invalid value 1000");
+  std::string response = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
+  response.resize(3);  // the type, an id and a flag
+  PutVarint(response, 1000);
+  EXPECT_EQ(DecodeErrorOf(response), "a relay response: HTTP status has the invalid value 1000");
 }
 
-TEST(PeerMessages, EachTypeHasAName) {
+TEST(PeerMessages, MessageTypesHaveNames) {
   EXPECT_EQ(PeerMessageName(PeerStatus{}), "a peer status");
   EXPECT_EQ(PeerMessageName(MembersReport{}), "a members report");
 }
--- a/tests/placement_proof_test.cc
+++ b/tests/placement_proof_test.cc
@@ -80,9 +80,9 @@
 // Duplicates of a heartbeat that keep arriving for longer than a lease must not renew the lease:
 // the worker that sent the heartbeat may be long gone.
 TEST_F(PlacementProofTest, DuplicateHeartbeatsNeitherRenewLeaseNorRestoreState) {
-  const auto runs = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
-  Heartbeat(1, 5, kToken, 50, {runs});
-  for (double t = 52; t < 81; t += 2) Heartbeat(1, 4, kToken, t, {runs});
+  const auto running_task = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
+  Heartbeat(1, 5, kToken, 50, {running_task});
+  for (double t = 52; t < 81; t += 2) Heartbeat(1, 4, kToken, t, {running_task});
   EXPECT_FALSE(IsRequeued(80));
   EXPECT_TRUE(IsRequeued(82));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 82))
@@ -91,7 +91,7 @@
   // not undo either.
   PutOpenTask(job_table_, "run-1", 0, 2, "vm-2");
   Heartbeat(2, 9, kToken, 83);
-  auto commands = Heartbeat(1, 6, kToken, 140, {runs});
+  auto commands = Heartbeat(1, 6, kToken, 140, {running_task});
   EXPECT_TRUE(commands.empty());
   EXPECT_EQ(registry_.Find("vm-1")->agent.epoch, model::AgentEpoch(2));
   EXPECT_TRUE(registry_.Find("vm-1")->reported_tasks.empty());
@@ -124,7 +124,8 @@
   started.tasks = {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning)};
   registry_.OnHeartbeat(started, 31, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, true);
-  EXPECT_FALSE(IsRequeued(45)) << "it runs in the second epoch until the lease of that one expires";
+  EXPECT_FALSE(IsRequeued(45))
+      << "the attempt runs in the second epoch until the lease of that epoch expires";
   EXPECT_FALSE(IsRequeued(60));
   EXPECT_TRUE(IsRequeued(63));
 }
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -257,7 +257,7 @@
   int peak_cpus_ = 0;
 };
 
-TEST_P(BlocksProcessTest, ProcessFaultsNeverExceedTheTeamLimit) {
+TEST_P(BlocksProcessTest, TeamLimitHoldsDespiteProcessFaults) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   StartAll();
   WatchPeak();
--- a/tests/rate_limiter_test.cc
+++ b/tests/rate_limiter_test.cc
@@ -5,7 +5,7 @@
 namespace hallpier::store {
 namespace {
 
-TEST(RateLimiter, KeepsAReserveForUrgentRequests) {
+TEST(RateLimiter, KeepsReserveForUrgentRequests) {
   RateLimiter limiter(10, 1, 0.3);
   EXPECT_EQ(limiter.Acquire(0, 7, RequestPriority::kNormal, 0), 0);
   EXPECT_LT(limiter.Acquire(0, 1, RequestPriority::kNormal, 0), 0);
--- a/tests/reconciliation_test.cc
+++ b/tests/reconciliation_test.cc
@@ -29,10 +29,10 @@
   auto commands = Reconcile(registry_, *registry_.Find("vm-1"), job_table_, true);
   OnDirectCommandFinished(registry_, "vm-1", commands, kToken, false);
   PutOpenTask(job_table_, "run-1", 0, 1, "");  // the end of the attempt is recorded
-  auto answer = Heartbeat(
+  auto commands_in_response = Heartbeat(
       1, 2, kToken, 2,
       {MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kExited, model::ExitCause::kStopped)});
-  EXPECT_TRUE(answer.empty())
+  EXPECT_TRUE(commands_in_response.empty())
       << "after a forget command, a late start command would run the attempt again";
 }
 
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -1,5 +1,5 @@
-// Records in all stored formats: as written by versions without pipelines, packed, and within
-// lowered limits.
+// Records in all stored formats: as written by versions without job dependencies, packed, and
+// within lowered limits.
 #include <gtest/gtest.h>
 
 #include "fixtures.h"
@@ -18,7 +18,7 @@
 
 using namespace testing_support;
 
-// Bytes written by the production version before pipelines.
+// Bytes written by the production version before job dependencies were introduced.
 constexpr std::string_view kOldJob =
     R"({"spec":{"id":"run-000412","lane":"train","tenant":"vision","shape":"array",)"
     R"("urgency":"urgent","pieces":16,"vcpus":8.0,"cards":1.0,"memGb":64.5,"bundle":"img-07",)"
@@ -41,7 +41,7 @@
 // Guards against newer formats while a node of the old production version runs. That version drops
 // unknown fields when it cancels a job, and rejects longer frames. So until every node is new, all
 // bytes written must equal those that the old version writes.
-TEST(Records, OldFormatIsWrittenByteForByte) {
+TEST(OldFormat, RecordsAreWrittenByteForByte) {
   auto job = ReadJob(kOldJob);
   ASSERT_TRUE(job);
   EXPECT_EQ(WriteJob(*job), kOldJob);
@@ -56,43 +56,45 @@
   EXPECT_EQ(WriteFencingTokenRecord("hallnode-0"), R"({"holder":"hallnode-0"})");
   EXPECT_EQ(TaskGroupKey("run-000412", 3), "hallpier/a/t/run-000412/00003");
   EXPECT_EQ(FinalKey("run-000412"), "hallpier/f/run-000412");
-  // A group number stands for a range of tasks. With another range, tasks would start twice.
+  // A group number stands for a range of tasks. If another version computed a different range,
+  // tasks would start twice.
   EXPECT_EQ(TasksPerTextGroup(8), 335U);
   EXPECT_EQ(TasksPerTextGroup(2), 83U);
   EXPECT_EQ(TasksPerTextGroup(64), 2681U);
 }
 
-TEST(PeerMessages, OldFramesAreWrittenByteForByte) {
+TEST(OldFormat, PeerFramesAreWrittenByteForByte) {
   EXPECT_EQ(Hex(wire::WritePeerMessage(
                 wire::PeerStatus{"hallnode-1", model::FencingToken(412), true, true})),
             "010a68616c6c6e6f64652d319c030101");
-  wire::RelayRequest q;
-  q.id = 9;
-  q.request.method = "POST";
-  q.request.target = "/txn";
-  q.request.body = "{}";
-  EXPECT_EQ(Hex(wire::WritePeerMessage(q)), "020904504f5354042f74786e027b7d");
-  wire::RelayResponse a;
-  a.id = 9;
-  a.has_response = true;
-  a.response.status = 200;
-  a.response.body = R"({"rev":5})";
-  EXPECT_EQ(Hex(wire::WritePeerMessage(a)), "030901c801097b22726576223a357d");
+  wire::RelayRequest request;
+  request.id = 9;
+  request.request.method = "POST";
+  request.request.target = "/txn";
+  request.request.body = "{}";
+  EXPECT_EQ(Hex(wire::WritePeerMessage(request)), "020904504f5354042f74786e027b7d");
+  wire::RelayResponse response;
+  response.id = 9;
+  response.has_response = true;
+  response.response.status = 200;
+  response.response.body = R"({"rev":5})";
+  EXPECT_EQ(Hex(wire::WritePeerMessage(response)), "030901c801097b22726576223a357d");
 }
 
 // The same for the leader's transactions, where other code sets the fields of the records.
-TEST(BuildTransactions, UsesTheOldFormatBeforeTheFormatChange) {
+TEST(OldFormat, TransactionsWriteOldRecordsUntilPackedGroupsAreEnabled) {
   jobs::JobTable job_table(335);
   job_table.Apply(ParseKey(JobKey("run-000412")), std::string(kOldJob));
   job_table.Apply(ParseKey(TaskGroupKey("run-000412", 0)), std::string(kOldGroup));
   jobs::TransactionLimits limits{8, {{"block", 5}}, 8192, 0, false, 1764633700};
   auto build = [&](jobs::TaskTransition::Kind kind, uint32_t index, uint64_t attempt) {
-    jobs::TaskTransition m;
-    m.kind = kind;
-    m.task = {"run-000412", index};
-    m.attempt = attempt;
-    m.machine = "vm-000231";
-    return jobs::BuildTransactions(job_table, {m}, limits, [](const std::string&) { return 1; });
+    jobs::TaskTransition transition;
+    transition.kind = kind;
+    transition.task = {"run-000412", index};
+    transition.attempt = attempt;
+    transition.machine = "vm-000231";
+    return jobs::BuildTransactions(job_table, {transition}, limits,
+                                   [](const std::string&) { return 1; });
   };
   EXPECT_EQ(build(jobs::TaskTransition::Kind::kPlace, 5, 4).at(0).writes.at(0).value,
             R"({"done":[0,1,4,4],"on":{"vm-000231":[2,3,-2,5,-4]},"runs":{"g8":[3,61.5]}})");
@@ -107,7 +109,7 @@
             R"({"phase":"done","done":16,"at":1764633700.0})");
 }
 
-TEST(Digits, RoundTripAndRejectInvalidText) {
+TEST(Base64Digits, RoundTripsAndRejectsInvalidText) {
   std::string text;
   for (uint64_t n : {0U, 63U, 64U, 4095U}) wire::PutDigits(text, n, 2);
   std::string_view left = text;
@@ -123,7 +125,7 @@
   EXPECT_FALSE(wire::UnpackFlags("0", 7));
 }
 
-TEST(Records, CancelledJobFitsTheValueLimitForAnyRecord) {
+TEST(Records, CancelledJobFitsValueLimitForAnyRecord) {
   JobRecord job;
   job.spec = Spec("run-1", 900);
   for (int i = 0; i < 300; ++i) job.spec.machine_types.push_back("flavor-" + std::to_string(i));
@@ -181,7 +183,7 @@
 }
 
 // An unreadable record is left unchanged. The error names the field so that its cause can be found.
-TEST(Records, DecodeErrorsNameTheField) {
+TEST(Records, DecodeErrorsNameField) {
   auto field = [](const auto& result) {
     return result ? std::string("readable") : result.error().field;
   };
--- a/tests/response_acknowledgement_test.cc
+++ b/tests/response_acknowledgement_test.cc
@@ -14,8 +14,8 @@
 
 class ResponseAcknowledgementTest : public WorkerRegistryFixture {};
 
-// The heartbeats never carry the token that every response contains.
-TEST_F(ResponseAcknowledgementTest, MachineThatNeverShowsOurTokenGetsNoTasksAndKeepsItsPlacements) {
+// Heartbeats alone show the loss: they never carry the token that every response contains.
+TEST_F(ResponseAcknowledgementTest, MachineThatNeverReportsTokenGetsNoTasksAndKeepsPlacements) {
   for (int i = 1; i <= 5; ++i) Heartbeat(1, static_cast<uint64_t>(i), {}, 3 * i);
   EXPECT_TRUE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 15));
   EXPECT_FALSE(registry_.AcceptsTasks(*registry_.Find("vm-1"), 15));
@@ -35,9 +35,11 @@
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 21));
 }
 
-TEST_F(ResponseAcknowledgementTest, MachineThatStartsNewEpochDespiteResponsesGetsNoTasks) {
-  const auto runs = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
-  for (int i = 1; i <= 10; ++i) Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {runs});
+// A new agent epoch is taken as a sign that the lease expired although the leader responded.
+TEST_F(ResponseAcknowledgementTest, MachineWhoseLeaseExpiresDespiteResponsesGetsNoTasks) {
+  const auto running_task = MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning);
+  for (int i = 1; i <= 10; ++i)
+    Heartbeat(1, static_cast<uint64_t>(i), kToken, 3 * i, {running_task});
   EXPECT_FALSE(registry_.AreResponsesLost(*registry_.Find("vm-1"), 30));
   Heartbeat(2, 11, kToken, 33);
   Heartbeat(2, 12, kToken, 36);
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -57,9 +57,9 @@
     other.zone = "b";
     registry_.OnHeartbeat(other, 100, false);
   }
-  model::JobSpec bound = Spec("run-1", 8);
-  bound.zone = "a";
-  PutJob(job_table_, bound, 1);
+  model::JobSpec job_in_zone_a = Spec("run-1", 8);
+  job_in_zone_a.zone = "a";
+  PutJob(job_table_, job_in_zone_a, 1);
   registry_.failure_tracker().OnFailure("run-1", "vm-1", 99);
   registry_.UpdateObservations(job_table_);
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 0U);
--- a/tests/round_test.cc
+++ b/tests/round_test.cc
@@ -56,7 +56,7 @@
   EXPECT_EQ(CountPlaced(Plan(), "run-1"), 4U);
 }
 
-TEST_F(RoundTest, PrerequisiteInheritsPriorityOfUrgentJob) {
+TEST_F(RoundTest, AwaitedJobInheritsPriorityOfUrgentDependent) {
   model::JobSpec first = Spec("run-1", 4);
   first.priority = model::Priority::kBestEffort;
   model::JobSpec last = Spec("run-2", 1);
--- a/tests/stop_requests_test.cc
+++ b/tests/stop_requests_test.cc
@@ -12,7 +12,7 @@
 
 const model::TaskId kTask{"run-1", 0};
 
-TEST(StopRequests, ApplyToOneAttemptOnly) {
+TEST(StopRequests, RequestAppliesToOneAttemptOnly) {
   StopRequests requests;
   requests.Add(kTask, 2, 5);
   EXPECT_TRUE(requests.Contains(kTask, 2));
@@ -32,7 +32,7 @@
   EXPECT_EQ(requests.GraceSeconds(kTask), 0);
 }
 
-TEST(StopRequests, AreDroppedOnceAttemptIsNoLongerRecorded) {
+TEST(StopRequests, RequestIsDroppedOnceAttemptIsNoLongerRecorded) {
   jobs::JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 4));
   PutOpenTask(job_table, "run-1", 0, 2, "vm-1");
--- a/tests/task_group_test.cc
+++ b/tests/task_group_test.cc
@@ -21,15 +21,15 @@
 }
 
 TEST(TaskGroup, RoundTripsAndRejectsInvalidText) {
-  TaskGroup s;
-  s.done.Insert(1);
-  s.done.Insert(2);
-  s.open[7] = {3, "vm-1"};
-  s.open[8] = {1, ""};
-  s.runs["c4"] = {2, 20.5};
-  auto decoded = ReadTaskGroup(WriteTaskGroup(s));
+  TaskGroup group;
+  group.done.Insert(1);
+  group.done.Insert(2);
+  group.open[7] = {3, "vm-1"};
+  group.open[8] = {1, ""};
+  group.runs["c4"] = {2, 20.5};
+  auto decoded = ReadTaskGroup(WriteTaskGroup(group));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(decoded->open, s.open);
+  EXPECT_EQ(decoded->open, group.open);
   EXPECT_EQ(decoded->done.size(), 2U);
   EXPECT_EQ(decoded->placed(), 1U);
   EXPECT_EQ(decoded->runs["c4"].count, 2U);
@@ -43,34 +43,35 @@
   EXPECT_FALSE(ReadFinal(R"({"phase":"running"})"));
 }
 
-TEST(TaskGroup, LargestGroupFitsTheValueLimit) {
+TEST(TaskGroup, LargestGroupFitsValueLimit) {
   const double value_kb = 2;
   const uint32_t tasks = TasksPerTextGroup(value_kb);
-  TaskGroup s;
-  for (uint32_t i = 0; i < tasks; ++i) s.open[99000 + i] = {1, "vm-" + std::to_string(100000 + i)};
-  EXPECT_LT(static_cast<double>(WriteTaskGroup(s).size()), value_kb * 1024);
+  TaskGroup group;
+  for (uint32_t i = 0; i < tasks; ++i)
+    group.open[99000 + i] = {1, "vm-" + std::to_string(100000 + i)};
+  EXPECT_LT(static_cast<double>(WriteTaskGroup(group).size()), value_kb * 1024);
 }
 
 TaskGroup GroupWithOpenTasks(const std::vector<std::string>& machines) {
-  TaskGroup s;
-  s.done.Insert(300);
-  s.done.Insert(301);
-  s.runs["c4"] = {2, 20.5};
-  for (uint32_t i = 0; i < machines.size(); ++i) s.open[302 + i] = {i * 40 + 1, machines[i]};
-  return s;
+  TaskGroup group;
+  group.done.Insert(300);
+  group.done.Insert(301);
+  group.runs["c4"] = {2, 20.5};
+  for (uint32_t i = 0; i < machines.size(); ++i) group.open[302 + i] = {i * 40 + 1, machines[i]};
+  return group;
 }
 
 TEST(PackedTaskGroup, RoundTripsWithAnyMachineNames) {
-  for (const TaskGroup& s :
+  for (const TaskGroup& group :
        {GroupWithOpenTasks({"vm-000231", "vm-009000", "", "vm-000231"}),
         GroupWithOpenTasks({"vm-9", "vm-10", "other"}),
         GroupWithOpenTasks({"a-7", "b-1", "b-3", "", "a-8", "b-3"}), GroupWithOpenTasks({"", ""}),
         GroupWithOpenTasks({}),
         GroupWithOpenTasks({"12345678901234567890", "12345678901234567891"})}) {
-    auto decoded = ReadTaskGroup(WritePackedTaskGroup(s, 300, 20));
-    ASSERT_TRUE(decoded) << WritePackedTaskGroup(s, 300, 20);
-    EXPECT_EQ(decoded->open, s.open);
-    EXPECT_EQ(decoded->done.ranges(), s.done.ranges());
+    auto decoded = ReadTaskGroup(WritePackedTaskGroup(group, 300, 20));
+    ASSERT_TRUE(decoded) << WritePackedTaskGroup(group, 300, 20);
+    EXPECT_EQ(decoded->open, group.open);
+    EXPECT_EQ(decoded->done.ranges(), group.done.ranges());
     EXPECT_EQ(decoded->runs["c4"].count, 2U);
   }
   // Tasks outside the given range of the group are kept as well.
@@ -101,15 +102,15 @@
 
 // Guards against stored groups that are too large to be rewritten after the limits are lowered. The
 // largest group that production ever wrote must fit into a quarter of its value once it is packed.
-TEST(PackedTaskGroup, LargestGroupsFitTheLoweredLimit) {
+TEST(PackedTaskGroup, LargestGroupsFitLoweredLimit) {
   for (uint32_t tasks : {TasksPerTextGroup(8), TasksPerPackedGroup(2)}) {
-    TaskGroup s;
+    TaskGroup group;
     for (uint32_t i = 0; i < tasks; ++i) {
-      s.open[i] = {i % 60 + 1, "vm-" + std::to_string(100000 + (i * 7919) % 200000)};
+      group.open[i] = {i % 60 + 1, "vm-" + std::to_string(100000 + (i * 7919) % 200000)};
     }
     for (const char* machine_type : {"menhir-4", "dolmen-8"})
-      s.runs[machine_type] = {1000, 12345.678901234};
-    EXPECT_LE(WritePackedTaskGroup(s, 0, tasks).size(), 2048U) << tasks;
+      group.runs[machine_type] = {1000, 12345.678901234};
+    EXPECT_LE(WritePackedTaskGroup(group, 0, tasks).size(), 2048U) << tasks;
   }
 }
 
--- a/tests/task_mapping_test.cc
+++ b/tests/task_mapping_test.cc
@@ -10,7 +10,7 @@
 namespace hallpier::plan {
 namespace {
 
-TaskClass ClassOf(double cpus, size_t count, std::vector<double> run_s) {
+TaskClass MakeTaskClass(double cpus, size_t count, std::vector<double> run_s) {
   TaskClass c;
   c.need = {cpus, 0, 1};
   c.count = count;
@@ -29,10 +29,10 @@
 // then 1 (delays 0 + 10). The run times add up to 11 in both orders.
 TEST(MapTasksDuplex, KeepsMinMinWhenShortTasksShouldGoFirst) {
   auto machines = Machines({1});
-  std::vector<TaskClass> classes = {ClassOf(1, 1, {1}), ClassOf(1, 1, {10})};
-  auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 12);
-  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 21);
+  std::vector<TaskClass> classes = {MakeTaskClass(1, 1, {1}), MakeTaskClass(1, 1, {10})};
+  auto min_min_machines = machines, min_max_machines = machines;
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, min_min_machines, 10).cost, 12);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, min_max_machines, 10).cost, 21);
   Mapping map = MapTasksDuplex(classes, machines, 10);
   EXPECT_DOUBLE_EQ(map.cost, 12);
   EXPECT_EQ(map.assignments[0].task_class, 0U);
@@ -44,26 +44,26 @@
 // 3 + 2 = 5.
 TEST(MapTasksDuplex, KeepsMinMaxWhenLongTaskNeedsFastMachine) {
   auto machines = Machines({1, 1});
-  std::vector<TaskClass> classes = {ClassOf(1, 1, {2, 2}), ClassOf(1, 1, {3, 30})};
-  auto a = machines, b = machines;
-  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, a, 10).cost, 7);
-  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, b, 10).cost, 5);
+  std::vector<TaskClass> classes = {MakeTaskClass(1, 1, {2, 2}), MakeTaskClass(1, 1, {3, 30})};
+  auto min_min_machines = machines, min_max_machines = machines;
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMin, classes, min_min_machines, 10).cost, 7);
+  EXPECT_DOUBLE_EQ(MapTasks(MappingOrder::kMinMax, classes, min_max_machines, 10).cost, 5);
   EXPECT_DOUBLE_EQ(MapTasksDuplex(classes, machines, 10).cost, 5);
 }
 
 TEST(MapTasksDuplex, RespectsOneZoneAndZoneAllowance) {
   std::vector<MachineAvailability> machines = Machines({2, 2});
   machines[1].zone = 1;
-  TaskClass together = ClassOf(1, 3, {5, 5});
-  together.one_zone = true;
-  auto m = machines;
-  Mapping map = MapTasksDuplex({together}, m, 10);
+  TaskClass one_zone_class = MakeTaskClass(1, 3, {5, 5});
+  one_zone_class.one_zone = true;
+  auto mapped_machines = machines;
+  Mapping map = MapTasksDuplex({one_zone_class}, mapped_machines, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
   for (const auto& a : map.assignments) EXPECT_EQ(a.machine, map.assignments[0].machine);
-  TaskClass apart = ClassOf(1, 3, {5, 5});
-  apart.zone_allowance = {1, 2};
-  m = machines;
-  map = MapTasksDuplex({apart}, m, 10);
+  TaskClass class_with_allowance = MakeTaskClass(1, 3, {5, 5});
+  class_with_allowance.zone_allowance = {1, 2};
+  mapped_machines = machines;
+  map = MapTasksDuplex({class_with_allowance}, mapped_machines, 10);
   ASSERT_EQ(map.assignments.size(), 3U);
   EXPECT_EQ(std::count_if(map.assignments.begin(), map.assignments.end(),
                           [](const Assignment& a) { return a.machine == 0; }),
@@ -76,9 +76,9 @@
   auto machines = Machines({4, 4, 4});
   machines[1].timeline.Reserve(0, 10, {2, 0, 1});
   machines[2].timeline.Reserve(0, 100, {1, 0, 1});
-  TaskClass packed = ClassOf(1, 1, {50, 50, 50});
-  packed.pack = true;
-  Mapping map = MapTasksDuplex({packed}, machines, 10);
+  TaskClass packed_class = MakeTaskClass(1, 1, {50, 50, 50});
+  packed_class.pack = true;
+  Mapping map = MapTasksDuplex({packed_class}, machines, 10);
   ASSERT_EQ(map.assignments.size(), 1U);
   EXPECT_EQ(map.assignments[0].machine, 2U);
 }
@@ -86,7 +86,7 @@
 TEST(TimelineUndoLog, ExchangeUndoesAndRedoesMapping) {
   auto machines = Machines({1, 1});
   TimelineUndoLog log(machines.size());
-  MapTasks(MappingOrder::kMinMin, {ClassOf(1, 2, {5, 50})}, machines, 10, &log);
+  MapTasks(MappingOrder::kMinMin, {MakeTaskClass(1, 2, {5, 50})}, machines, 10, &log);
   EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 10);
   log.Exchange(machines);
   EXPECT_EQ(machines[0].timeline.EarliestStart({1, 0, 1}, 1), 0) << "as before the mapping";
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -61,10 +61,10 @@
 
 TEST_F(TeamQuotaTest, LargeJobDoesNotKeepOtherTeamFromItsGuarantee) {
   settings_.teams = {{"swarm", 0, 0, 0, 0}, {"team", 2, 0, 0, 0}};
-  auto swarm = Spec("run-1", 100);
-  swarm.team = "swarm";
-  swarm.estimated_run_s = 1;
-  PutJob(job_table_, swarm, 1);
+  auto large_job = Spec("run-1", 100);
+  large_job.team = "swarm";
+  large_job.estimated_run_s = 1;
+  PutJob(job_table_, large_job, 1);
   PutJob(job_table_, Spec("run-2", 2), 2);
   AddMachine("vm-1");
   auto r = Plan();
--- a/tests/transaction_builder_test.cc
+++ b/tests/transaction_builder_test.cc
@@ -21,18 +21,18 @@
 
 TaskTransition MakeTransition(Kind kind, uint32_t index, uint64_t attempt,
                               const std::string& machine) {
-  TaskTransition m;
-  m.kind = kind;
-  m.task = {"run-1", index};
-  m.attempt = attempt;
-  m.machine = machine;
-  return m;
+  TaskTransition transition;
+  transition.kind = kind;
+  transition.task = {"run-1", index};
+  transition.attempt = attempt;
+  transition.machine = machine;
+  return transition;
 }
 
 // Guards against two block owners that place tasks of a one-zone job concurrently in different
 // zones. Placements in different task groups have preconditions on different keys. The job's record
 // is the same key for both, so each placement rewrites it as well.
-TEST(BuildTransactions, ConcurrentPlacementOfAOneZoneJobRewritesTheJob) {
+TEST(BuildTransactions, ConcurrentPlacementOfOneZoneJobRewritesJobRecord) {
   JobTable job_table(4);
   model::JobSpec spec = Spec("run-1", 8);
   spec.one_zone = true;
@@ -54,7 +54,7 @@
 // Guards against task group values over the limit of the state service, which rejects the whole
 // value. Machine names may be longer than the group size allows for. Placements that do not fit
 // wait until other tasks have ended.
-TEST(BuildTransactions, PlacementsOverTheValueLimitWait) {
+TEST(BuildTransactions, PlacementsOverValueLimitWait) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 40));
   std::vector<TaskTransition> transitions;
@@ -74,7 +74,7 @@
 // With more writes than the budget allows, urgent placements come first and ends of single tasks
 // last, unless they have waited long. The end of a job's last task goes into the transaction that
 // makes the job final.
-TEST(BuildTransactions, WritesOverTheBudgetAreOrderedByPriority) {
+TEST(BuildTransactions, WritesOverBudgetAreOrderedByPriority) {
   JobTable job_table(64);
   model::JobSpec urgent = Spec("run-4", 1);
   urgent.priority = model::Priority::kUrgent;
@@ -82,9 +82,9 @@
     PutJob(job_table, spec);
   }
   for (const char* id : {"run-1", "run-2"}) PutOpenTask(job_table, id, 0, 1, "vm-1");
-  auto for_job = [](const char* job, TaskTransition m) {
-    m.task.job = job;
-    return m;
+  auto for_job = [](const char* job, TaskTransition transition) {
+    transition.task.job = job;
+    return transition;
   };
   TransactionLimits limits = kLimits;
   limits.max_writes = 3;
@@ -143,7 +143,7 @@
           .empty());
 }
 
-TEST(BuildTransactions, LastTaskMakesTheJobFinalInTheSameTransaction) {
+TEST(BuildTransactions, LastTaskMakesJobFinalInSameTransaction) {
   JobTable job_table(64);
   PutJob(job_table, Spec("run-1", 2));
   store::TaskGroup task_group;
@@ -177,7 +177,7 @@
   EXPECT_EQ(final_record->phase, model::JobPhase::kCancelled);
 }
 
-TEST(BuildTransactions, TransactionsStayWithinTheLimits) {
+TEST(BuildTransactions, TransactionsStayWithinLimits) {
   JobTable job_table(4);
   std::vector<TaskTransition> transitions;
   PutJob(job_table, Spec("run-1", 400));
@@ -201,11 +201,11 @@
   std::vector<TaskTransition> transitions;
   for (const char* id : {"run-1", "run-2", "run-3"}) {
     PutJob(job_table, Spec(id, 2));
-    TaskTransition m;
-    m.task = {id, 0};
-    m.attempt = 1;
-    m.machine = "vm-1";
-    transitions.push_back(m);
+    TaskTransition transition;
+    transition.task = {id, 0};
+    transition.attempt = 1;
+    transition.machine = "vm-1";
+    transitions.push_back(transition);
   }
   std::set<std::string> isolated_keys;
   TransactionLimits limits = {8, {{"block", 5}}, 0, 0, true, 0, &isolated_keys};
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -20,8 +20,9 @@
   return true;
 }
 
-// Returns true if the version before pipelines can read a record and write it back without loss: it
-// knows all fields and the format. It ignores node format records because of their key prefix.
+// Returns true if the version without job dependencies can read a record and write it back without
+// loss: it knows all fields and the format. It ignores node format records because of their key
+// prefix.
 bool OldVersionKeeps(const std::string& key, const std::string& value) {
   auto d = wire::ParseObject(value);
   if (!d) return false;
@@ -60,7 +61,8 @@
 
 class UpgradeTest : public EndToEndTest {
  public:
-  // Checks every write until the formats change, and counts records in newer formats after that.
+  // Until the formats change, collects the writes that the old version could not keep. After that,
+  // counts the records in newer formats.
   void WatchWrites() {
     state_->SetWriteHook([this](const std::string& key, const std::string& value) {
       if (key == store::FormatKey()) formats_changed_ = true;
@@ -249,7 +251,7 @@
   }
 };
 
-TEST_F(LoweredLimitsTest, JobsFinishOnceAllNodesAreNew) {
+TEST_F(LoweredLimitsTest, JobsFinishWithFewRejectionsOnceAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
   StartNodes(0, 3, 3);
