--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -29,7 +29,7 @@
     const auto owners = cluster_->CurrentAssignment().owners;
     return owners.size() == static_cast<size_t>(options.nodes) &&
            std::all_of(owners.begin(), owners.end(),
-                       [&](const auto& h) { return cluster_->AllocatedCpus(h.node) > 0; });
+                       [&](const auto& owner) { return cluster_->AllocatedCpus(owner.node) > 0; });
   }
   void Submit(int jobs, uint32_t tasks, double cpus = 1) {
     for (int i = 0; i < jobs; ++i) {
@@ -83,9 +83,8 @@
                               public testing::WithParamInterface<DeliveryFault> {};
 
 // The block owner dies before, during or after its placement transaction. The transaction is never
-// sent, carried out, carried out with its answer lost, or carried out late, after the block has
-// been revoked.
-TEST_P(BlockOwnerFailureTest, TheBlockPassesOnAndNoTaskRunsTwice) {
+// sent, executed, executed with its answer lost, or executed late, after the block was revoked.
+TEST_P(BlockOwnerFailureTest, BlockPassesOnAndNoTaskRunsTwice) {
   for (const bool restarts : {false, true}) {
     Start();
     Submit(12, 4);
@@ -102,8 +101,9 @@
                          testing::Values(DeliveryFault::kNotSent, DeliveryFault::kNone,
                                          DeliveryFault::kAnswerLost, DeliveryFault::kLate));
 
-// A transaction that the owner sent before it froze is carried out after its block has passed on.
-TEST_F(BlocksClusterTest, ABlockOwnerThatResumesAfterRevocationPlacesNothing) {
+// A transaction that the block owner sent before it froze is executed after the block has passed on
+// to other owners.
+TEST_F(BlocksClusterTest, BlockOwnerThatResumesAfterRevocationPlacesNothing) {
   Start();
   cluster_->RunFor(2);
   cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate, [&] { cluster_->Freeze(other_); });
@@ -119,9 +119,9 @@
   EXPECT_TRUE(cluster_->OwnsBlock(other_)) << "it must get a block again after it has recovered";
 }
 
-// A placement of `other_` is carried out long after the node froze. By then urgent work takes the
-// whole limit, but the placed job and its tasks have not changed, so that a precondition on the job
-// alone would let the placement exceed the limit.
+// A placement of `other_` is executed long after the node froze. By then urgent work uses the whole
+// limit, but neither the placed job nor its tasks have changed, so that with a precondition on the
+// job alone the placement would exceed the limit.
 class DelayedBlockPlacementTest : public BlocksClusterTest {
  protected:
   void FreezeDuringPlacement() {
@@ -130,10 +130,10 @@
     options.min_late_s = 10;
     options.max_late_s = 12;
     Start(options);
-    const blocks::BlockAssignment division(cluster_->CurrentAssignment());
-    const size_t owner = *division.IndexOf(other_);
+    const blocks::BlockAssignment assignment(cluster_->CurrentAssignment());
+    const size_t owner = *assignment.IndexOf(other_);
     model::JobSpec spec = Spec("run-900", 4);
-    for (int i = 901; !division.MayPlace(owner, spec, spec.priority, 0, 1); ++i) {
+    for (int i = 901; !assignment.MayPlace(owner, spec, spec.priority, 0, 1); ++i) {
       spec.id = "run-" + std::to_string(i);
     }
     bool sent = false;
@@ -161,8 +161,9 @@
   FillLimitWithUrgentJobs();
 }
 
-// The block assignment and the allocations are unchanged, since a leader without blocks does not
-// write them. Only the fencing token can reject the placement.
+// The new leader runs a version without blocks. Such a leader does not know the block assignment
+// and the allocations and leaves them unchanged, so that only the precondition on the fencing token
+// can make the placement fail.
 TEST_F(DelayedBlockPlacementTest, FailsOnTheFencingTokenAfterALeaderWithoutBlocksTakesOver) {
   FreezeDuringPlacement();
   cluster_->SetNewLeadersUseBlocks(false);
@@ -170,7 +171,7 @@
   FillLimitWithUrgentJobs();
 }
 
-TEST_F(BlocksClusterTest, ABlockOwnerCutFromTheStateServiceLosesItsBlockAndPlacesNothing) {
+TEST_F(BlocksClusterTest, BlockOwnerCutOffOnlyFromTheStateServiceLosesItsBlockAndPlacesNothing) {
   Start();
   Submit(20, 4);
   cluster_->RunFor(2);
@@ -225,8 +226,9 @@
 
 INSTANTIATE_TEST_SUITE_P(RecordKinds, LeaderFailureDuringWriteTest, testing::Bool());
 
-// The machine keeps running but is unreachable. Its tasks count until its lease has expired.
-TEST_F(BlocksClusterTest, ATaskOnAnUnreachableMachineStillCountsTowardTheLimit) {
+// The machine keeps running but is unreachable. Its tasks count until the machine's lease has
+// expired.
+TEST_F(BlocksClusterTest, TaskOnAnUnreachableMachineStillCountsTowardTheLimit) {
   Options options;
   options.run_s = 60;
   Start(options);
@@ -240,7 +242,7 @@
   ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ALimitLoweredBelowTheUsageStopsOnlyNewStarts) {
+TEST_F(BlocksClusterTest, LimitLoweredBelowTheUsageStopsOnlyNewStarts) {
   Options options;
   options.run_s = 15;
   Start(options);
@@ -256,7 +258,7 @@
   ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ATaskLargerThanAnyAllocationIsPlacedAfterReclaiming) {
+TEST_F(BlocksClusterTest, TaskLargerThanAnyAllocationIsPlacedAfterReclaiming) {
   Options options;
   options.nodes = 9;
   options.machines = 18;
@@ -279,7 +281,7 @@
   ExpectAllJobsEnd(400);
 }
 
-TEST_F(BlocksClusterTest, ACancellationPreventsAPlacementInFlight) {
+TEST_F(BlocksClusterTest, CancellationPreventsAPlacementInFlight) {
   Start();
   cluster_->Submit(Spec("run-900", 6));
   cluster_->SetNextPlacementFault(other_, DeliveryFault::kLate,
@@ -288,7 +290,7 @@
   ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, ACancellationDuringARevocationStartsNothing) {
+TEST_F(BlocksClusterTest, CancellationDuringARevocationStartsNothing) {
   Start();
   Submit(10, 4);
   cluster_->OnBlockRecordWrite([&](const std::string& key) {
@@ -299,7 +301,7 @@
   ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, AnIntermittentPartitionLosesNoJob) {
+TEST_F(BlocksClusterTest, IntermittentPartitionLosesNoJob) {
   Start();
   Submit(40, 4);
   for (int i = 0; i < 20; ++i) {
@@ -310,26 +312,28 @@
   ExpectAllJobsEnd();
 }
 
-TEST_F(BlocksClusterTest, AStateServiceOutageDuringARevocationLosesNoJob) {
+TEST_F(BlocksClusterTest, OutageThatBeginsWithARevocationLosesNoJob) {
   Start();
   Submit(30, 4);
   cluster_->RunFor(2);
-  bool out = false;
+  bool outage_started = false;
   cluster_->OnBlockRecordWrite([&](const std::string& key) {
-    if (key == store::BlockAssignmentKey() && !std::exchange(out, true)) cluster_->SetOutage(true);
+    if (key == store::BlockAssignmentKey() && !std::exchange(outage_started, true))
+      cluster_->SetOutage(true);
   });
   cluster_->Kill(other_);
   cluster_->RunFor(30);
-  EXPECT_TRUE(out);
+  EXPECT_TRUE(outage_started);
   cluster_->SetOutage(false);
   cluster_->Restart(other_);
   ExpectAllJobsEnd();
 }
 
-// The leader without blocks places on all machines, with only its fencing token as precondition.
-// The placements of block owners fail on that token, and the placements of that leader are counted
-// before anything is allocated again.
-TEST_F(BlocksClusterTest, ALeaderWithoutBlocksCanTakeOverAndHandBack) {
+// A leader whose version has no blocks places on all machines, with a precondition on its fencing
+// token alone.
+// The placements of block owners then fail on their preconditions on the token, and the placements
+// of that leader are counted before anything is allocated again.
+TEST_F(BlocksClusterTest, LeaderWithoutBlocksCanTakeOverAndHandBack) {
   Start();
   Submit(30, 4);
   cluster_->RunFor(3);
@@ -362,11 +366,11 @@
   static constexpr double kWriteStepS = 1;
 
   void InjectRandomFault() {
-    const auto any = [&] {
+    const auto any_node = [&] {
       return cluster_->names()[static_cast<size_t>(
           cluster_->Uniform(0, static_cast<double>(cluster_->names().size())))];
     };
-    const std::string name = any();
+    const std::string name = any_node();
     switch (static_cast<int>(cluster_->Uniform(0, 9))) {
       case 0:
         return cluster_->Freeze(name);
@@ -424,8 +428,8 @@
   cluster_->RunFor(kSettleS);
   cluster_->TakeLongestStall();
   ExpectAllJobsEnd(300);
-  // By then every node may place the job, and its allocation has been granted after a reclaim. Each
-  // of these steps takes one or two writes that must reach the cached copies.
+  // Within this time every block owner may place the job, and the quota that it needs is allocated
+  // after a reclaim. Each of these steps takes one or two writes that must reach the watch caches.
   const double bound_s =
       options.nodes * cluster_->widen_s() + kWriteSteps * (options.watch_lag_s + kWriteStepS);
   EXPECT_LE(cluster_->TakeLongestStall(), bound_s);
--- a/tests/blocks_nodes_test.cc
+++ b/tests/blocks_nodes_test.cc
@@ -1,6 +1,6 @@
-// Tests team limits on complete nodes with a fake cloud and state service and with blocks on.
-// Several controllers place at the same time, and some of them end, are cut off or run an older
-// version.
+// Tests team limits with blocks on, with complete controllers on loopback, a fake state service and
+// a fake cloud. Several controllers place at the same time, and some of them end, are cut off or
+// run an older version.
 #include <algorithm>
 
 #include "blocks/block_assignment.h"
@@ -29,7 +29,8 @@
     RecordPeakAndWrites();
     StartNodes(0, count, count);
   }
-  // Measures the peak from the tasks on the fake workers only; each task takes one processor.
+  // Measures the peak from the tasks that the fake workers run, not from records. Each task takes
+  // one processor.
   void RecordPeakAndWrites() {
     cloud_->SetStartHook([this](const model::TaskId& /*task*/) {
       peak_ = std::max(peak_, cloud_->RunningWithPrefix("run-") + 1);
@@ -83,7 +84,7 @@
     EXPECT_GT(allocation_writes_, 2);
   }
 
-  async::Task<> EndABlockOwnerAndThenTheLeader() {
+  async::Task<> ShutDownABlockOwnerAndThenTheLeader() {
     co_await WaitForBlockOwners(3);
     co_await SubmitAll(20, 4, 3);
     const int leader = Leader();
@@ -101,7 +102,7 @@
     EXPECT_LE(peak_, kLimit);
   }
 
-  // A node returns to a version or to settings without blocks and is then updated again.
+  // A node is returned to a version or to settings without blocks, and later upgraded again.
   async::Task<> TurnBlocksOffAndOnOnOneNode() {
     co_await WaitForBlockOwners(3);
     co_await SubmitAll(10, 4, 3);
@@ -163,9 +164,9 @@
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(BlocksNodesTest, BlocksPassOnWhenABlockOwnerAndTheLeaderEnd) {
+TEST_F(BlocksNodesTest, BlocksPassOnWhenABlockOwnerAndTheLeaderShutDown) {
   StartWithRecorder(3);
-  Run(EndABlockOwnerAndThenTheLeader());
+  Run(ShutDownABlockOwnerAndThenTheLeader());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
--- a/tests/blocks_test.cc
+++ b/tests/blocks_test.cc
@@ -31,8 +31,8 @@
   for (int n : machines) EXPECT_NEAR(n, 1000, 120);
 }
 
-// The order must be the same in all builds and versions, since nodes of different versions must
-// agree on the owner of a machine.
+// The order must never change, in any build or version: nodes of different versions must agree on
+// the owner of a machine.
 TEST(RendezvousHash, MatchesThePublishedHash) {
   const RendezvousHash order({"node-0", "node-1", "node-2"});
   std::string first;
@@ -54,20 +54,20 @@
   EXPECT_EQ(ReadBlockAssignment(WriteBlockAssignment(kThreeOwners)), kThreeOwners);
   EXPECT_EQ(ReadBlockAssignment(WriteBlockAssignment({})), BlockAssignmentRecord());
   const std::string duplicate_node = WriteBlockAssignment({Token(1), {{"a", 1, 1}, {"a", 2, 1}}});
-  for (const std::string& bad :
+  for (const std::string& invalid :
        {std::string(), std::string("{}"), std::string(R"({"token":1})"),
         std::string(R"({"token":1,"holders":[{"node":"a"}]})"), duplicate_node}) {
-    EXPECT_EQ(ReadBlockAssignment(bad), std::nullopt) << bad;
+    EXPECT_EQ(ReadBlockAssignment(invalid), std::nullopt) << invalid;
   }
 }
 
-TEST(BlockAssignment, EachWaitLetsOneMoreBlockOwnerPlaceAJob) {
-  const BlockAssignment division(kThreeOwners);
+TEST(BlockAssignment, OneBlockOwnerMayPlaceAJobAndOneMoreAfterEachWait) {
+  const BlockAssignment assignment(kThreeOwners);
   model::JobSpec spec = Spec("run-7", 1);
   auto owners_allowed = [&](model::Priority priority, double waited_s) {
     int n = 0;
     for (size_t i = 0; i < 3; ++i) {
-      if (division.MayPlace(i, spec, priority, waited_s, 2)) ++n;
+      if (assignment.MayPlace(i, spec, priority, waited_s, 2)) ++n;
     }
     return n;
   };
@@ -82,7 +82,8 @@
 class AssignmentPlannerTest : public testing::Test {
  protected:
   AssignmentPlannerTest() { planner_.BeginTerm(Token(40)); }
-  std::optional<BlockAssignmentRecord> Review(const Candidates& candidates, uint64_t token = 40) {
+  std::optional<BlockAssignmentRecord> PlanChange(const Candidates& candidates,
+                                                  uint64_t token = 40) {
     return planner_.PlanChange(current_, Token(token), 100, candidates);
   }
   AssignmentPlanner planner_{9};
@@ -90,51 +91,51 @@
 };
 
 TEST_F(AssignmentPlannerTest, WritesNothingWithoutChanges) {
-  EXPECT_FALSE(Review({{"a", 1}, {"b", 2}, {"c", 3}}));
+  EXPECT_FALSE(PlanChange({{"a", 1}, {"b", 2}, {"c", 3}}));
   current_ = {};
-  EXPECT_FALSE(Review({{"a", 1}}))
+  EXPECT_FALSE(PlanChange({{"a", 1}}))
       << "a single candidate owns no block, and there is no record to replace";
 }
 
 TEST_F(AssignmentPlannerTest, RevokingABlockKeepsTheOtherAllocations) {
-  const auto next = Review({{"a", 1}, {"c", 3}});
+  const auto next = PlanChange({{"a", 1}, {"c", 3}});
   ASSERT_TRUE(next);
   EXPECT_EQ(next->owners, (std::vector<BlockOwner>{{"a", 1, 9}, {"c", 3, 9}}));
 }
 
-// The new owner takes machines from the others. Their allocations might then cover tasks that are
-// counted under another block.
-TEST_F(AssignmentPlannerTest, ANewBlockOwnerInvalidatesAllAllocations) {
-  const auto next = Review({{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}});
+// The new owner's machines come from the other blocks. The allocations of their owners might then
+// cover tasks that are now counted under the new block.
+TEST_F(AssignmentPlannerTest, NewBlockOwnerInvalidatesAllAllocations) {
+  const auto next = PlanChange({{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}});
   ASSERT_TRUE(next);
   ASSERT_EQ(next->owners.size(), 4U);
   for (const BlockOwner& owner : next->owners) EXPECT_EQ(owner.allocation_epoch, 100U);
 }
 
-TEST_F(AssignmentPlannerTest, ANewSessionOfABlockOwnerInvalidatesOnlyItsAllocation) {
-  const auto next = Review({{"a", 1}, {"b", 5}, {"c", 3}});
+TEST_F(AssignmentPlannerTest, NewSessionOfABlockOwnerInvalidatesOnlyItsAllocation) {
+  const auto next = PlanChange({{"a", 1}, {"b", 5}, {"c", 3}});
   ASSERT_TRUE(next);
   EXPECT_EQ(next->owners, (std::vector<BlockOwner>{{"a", 1, 9}, {"b", 5, 100}, {"c", 3, 9}}));
 }
 
-TEST_F(AssignmentPlannerTest, ANewLeaderInvalidatesAllocationsOfEarlierTerms) {
+TEST_F(AssignmentPlannerTest, NewLeaderInvalidatesAllocationsOfEarlierTerms) {
   planner_.BeginTerm(Token(50));
-  const auto next = Review({{"a", 1}, {"b", 2}, {"c", 3}}, 50);
+  const auto next = PlanChange({{"a", 1}, {"b", 2}, {"c", 3}}, 50);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->token, Token(50));
   for (const BlockOwner& owner : next->owners) EXPECT_EQ(owner.allocation_epoch, 100U);
 }
 
-TEST_F(AssignmentPlannerTest, AHigherTokenOfTheSameTermKeepsAllocations) {
-  const auto next = Review({{"a", 1}, {"b", 2}, {"c", 3}}, 45);
+TEST_F(AssignmentPlannerTest, HigherTokenOfTheSameTermKeepsAllocations) {
+  const auto next = PlanChange({{"a", 1}, {"b", 2}, {"c", 3}}, 45);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->token, Token(45));
   EXPECT_EQ(next->owners, kThreeOwners.owners);
 }
 
 TEST_F(AssignmentPlannerTest, FewerThanTwoCandidatesOwnNoBlocks) {
-  EXPECT_EQ(Review({{"b", 2}}), (BlockAssignmentRecord{Token(40), {}}));
-  EXPECT_EQ(Review({}), (BlockAssignmentRecord{Token(40), {}}));
+  EXPECT_EQ(PlanChange({{"b", 2}}), (BlockAssignmentRecord{Token(40), {}}));
+  EXPECT_EQ(PlanChange({}), (BlockAssignmentRecord{Token(40), {}}));
 }
 
 TEST_F(AssignmentPlannerTest, LimitsTheNumberOfBlockOwnersAndKeepsTheCurrentOnes) {
@@ -171,18 +172,18 @@
   EXPECT_EQ(eligibility_.EligibleNodes(3.1), (Candidates{{"a", 1}}));
 }
 
-TEST_F(OwnerEligibilityTest, ANodeWithoutTheStateServiceLosesEligibility) {
+TEST_F(OwnerEligibilityTest, NodeWithoutTheStateServiceLosesEligibility) {
   Acknowledge("c", 3, 6, false);
   EXPECT_EQ(eligible_, (Candidates{{"a", 1}, {"b", 2}}));
 }
 
-TEST_F(OwnerEligibilityTest, AFailedMemberLosesEligibilityAtOnce) {
+TEST_F(OwnerEligibilityTest, FailedMemberLosesEligibilityAtOnce) {
   Acknowledge("c", 3, 2);
   eligibility_.OnMember("c", std::nullopt);
   EXPECT_EQ(eligibility_.EligibleNodes(now_), (Candidates{{"a", 1}, {"b", 2}}));
 }
 
-TEST_F(OwnerEligibilityTest, AnAcknowledgementOfAnEarlierSessionRenewsNothing) {
+TEST_F(OwnerEligibilityTest, AcknowledgementOfAnEarlierSessionRenewsNothing) {
   eligibility_.OnMember("c", 4);
   Acknowledge("c", 3, 6);
   EXPECT_FALSE(eligible_.contains("c"));
@@ -190,9 +191,9 @@
   EXPECT_EQ(eligible_["c"], 4U);
 }
 
-// Each loss in a row doubles the hold-off. A node that is cut off intermittently would otherwise
-// cause a change of the block assignment each time.
-TEST_F(OwnerEligibilityTest, RepeatedLossesIncreaseTheHoldOff) {
+// Each loss in a row doubles the backoff, the time without a block. Otherwise a node that is cut
+// off intermittently would cause a change of the block assignment each time.
+TEST_F(OwnerEligibilityTest, RepeatedLossesIncreaseTheBackoff) {
   int changes = 0;
   bool before = true;
   for (int second = 0; second < 300; ++second) {
@@ -202,7 +203,7 @@
     before = eligible_.contains("c");
   }
   EXPECT_GT(changes, 1);
-  EXPECT_LT(changes, 20) << "60 changes are expected without a hold-off";
+  EXPECT_LT(changes, 20) << "60 changes are expected without a backoff";
 }
 
 class BlockRecordsTest : public testing::Test {
@@ -211,19 +212,20 @@
     records_.SetBlockAssignment(WriteBlockAssignment(kThreeOwners), 50);
     records_.SetAllocation("b", quota::WriteAllocation({9, {{"team", {4, 0}}}}), 60);
   }
-  std::optional<size_t> Holding(uint64_t session, CacheState copy) const {
-    return records_.ActiveOwnerIndex("b", session, copy);
+  std::optional<size_t> ActiveOwnerIndex(uint64_t session, CacheState cache) const {
+    return records_.ActiveOwnerIndex("b", session, cache);
   }
   BlockRecords records_;
 };
 
-TEST_F(BlockRecordsTest, OwnershipRequiresSessionTokenAndACopyPastTheAllocationEpoch) {
-  EXPECT_EQ(Holding(2, {50, Token(40)}), 1U);
-  EXPECT_EQ(Holding(1, {60, Token(40)}), std::nullopt) << "the session of an earlier process";
-  EXPECT_EQ(Holding(2, {60, Token(41)}), std::nullopt)
+TEST_F(BlockRecordsTest, OwnershipRequiresSessionTokenAndACachePastTheAllocationEpoch) {
+  EXPECT_EQ(ActiveOwnerIndex(2, {50, Token(40)}), 1U);
+  EXPECT_EQ(ActiveOwnerIndex(1, {60, Token(40)}), std::nullopt)
+      << "the session of an earlier process";
+  EXPECT_EQ(ActiveOwnerIndex(2, {60, Token(41)}), std::nullopt)
       << "a leader with another token may place on any machine";
-  EXPECT_EQ(Holding(2, {49, Token(40)}), std::nullopt)
-      << "the copy may lack placements from before the allocation epoch";
+  EXPECT_EQ(ActiveOwnerIndex(2, {49, Token(40)}), std::nullopt)
+      << "the cache may lack placements from before the allocation epoch";
   EXPECT_EQ(records_.ActiveOwnerIndex("d", 2, {50, Token(40)}), std::nullopt);
 }
 
@@ -249,13 +251,13 @@
       << "an unreadable record must be replaceable";
 }
 
-TEST_F(BlockRecordsTest, AllowanceIsTheAllocationMinusWhatIsPlacedOnTheBlock) {
+TEST_F(BlockRecordsTest, AllowanceIsTheAllocationMinusTheTasksPlacedOnTheBlock) {
   jobs::JobTable job_table(335);
   PutJob(job_table, Spec("run-1", 50));
-  const BlockAssignment division(kThreeOwners);
+  const BlockAssignment assignment(kThreeOwners);
   int placed = 0;
   for (uint32_t i = 0; placed < 3; ++i) {
-    if (division.OwnerOf(MachineName(static_cast<int>(i))) != 1U) continue;
+    if (assignment.OwnerOf(MachineName(static_cast<int>(i))) != 1U) continue;
     PutOpenTask(job_table, "run-1", i, 1, MachineName(static_cast<int>(i)));
     ++placed;
   }
@@ -272,13 +274,13 @@
     for (int i = 0; i < 30; ++i) ReportHeartbeat(i, 1);
   }
   void ReportHeartbeat(int i, uint64_t sequence, bool busy = false) {
-    model::Heartbeat report = MakeHeartbeat(MachineName(i), 1, sequence, {});
-    if (busy) report.tasks.push_back(MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning));
-    leader_registry_.OnHeartbeat(report, 1, false);
+    model::Heartbeat heartbeat = MakeHeartbeat(MachineName(i), 1, sequence, {});
+    if (busy) heartbeat.tasks.push_back(MakeTaskStatus("run-1", 0, 1, model::TaskPhase::kRunning));
+    leader_registry_.OnHeartbeat(heartbeat, 1, false);
   }
   std::vector<wire::BlockView> NextViews(uint64_t token = 5) {
-    return sender_.BuildViews(Token(token), division_, 1,
-                              DescribeMachines(leader_registry_, job_table_, 1), {});
+    return view_builder_.BuildViews(Token(token), assignment_, 1,
+                                    DescribeMachines(leader_registry_, job_table_, 1), {});
   }
   std::optional<uint64_t> ApplyViews(const std::vector<wire::BlockView>& views) {
     std::optional<uint64_t> last;
@@ -286,10 +288,10 @@
     return last;
   }
   const fleet::WorkerRegistry::Options options_{3, 30, 3, 3};
-  const BlockAssignment division_{kThreeOwners};
+  const BlockAssignment assignment_{kThreeOwners};
   jobs::JobTable job_table_{335};
   fleet::WorkerRegistry leader_registry_{options_};
-  BlockViewBuilder sender_;
+  BlockViewBuilder view_builder_;
   MachineStateReplica replica_{options_};
 };
 
@@ -299,7 +301,7 @@
   int machines_in_block = 0;
   for (const auto& [name, machine] : replica_.registry().machines()) {
     EXPECT_EQ(machine.zone, "a");
-    const bool in_block = division_.OwnerOf(name) == 1U;
+    const bool in_block = assignment_.OwnerOf(name) == 1U;
     EXPECT_EQ(replica_.registry().AcceptsTasks(machine, 51), in_block);
     EXPECT_EQ(machine.machine_type, in_block ? "c4" : "");
     if (in_block) ++machines_in_block;
@@ -313,12 +315,12 @@
   EXPECT_TRUE(NextViews()[0].changed.empty())
       << "a view without changes serves as a heartbeat; this one is lost";
   int in_block_index = 0;
-  while (division_.OwnerOf(MachineName(in_block_index)) != 1U) ++in_block_index;
+  while (assignment_.OwnerOf(MachineName(in_block_index)) != 1U) ++in_block_index;
   ReportHeartbeat(in_block_index, 2, true);
   const auto changes = NextViews();
   ASSERT_EQ(changes[0].changed.size(), 1U);
   EXPECT_EQ(ApplyViews(changes), 0U) << "the preceding view was missed";
-  sender_.OnAcknowledged(0);
+  view_builder_.OnAcknowledged(0);
   EXPECT_EQ(ApplyViews(NextViews()), 1U);
   EXPECT_TRUE(
       replica_.registry().Find(MachineName(in_block_index))->reported_tasks.contains({"run-1", 0}));
@@ -326,8 +328,8 @@
 
 TEST_F(BlockViewTest, IgnoresViewsOfAFormerLeader) {
   ApplyViews(NextViews(6));
-  BlockViewBuilder former;
-  EXPECT_EQ(ApplyViews(former.BuildViews(Token(5), division_, 1, {}, {})), std::nullopt);
+  BlockViewBuilder former_leader;
+  EXPECT_EQ(ApplyViews(former_leader.BuildViews(Token(5), assignment_, 1, {}, {})), std::nullopt);
   EXPECT_EQ(replica_.registry().machines().size(), 30U);
 }
 
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -1,6 +1,6 @@
 // Guards against a cancelled job whose tasks keep running: the state service refuses requests of
-// the leader only, another node acknowledges cancellations, then the service is unavailable to all
-// nodes. Uses scripted peers, one worker and a fake clock.
+// the leader only, another node acknowledges a cancellation, and then the service is unavailable to
+// all nodes. Uses scripted peers, one worker and a fake clock.
 #include "election/cancellation_watermark.h"
 
 #include <gtest/gtest.h>
@@ -21,13 +21,14 @@
 
 // Returns a peer's cancellation report at time `now`, or std::nullopt if the peer does not answer.
 using ScriptedPeer =
-    std::function<std::optional<wire::CancellationReport>(double now, uint64_t beyond)>;
+    std::function<std::optional<wire::CancellationReport>(double now, uint64_t after_revision)>;
 
 wire::CancellationReport EmptyReport() { return {true, 100, {}}; }
 
 class CancellationDuringOutageTest : public testing::Test {
  protected:
-  // The leader's cache was last confirmed at this time; later requests of the leader are refused.
+  // The leader's cache is last confirmed at this time. All later requests of the leader are
+  // refused.
   static constexpr double kRefusedAt = 0;
   // node-1 acknowledges the cancellation of run-1 to a user at this time.
   static constexpr double kAcknowledgedAt = 2;
@@ -46,28 +47,29 @@
   }
 
   // Returns the report of node-1, which includes run-1 once its cancellation is acknowledged.
-  static wire::CancellationReport ReportOfNode1(double now, uint64_t beyond) {
+  static wire::CancellationReport ReportOfNode1(double now, uint64_t after_revision) {
     wire::CancellationReport report{true, now < kAcknowledgedAt ? 100U : 105U, {}};
-    if (now >= kAcknowledgedAt && beyond < 105) report.cancelled = {{"run-1", 105}};
+    if (now >= kAcknowledgedAt && after_revision < 105) report.cancelled = {{"run-1", 105}};
     return report;
   }
 
   void RequestReports(double now) {
     for (auto& [node, peer] : peers_) {
       const wire::CancellationReportRequest request = watermark_.BuildReportRequest(node, 100);
-      const auto cancellation_report = peer(now, request.after_revision);
-      if (!cancellation_report) continue;
-      for (const wire::Cancellation& c : cancellation_report->cancelled) {
+      const auto report = peer(now, request.after_revision);
+      if (!report) continue;
+      for (const wire::Cancellation& c : report->cancelled) {
         auto record = job_table_.CancelledRecord(c.job);
         if (record)
           job_table_.Apply(store::ParseKey(store::JobKey(c.job)), store::WriteJob(*record));
       }
-      watermark_.OnCancellationReport(node, now, *cancellation_report);
+      watermark_.OnCancellationReport(node, now, *report);
     }
   }
 
   // Simulates until `end`; the machine hangs from `hang_start` to `hang_end`. Returns the time at
-  // which run-1's task had stopped, or -1. Leaves in on_machine_ which jobs still run.
+  // which run-1's task had stopped, or -1 if it still runs. on_machine_ then tells for each job
+  // whether its task still runs.
   double Simulate(double end, double hang_start = 1e9, double hang_end = 1e9) {
     double renewed_at = kRefusedAt, stopped_at = -1;
     uint64_t sequence = 0, session = 1;
@@ -116,10 +118,12 @@
   EXPECT_TRUE(on_machine_["run-2"]) << "other jobs run through the whole outage";
 }
 
-TEST_F(CancellationDuringOutageTest, TasksEndInTimeIfTheAcknowledgingNodeRestarts) {
-  // After its restart the node has read no state and cannot give a complete report.
-  peers_["node-1"] = [](double now, uint64_t beyond) -> std::optional<wire::CancellationReport> {
-    if (now < kAcknowledgedAt) return ReportOfNode1(now, beyond);
+TEST_F(CancellationDuringOutageTest, TasksEndInTimeIfANodeRestartsRightAfterItsAcknowledgement) {
+  // After its restart the node has read no state. However often it is asked, it cannot give a
+  // complete report.
+  peers_["node-1"] = [](double now,
+                        uint64_t after_revision) -> std::optional<wire::CancellationReport> {
+    if (now < kAcknowledgedAt) return ReportOfNode1(now, after_revision);
     return wire::CancellationReport{false, 0, {}};
   };
   const double stopped_at = Simulate(120);
@@ -127,9 +131,10 @@
   EXPECT_LE(stopped_at, kAcknowledgedAt + kCancelS);
 }
 
-TEST_F(CancellationDuringOutageTest, TasksEndInTimeIfTheAcknowledgingNodeIsUnreachable) {
-  peers_["node-1"] = [](double now, uint64_t beyond) -> std::optional<wire::CancellationReport> {
-    if (now < kAcknowledgedAt) return ReportOfNode1(now, beyond);
+TEST_F(CancellationDuringOutageTest, TasksEndInTimeIfANodeIsCutOffRightAfterItsAcknowledgement) {
+  peers_["node-1"] = [](double now,
+                        uint64_t after_revision) -> std::optional<wire::CancellationReport> {
+    if (now < kAcknowledgedAt) return ReportOfNode1(now, after_revision);
     return std::nullopt;
   };
   const double stopped_at = Simulate(120);
@@ -139,10 +144,11 @@
 
 TEST_F(CancellationDuringOutageTest, LostReportIsRequestedAgain) {
   // A lost report is requested again, with the same lower bound.
-  peers_["node-1"] = [](double now, uint64_t beyond) -> std::optional<wire::CancellationReport> {
+  peers_["node-1"] = [](double now,
+                        uint64_t after_revision) -> std::optional<wire::CancellationReport> {
     if (now < 15) return std::nullopt;
-    EXPECT_TRUE(now > 15 || beyond == 100) << beyond;
-    return ReportOfNode1(now, beyond);
+    EXPECT_TRUE(now > 15 || after_revision == 100) << after_revision;
+    return ReportOfNode1(now, after_revision);
   };
   const double stopped_at = Simulate(120);
   EXPECT_GT(stopped_at, 15);
@@ -206,7 +212,7 @@
   EXPECT_EQ(watermark.Watermark(26), 18) << "an incomplete report does not count";
   EXPECT_EQ(watermark.BuildReportRequest("node-2", 90).after_revision, 100U);
   EXPECT_EQ(watermark.BuildReportRequest("node-2", 120).after_revision, 120U);
-  // A lease that starts with the last answer expires before cancel_s.
+  // A worker lease that starts with the last permitted answer expires before cancel_s has passed.
   EXPECT_LT(watermark.renewal_bound_s() + kLeaseS, kCancelS);
   EXPECT_GT(watermark.renewal_bound_s() + kLeaseS, kCancelS - kHeartbeatIntervalS / 2);
   CancellationWatermark single_node({kCancelS, kLeaseS, kHeartbeatIntervalS}, {});
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -1,4 +1,4 @@
-// Tests combinations of concurrent failures with whole controllers against fakes.
+// Tests combinations of concurrent failures with complete controllers against fakes.
 // docs/concurrent-failures.md names the test of each combination.
 #include "end_to_end.h"
 #include "model/job.h"
@@ -37,9 +37,9 @@
   }
 };
 
-// Guards against a quota that is exceeded by a delayed transaction: the placement of a job gets no
-// response and is applied only after newer placements of the same leader. By then the team's quota
-// is used by another job.
+// Guards against a delayed transaction that exceeds a quota: the placement of a job gets no
+// response and is applied only after newer placements of the same leader. By then another job uses
+// the team's quota.
 class DelayedPlacementTest : public ConcurrentFailuresTest {
  public:
   DelayedPlacementTest() {
@@ -80,14 +80,15 @@
   }
 };
 
-TEST_F(DelayedPlacementTest, IsSettledBeforeAnyOtherPlacement) {
+TEST_F(DelayedPlacementTest, PlacementIsSettledBeforeAnyOther) {
   Start(1);
   Run(Script());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
 // Guards against a delayed transaction of a former leader that takes effect under its successor:
-// new machines get tasks while writes are delayed, and the leader shuts down.
+// new machines are running at once and get tasks while writes are delayed, and then the leader
+// shuts down.
 class DelayedWriteAcrossFailoverTest : public ConcurrentFailuresTest {
  public:
   DelayedWriteAcrossFailoverTest() { run_s_ = 2; }
@@ -152,8 +153,8 @@
   Run(Script());
 }
 
-// Guards against answers older than a transaction that was applied at once but whose response was
-// lost, while other nodes read what it wrote.
+// Guards against stale answers after a transaction whose response was lost: it was applied at once,
+// and other nodes have read its writes.
 class LostResponseTest : public ConcurrentFailuresTest {
  public:
   LostResponseTest() { run_s_ = 30; }
@@ -369,7 +370,7 @@
   int ended_jobs_ = 0;
 };
 
-TEST_F(ManySmallJobsTest, AllReachTheirFinalPhaseInTime) {
+TEST_F(ManySmallJobsTest, AllJobsReachTheirFinalPhaseInTime) {
   Start(3);
   Run(Script());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
@@ -383,7 +384,7 @@
     co_await Submit(0, Spec("run-1", 2));
     bool ok = co_await AskUntil(0, "GET", "/submissions/run-1", "", 200, "\"done\",", 20);
     EXPECT_TRUE(ok);
-    // Phase 1 restarts the leader; phase 2 is an outage of the state service.
+    // Phase 1 restarts node 0, which may be the leader; phase 2 is an outage of the state service.
     for (int phase = 0; phase < 3; ++phase) {
       if (phase == 1) co_await Restart(0, 3);
       if (phase == 2) state_->SetOutage(true);
@@ -409,7 +410,7 @@
   }
 };
 
-TEST_F(InvalidRequestsTest, GetTheSameAnswersDuringFailures) {
+TEST_F(InvalidRequestsTest, RequestsGetTheSameAnswersDuringFailures) {
   Start(3);
   Run(Script());
 }
--- a/tests/direct_command_queue_test.cc
+++ b/tests/direct_command_queue_test.cc
@@ -72,7 +72,7 @@
   DirectCommandQueue queue(1);
   EXPECT_TRUE(queue.Request("vm-1"));
   EXPECT_FALSE(queue.Request("vm-2"));
-  queue.Clear();
+  queue.Clear();  // at the start of a term
   EXPECT_EQ(queue.StartNext(), std::nullopt);
   EXPECT_TRUE(queue.Request("vm-1"));
 }
--- a/tests/end_to_end.h
+++ b/tests/end_to_end.h
@@ -1,4 +1,4 @@
-// Fixture that runs whole controllers on loopback against a fake state service and a fake cloud.
+// Fixture that runs complete controllers on loopback against a fake state service and a fake cloud.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   EndToEndTest() : scope_(loop_), client_(4, 1 << 20), state_client_(scope_, StateOptions()) {}
 
   ~EndToEndTest() override {
-    // The members of a derived fixture that these callbacks use are already destroyed.
+    // These callbacks may use members of a derived fixture, which are already destroyed.
     if (state_) state_->SetWriteHook({});
     if (cloud_) cloud_->SetStartHook({});
     // All nodes shut down in order. A coroutine that does not end makes the test hang here.
@@ -43,7 +43,7 @@
     loop_.Run();
   }
 
-  // Stops the loop once this is the last coroutine of the scope.
+  // Stops the loop once no other coroutine of the scope is running.
   async::Task<> StopWhenOthersHaveEnded() {
     while (scope_.active_coroutines() > 1) {
       async::Sleep turn(idle_, 0);
@@ -175,8 +175,8 @@
     return w.Take();
   }
 
-  // Returns the heartbeat of a worker that only the test knows. A node that answers it with 200 may
-  // send commands to workers.
+  // Returns the heartbeat of a worker that exists only in the test. A node that answers it with
+  // status 200 is entitled to send commands to workers.
   static std::string HeartbeatBody(uint64_t sequence) {
     return R"({"host":"vm-x","endpoint":"127.0.0.1:1","flavor":"odd","hall":"a","lendable":false,)"
            R"("tenure":1,"tick":)" +
@@ -248,16 +248,16 @@
   std::vector<std::unique_ptr<controller::Controller>> nodes_;
   bool script_finished_ = false;
   double state_rps_ = 2000;
-  double state_write_rps_ = 0;  // 0: the default of NodeSettings()
+  double state_write_rps_ = 0;  // 0: the value that NodeSettings() sets
   double cpus_max_ = 0;         // quota of the team; 0: no limit
   double run_s_ = 0.3;
   std::optional<config::StateLimits> next_state_limits_;
   config::OperatorOptions operator_options_;
-  // The node without links to its peers and with the address of the state service that
-  // CutSecondary() closes; -1 if none.
+  // The node that has no links to its peers and that CutSecondary() cuts off from the state
+  // service; -1 if none.
   int partitioned_node_ = -1;
-  // The node whose requests to the state service Cut() refuses, with links to its peers; -1 if
-  // none.
+  // The node that keeps its links to its peers but whose requests the state service refuses after
+  // CutSecondary(); -1 if none.
   int refused_node_ = -1;
   double lease_s_ = 3;
   std::optional<double> cancel_s_;
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -1,4 +1,4 @@
-// Tests whole controllers on loopback against fakes: failover, outages and cancellation.
+// Tests complete controllers on loopback against fakes: failover, outages and cancellation.
 #include "end_to_end.h"
 
 #include <chrono>
@@ -35,8 +35,8 @@
     bool ok = co_await AskUntil(0, "POST", "/submissions", SubmissionBody(spec), 201, "", 10);
     EXPECT_TRUE(ok);
     state_->SetOutage(true);
-    // While a node cannot read the state, it must not answer that a job is unknown. It answers 503
-    // at once, with Retry-After.
+    // While a node cannot read the state, it must not answer that a job does not exist. It answers
+    // 503 at once, with Retry-After.
     wire::HttpResponse r = co_await Ask(0, "GET", "/submissions/run-77");
     EXPECT_EQ(r.status, 503);
     EXPECT_GT(r.retry_after_s, 0);
@@ -58,7 +58,7 @@
   }
 };
 
-TEST_F(OutageTest, OutageDelaysAnswersAndNeverFalsifiesThem) {
+TEST_F(OutageTest, OutageDelaysAnswersButMakesNoneWrong) {
   Start(1);
   Run(QueryDuringOutage());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
@@ -126,7 +126,7 @@
   int answered_ = 0;
 };
 
-TEST_F(ConcurrentQueriesTest, AllAreAnsweredWithinTheLimit) {
+TEST_F(ConcurrentQueriesTest, AllQueriesAreAnsweredInTime) {
   Start(3);
   Run(QueryAllJobs());
 }
@@ -187,7 +187,8 @@
 
 // Guards against two active leaders: a leader loses the state service and the other controllers,
 // but not its workers. It answers only workers, and only within its bound; its successor starts no
-// task twice; once connected again it follows the new leader and reports the current state of jobs.
+// task twice. When it is connected again, it follows the new leader and reports the current state
+// of jobs.
 class PartitionedLeaderTest : public EndToEndTest {
  public:
   PartitionedLeaderTest() {
@@ -226,7 +227,7 @@
   }
 };
 
-TEST_F(PartitionedLeaderTest, FollowsItsSuccessorAndNoTaskStartsTwice) {
+TEST_F(PartitionedLeaderTest, LeaderFollowsItsSuccessorAndNoTaskStartsTwice) {
   Start(3);
   Run(PartitionLeader());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
@@ -310,7 +311,7 @@
   uint64_t sequence_ = 0;
 };
 
-TEST_F(PausedLeaderTest, SendsNoCommandsBeforeItsCacheIsConfirmed) {
+TEST_F(PausedLeaderTest, LeaderSendsNoCommandsBeforeItsCacheIsConfirmed) {
   Start(1);
   Run(Script());
 }
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -46,10 +46,10 @@
   election::LeaderElection leader_election;
 };
 
-// The leader's lease lasts half a heartbeat interval.
+// Half of it is the duration of the leader's lease.
 constexpr double kHeartbeatIntervalS = 2;
-// Leases of the workers. A leader whose requests alone are refused renews its lease through a peer
-// for a quarter of a worker's lease.
+// Durations of the workers' leases. A leader whose requests alone are refused renews its lease
+// through a peer for a quarter of a worker's lease.
 constexpr double kWorkerLeaseS = 60;
 constexpr double kShortWorkerLeaseS = 8;
 
--- a/tests/lone_refusal_test.cc
+++ b/tests/lone_refusal_test.cc
@@ -1,6 +1,6 @@
-// Guards against a cancelled job whose tasks run longer than cancel_s, with whole controllers: the
-// state service refuses requests of the leader only, another node acknowledges a cancellation, and
-// then the service is unavailable to all nodes for longer than cancel_s.
+// Guards against a cancelled job whose tasks run longer than cancel_s. Runs complete controllers:
+// the state service refuses requests of the leader only, another node acknowledges a cancellation,
+// and then the service is unavailable to all nodes for longer than cancel_s.
 #include <chrono>
 #include <thread>
 
@@ -163,9 +163,9 @@
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-// Guards against a cancelled task that keeps running (ran_cancelled): a leader that was paused
-// renews leases because of the other nodes' reports, but delays the stop commands for the reported
-// cancellations until its cache is confirmed.
+// Guards against a cancelled task that keeps running (the failure ran_cancelled): a leader that was
+// paused renews leases because of the other nodes' reports, but delays the stop commands for the
+// reported cancellations until its cache is confirmed.
 class PausedRefusedLeaderTest : public RefusedLeaderCancellationTest {
  public:
   PausedRefusedLeaderTest() {
--- a/tests/membership_nodes_test.cc
+++ b/tests/membership_nodes_test.cc
@@ -1,5 +1,6 @@
-// Tests membership on complete nodes with a fake cloud and state service: joining, leaving, failure
-// declarations, nodes with membership off, and the output of `hallpier members`.
+// Tests membership of complete controllers on loopback with a fake state service and a fake cloud:
+// joining, leaving, failure declarations, nodes with membership off as after a change of settings
+// or with an older version, and the output of `hallpier members`.
 #include <rapidjson/document.h>
 
 #include <fstream>
@@ -84,20 +85,20 @@
     ok = co_await WaitFor(10, [&] { return cloud_->Running("run-1") == 6; });
     EXPECT_TRUE(ok);
   }
-  // Runs the query in a thread, since it blocks and has a separate event loop, as in the CLI.
+  // Runs the query in a thread: as on the command line, it blocks and has a separate event loop.
   async::Task<std::vector<cli::MembersResponse>> RunMembersQuery(config::Settings settings) {
-    std::vector<cli::MembersResponse> answers;
+    std::vector<cli::MembersResponse> responses;
     std::atomic<bool> done = false;
-    std::thread console([&] {
-      answers = cli::AskMembers(settings, 1);
+    std::thread query_thread([&] {
+      responses = cli::AskMembers(settings, 1);
       done = true;
     });
     while (!done) co_await Pause(0.01);
-    console.join();
-    co_return answers;
+    query_thread.join();
+    co_return responses;
   }
 
-  // Without a handover, the lease would remain valid for 4 s after the leader has ended.
+  // Without a handover, the leader's lease would remain valid for 4 s after its process has ended.
   async::Task<> LeaderShutsDown() {
     co_await StartOthersOnceNode0Leads();
     co_await WaitUntilAllJoined(3);
@@ -144,7 +145,7 @@
     EXPECT_EQ(cloud_->starts(), 6);
   }
 
-  // No other node can end the lease, so the leader must give it up without help.
+  // No other node runs that could end the lease, so the leader must release it without help.
   async::Task<> SingleNodeIsDeclaredFailed() {
     co_await WaitUntilAllJoined(1);
     co_await RunJob(0);
@@ -167,24 +168,24 @@
     bool ok = co_await WaitFor(5, [&] { return !Leader().empty(); });
     EXPECT_TRUE(ok);
     co_await Pause(2 * kHeartbeatIntervalS);
-    auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
-    for (const cli::MembersResponse& answer : answers) {
-      EXPECT_TRUE(answer.report && answer.report->enabled) << answer.error;
-      if (!answer.report) continue;
-      EXPECT_EQ(answer.report->rows.size(), 3U);
-      for (const wire::MemberRow& row : answer.report->rows) {
+    auto responses = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(responses)), "");
+    for (const cli::MembersResponse& response : responses) {
+      EXPECT_TRUE(response.report && response.report->enabled) << response.error;
+      if (!response.report) continue;
+      EXPECT_EQ(response.report->rows.size(), 3U);
+      for (const wire::MemberRow& row : response.report->rows) {
         EXPECT_EQ(row.state, MemberState::kAlive);
         EXPECT_TRUE(row.has_record);
         EXPECT_EQ(row.leading, row.node == Leader());
       }
     }
     co_await ShutDownAndWait(2);
-    answers = co_await RunMembersQuery(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
-    EXPECT_FALSE(answers.at(2).report);
-    EXPECT_NE(cli::MembersText(answers).find("node-2: can't be reached"), std::string::npos);
-    EXPECT_NE(cli::MembersText(answers).find("left"), std::string::npos);
+    responses = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(responses)), "");
+    EXPECT_FALSE(responses.at(2).report);
+    EXPECT_NE(cli::MembersText(responses).find("node-2: can't be reached"), std::string::npos);
+    EXPECT_NE(cli::MembersText(responses).find("left"), std::string::npos);
     EXPECT_NE(SchemaErrors(R"({"controllers":[{"node":"a"}]})"), "")
         << "the schema check must reject an invalid document";
   }
@@ -201,11 +202,11 @@
     EXPECT_EQ(store::ReadNodeFormat(state_->Value(store::NodeFormatKey("node-2"))).value_or(0),
               store::kCancellationReportFormat);
     EXPECT_TRUE(HasState(0, MemberState::kAlive));
-    auto answers = co_await RunMembersQuery(NodeSettings(0, 3));
-    EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
-    EXPECT_FALSE(answers.at(0).report->rows.at(2).has_record)
+    auto responses = co_await RunMembersQuery(NodeSettings(0, 3));
+    EXPECT_EQ(SchemaErrors(cli::MembersJson(responses)), "");
+    EXPECT_FALSE(responses.at(0).report->rows.at(2).has_record)
         << "a node that answers no probe must not be declared failed";
-    EXPECT_FALSE(answers.at(2).report->enabled);
+    EXPECT_FALSE(responses.at(2).report->enabled);
     co_await RunJob(2);
   }
 
@@ -213,11 +214,11 @@
   // Frames that no node would send must be ignored or close the connection, without other effects.
   async::Task<> SendMalformedFrames() {
     co_await WaitUntilAllJoined(3);
-    wire::MemberStatus stranger;
-    stranger.node = "node-77";
-    stranger.incarnation = {99, 0};
-    stranger.observations = {{"node-0", {UINT64_MAX, 5}, MemberState::kFailed, 1}};
-    const std::string probe = wire::WritePeerMessage(wire::MemberProbe{1, stranger});
+    wire::MemberStatus unknown_sender;
+    unknown_sender.node = "node-77";
+    unknown_sender.incarnation = {99, 0};
+    unknown_sender.observations = {{"node-0", {UINT64_MAX, 5}, MemberState::kFailed, 1}};
+    const std::string probe = wire::WritePeerMessage(wire::MemberProbe{1, unknown_sender});
     for (const std::string& bytes :
          {std::string("\xff\xff\xff\xff\x7f"), wire::EncodeFrame(std::string(1, kUnknownType)),
           wire::EncodeFrame(probe.substr(3)), wire::EncodeFrame(probe)}) {
@@ -255,7 +256,7 @@
   int member_writes_ = 0;
 };
 
-TEST_F(MembershipNodesTest, ALeaderThatShutsDownHandsOverAtOnce) {
+TEST_F(MembershipNodesTest, LeaderThatShutsDownHandsOverAtOnce) {
   operator_options_.leader_ttl_ratio = 20;
   StartServices(3);
   StartNodes(0, 1, 3);
@@ -263,30 +264,30 @@
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, ALeaderDeclaredFailedRejoinsAndStartsNoTaskTwice) {
+TEST_F(MembershipNodesTest, LeaderDeclaredFailedRejoinsAndStartsNoTaskTwice) {
   StartServices(3);
   StartNodes(0, 1, 3);
   Run(LeaderIsDeclaredFailed());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, ASingleNodeDeclaredFailedReplacesItsLease) {
+TEST_F(MembershipNodesTest, SingleNodeDeclaredFailedReplacesItsLease) {
   Start(1);
   Run(SingleNodeIsDeclaredFailed());
   EXPECT_EQ(cloud_->duplicate_starts(), 0);
 }
 
-TEST_F(MembershipNodesTest, TheMembersCommandShowsTheTableOfEachNode) {
+TEST_F(MembershipNodesTest, MembersCommandShowsTheTableOfEachNode) {
   Start(3);
   Run(QueryMembers());
 }
 
-TEST_F(MembershipNodesTest, ANodeWithMembershipOffStaysInUseAndIsNeverDeclaredFailed) {
+TEST_F(MembershipNodesTest, NodeWithMembershipOffAcceptsJobsAndIsNeverDeclaredFailed) {
   StartServices(3);
   Run(OneNodeHasMembershipOff());
 }
 
-TEST_F(MembershipNodesTest, MalformedOrForeignFramesChangeNoRecord) {
+TEST_F(MembershipNodesTest, MalformedFramesAndUnknownSendersChangeNoRecord) {
   Start(3);
   Run(SendMalformedFrames());
 }
@@ -303,9 +304,9 @@
   settings.peer_bind = "127.0.0.1:1";
   settings.seeds = {{"node-1", "a", "127.0.0.1:1"}};
   EXPECT_EQ(cli::RunMembersCommand(settings, false), 1);
-  const auto answers = cli::AskMembers(settings, 1);
-  EXPECT_EQ(SchemaErrors(cli::MembersJson(answers)), "");
-  EXPECT_EQ(answers.size(), 2U);
+  const auto responses = cli::AskMembers(settings, 1);
+  EXPECT_EQ(SchemaErrors(cli::MembersJson(responses)), "");
+  EXPECT_EQ(responses.size(), 2U);
 }
 
 }  // namespace
--- a/tests/membership_parts_test.cc
+++ b/tests/membership_parts_test.cc
@@ -39,7 +39,7 @@
   EXPECT_FALSE(quick.Silent(2, 50.1)) << "a node with poor local health waits longer";
 }
 
-TEST(LivenessTracker, ADelayedAnswerProvesLivenessOnlyAtTheTimeOfItsProbe) {
+TEST(LivenessTracker, DelayedResponseProvesLivenessOnlyAtTheTimeOfItsProbe) {
   LivenessTracker tracker(kProbeOptions, 0);
   tracker.OnProbeResponse(1, 60);
   EXPECT_EQ(*tracker.last_alive_at(), 1);
@@ -79,26 +79,26 @@
   EXPECT_TRUE(counter.Complete(2.5));
   EXPECT_EQ(counter.Last(4.5), 0U);
   counter.Add(5);
-  EXPECT_EQ(counter.Last(60), 0U) << "the report is older than the last interval";
+  EXPECT_EQ(counter.Last(60), 0U) << "the last heartbeat is older than the last complete interval";
 }
 
 class HandoverPolicyTest : public testing::Test {
  protected:
   static constexpr size_t kMachines = 100;
   HandoverPolicyTest() { policy_.OnLeaderChanged(0); }
-  static LeadershipFitness HealthyVitals(uint64_t reports) {
+  static LeadershipFitness HealthyFitness(uint64_t heartbeats) {
     return {.leading = false,
             .reaches_state_service = true,
             .event_loop_lag_ms = 0,
-            .recent_heartbeats = reports};
+            .recent_heartbeats = heartbeats};
   }
-  // Calls Decide() every 0.5 s and returns the successor that it names; std::nullopt if there is
-  // none within `s` seconds. Initially, the minimum interval since the change of the leader at time
-  // 0 has passed.
+  // Calls Decide() every 0.5 s and returns the successor that it names; std::nullopt if it names
+  // none within `duration_s`. The first call is late enough that the minimum interval since the
+  // change of the leader at time 0 has passed.
   std::optional<std::string> FindHandoverWithin(
-      double s, const LeadershipFitness& own,
+      double duration_s, const LeadershipFitness& own,
       const std::map<std::string, LeadershipFitness>& others) {
-    for (double end = now_ + s; now_ < end; now_ += 0.5) {
+    for (double end = now_ + duration_s; now_ < end; now_ += 0.5) {
       if (auto handover = policy_.Decide(own, kMachines, others, now_)) return handover->to;
     }
     return std::nullopt;
@@ -110,58 +110,59 @@
   double now_ = 100;
 };
 
-// The counts cover half a heartbeat period, in which half of the machines report.
+// The counts cover half a heartbeat interval, in which half of the machines report.
 TEST_F(HandoverPolicyTest, HandsOverToTheNodeThatMostWorkersReach) {
-  EXPECT_EQ(FindHandoverWithin(20, HealthyVitals(5),
-                               {{"b", HealthyVitals(11)}, {"c", HealthyVitals(15)}}),
+  EXPECT_EQ(FindHandoverWithin(20, HealthyFitness(5),
+                               {{"b", HealthyFitness(11)}, {"c", HealthyFitness(15)}}),
             "c");
 }
 
 TEST_F(HandoverPolicyTest, DoesNotHandOverWhenTheWorkersReachNoOtherNode) {
-  EXPECT_EQ(FindHandoverWithin(60, HealthyVitals(5), {{"b", HealthyVitals(5)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(60, HealthyFitness(5), {{"b", HealthyFitness(5)}}), std::nullopt);
 }
 
-TEST_F(HandoverPolicyTest, DoesNotHandOverForADipOfHalfAPeriod) {
-  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(5), {{"b", HealthyVitals(45)}}), std::nullopt);
-  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(50), {{"b", HealthyVitals(0)}}), std::nullopt);
-  EXPECT_EQ(FindHandoverWithin(2.5, HealthyVitals(5), {{"b", HealthyVitals(45)}}), std::nullopt);
+TEST_F(HandoverPolicyTest, DoesNotHandOverForADipOfHalfAnInterval) {
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyFitness(5), {{"b", HealthyFitness(45)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyFitness(50), {{"b", HealthyFitness(0)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(2.5, HealthyFitness(5), {{"b", HealthyFitness(45)}}), std::nullopt);
 }
 
-TEST_F(HandoverPolicyTest, ALeaderWithALateEventLoopHandsOverToANodeThatRunsOnTime) {
-  LeadershipFitness delayed = HealthyVitals(100);
+TEST_F(HandoverPolicyTest, LeaderWithADelayedEventLoopHandsOverToANodeThatRunsOnTime) {
+  LeadershipFitness delayed = HealthyFitness(100);
   delayed.event_loop_lag_ms = 2000;
-  LeadershipFitness equally_late = HealthyVitals(0);
-  equally_late.event_loop_lag_ms = 1500;
-  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", equally_late}}), std::nullopt)
+  LeadershipFitness similarly_delayed = HealthyFitness(0);
+  similarly_delayed.event_loop_lag_ms = 1500;
+  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", similarly_delayed}}), std::nullopt)
       << "the other node is delayed as well";
-  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", HealthyVitals(0)}}), "b");
+  EXPECT_EQ(FindHandoverWithin(60, delayed, {{"b", HealthyFitness(0)}}), "b");
 }
 
-TEST_F(HandoverPolicyTest, WithoutTheStateServiceHandsOverOnlyToANodeThatReachesIt) {
-  LeadershipFitness disconnected = HealthyVitals(100);
+TEST_F(HandoverPolicyTest, LeaderWithoutTheStateServiceHandsOverOnlyToANodeThatReachesIt) {
+  LeadershipFitness disconnected = HealthyFitness(100);
   disconnected.reaches_state_service = false;
   EXPECT_EQ(FindHandoverWithin(60, disconnected, {{"b", disconnected}}), std::nullopt)
       << "no node reaches the state service";
-  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyVitals(0)}}), std::nullopt);
-  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyVitals(0)}}), "b");
+  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyFitness(0)}}), std::nullopt);
+  EXPECT_EQ(FindHandoverWithin(4, disconnected, {{"b", HealthyFitness(0)}}), "b");
 }
 
 TEST_F(HandoverPolicyTest, EachRecentChangeDoublesTheMinimumInterval) {
-  const std::map<std::string, LeadershipFitness> others = {{"b", HealthyVitals(90)}};
+  const std::map<std::string, LeadershipFitness> others = {{"b", HealthyFitness(90)}};
   for (double at : {100.0, 101.0, 102.0}) policy_.OnLeaderChanged(at);
   now_ = 102;
-  EXPECT_EQ(FindHandoverWithin(79, HealthyVitals(5), others), std::nullopt)
+  EXPECT_EQ(FindHandoverWithin(79, HealthyFitness(5), others), std::nullopt)
       << "20 s, doubled twice";
-  EXPECT_EQ(FindHandoverWithin(10, HealthyVitals(5), others), "b");
+  EXPECT_EQ(FindHandoverWithin(10, HealthyFitness(5), others), "b");
 }
 
 TEST(MemberRecordFormat, RoundTripsAndReadsInvalidRecordsAsAbsent) {
   const MemberRecord record{MemberState::kFailed, {7, 2}, UINT64_MAX, "node-1", "does not answer"};
   EXPECT_EQ(membership::ReadMember(membership::WriteMember(record)), record);
-  for (const char* bad : {"", "[]", "{}", R"({"state":"odd","session":1})", R"({"state":"alive"})",
-                          R"({"state":"alive","session":0})", R"({"state":"alive","session":-1})",
-                          R"({"state":"alive","session":"1"})"}) {
-    EXPECT_EQ(membership::ReadMember(bad), std::nullopt) << bad;
+  for (const char* invalid :
+       {"", "[]", "{}", R"({"state":"odd","session":1})", R"({"state":"alive"})",
+        R"({"state":"alive","session":0})", R"({"state":"alive","session":-1})",
+        R"({"state":"alive","session":"1"})"}) {
+    EXPECT_EQ(membership::ReadMember(invalid), std::nullopt) << invalid;
   }
   const store::ParsedKey key = store::ParseKey(store::MemberKey("node-1"));
   ASSERT_TRUE(std::holds_alternative<store::MemberKeyName>(key));
@@ -208,7 +209,7 @@
   EXPECT_FALSE(wire::ReadPeerMessage(payload));
 }
 
-// Tests a single table whose records and answers come from the test.
+// Tests a single table; the test supplies the member records and the responses to probes.
 class MemberTableTest : public testing::Test {
  protected:
   static constexpr uint64_t kInstance = 42;
@@ -226,10 +227,10 @@
   void Record(const std::string& node, const MemberRecord& record, uint64_t version) {
     table_.OnRecord(node, record, version, now_);
   }
-  void Advance(double s, const std::vector<std::string>& answering = {}) {
-    for (double end = now_ + s; now_ < end;) {
+  void Advance(double duration_s, const std::vector<std::string>& responding = {}) {
+    for (double end = now_ + duration_s; now_ < end;) {
       now_ += kProbeOptions.probe_s;
-      for (const std::string& node : answering) {
+      for (const std::string& node : responding) {
         table_.OnProbeResponse(StatusOf(node, {node == "node-1" ? 5U : 8U, 0}), now_ - 0.01, now_);
       }
       proposals_ = table_.Tick(now_, true);
@@ -267,7 +268,7 @@
   EXPECT_EQ(table_.incarnation(), (model::Incarnation{1, 1}));
 }
 
-TEST_F(MemberTableTest, AnswersOfAnEarlierSessionDoNotKeepANodeAlive) {
+TEST_F(MemberTableTest, ResponsesOfAnEarlierSessionDoNotKeepANodeAlive) {
   Advance(5, {"node-1", "node-2"});
   EXPECT_TRUE(proposals_.empty());
   for (int i = 0; i < 20; ++i) {
@@ -279,7 +280,7 @@
   EXPECT_EQ(table_.Rows(now_)[1].state, MemberState::kSuspect);
 }
 
-TEST_F(MemberTableTest, AnswersInTheOlderStatusFormatProveLiveness) {
+TEST_F(MemberTableTest, ResponsesInTheOlderStatusFormatProveLiveness) {
   for (int i = 0; i < 40; ++i) {
     now_ += kProbeOptions.probe_s;
     table_.OnStatusAnswered("node-1", now_ - 0.01);
@@ -288,14 +289,14 @@
   }
 }
 
-TEST_F(MemberTableTest, ANodeWithoutARecordIsNeverSuspected) {
+TEST_F(MemberTableTest, NodeWithoutARecordIsNeverSuspected) {
   table_.OnRecord("node-1", std::nullopt, 0, now_);
   Advance(60, {"node-2"});
   EXPECT_EQ(table_.Rows(now_)[1].state, MemberState::kAlive);
   EXPECT_TRUE(proposals_.empty());
 }
 
-TEST_F(MemberTableTest, ANewerProcessOfTheSameNameSupersedesThisOne) {
+TEST_F(MemberTableTest, NewerProcessOfTheSameNameSupersedesThisOne) {
   EXPECT_TRUE(table_.IsActiveMember());
   Record("node-0", {MemberState::kAlive, {2, 0}, kInstance + 1, "", ""}, 20);
   EXPECT_TRUE(table_.Superseded());
@@ -305,40 +306,41 @@
 }
 
 TEST_F(MemberTableTest, ReplacesTheRecordOfAnEarlierProcessWithANewSession) {
-  MemberTable fresh({.node = "node-0",
-                     .others = {"node-1"},
-                     .probes = kProbeOptions,
-                     .confirm_probes = 3,
-                     .instance = kInstance + 5},
-                    0);
-  fresh.OnRecord("node-0", MemberRecord{MemberState::kAlive, {6, 2}, kInstance, "", ""}, 30, 0);
-  auto proposals = fresh.Tick(0.1, true);
+  MemberTable restarted({.node = "node-0",
+                         .others = {"node-1"},
+                         .probes = kProbeOptions,
+                         .confirm_probes = 3,
+                         .instance = kInstance + 5},
+                        0);
+  restarted.OnRecord("node-0", MemberRecord{MemberState::kAlive, {6, 2}, kInstance, "", ""}, 30, 0);
+  auto proposals = restarted.Tick(0.1, true);
   ASSERT_EQ(proposals.size(), 1U);
   EXPECT_EQ(proposals[0].kind, membership::Proposal::Kind::kJoin);
   EXPECT_EQ(proposals[0].record.incarnation, (model::Incarnation{7, 0}));
   ASSERT_EQ(proposals[0].preconditions.size(), 1U);
   EXPECT_EQ(proposals[0].preconditions[0].version, 30U);
-  EXPECT_TRUE(fresh.Tick(0.2, true).empty()) << "only one proposal may be outstanding";
+  EXPECT_TRUE(restarted.Tick(0.2, true).empty()) << "only one proposal may be outstanding";
 }
 
-// node-1 is silent; node-2 answers with a given observation of node-1.
+// node-1 answers no probe, or late if delayed_responses_ is set. node-2 answers with a given
+// observation of node-1.
 class MemberTableSilentNodeTest : public MemberTableTest {
  protected:
-  void AdvanceWithObservation(double s, const model::MemberObservation& observation,
-                              double answer_age_s = 0.01) {
-    for (double end = now_ + s; now_ < end;) {
+  void AdvanceWithObservation(double duration_s, const model::MemberObservation& observation,
+                              double response_age_s = 0.01) {
+    for (double end = now_ + duration_s; now_ < end;) {
       now_ += kProbeOptions.probe_s;
       wire::MemberStatus status = StatusOf("node-2", {8, 0});
       status.observations = {observation};
       table_.OnProbeResponse(status, now_ - 0.01, now_);
-      if (delayed_answers_)
-        table_.OnProbeResponse(StatusOf("node-1", {5, 0}), now_ - answer_age_s, now_);
+      if (delayed_responses_)
+        table_.OnProbeResponse(StatusOf("node-1", {5, 0}), now_ - response_age_s, now_);
       for (auto& proposal : table_.Tick(now_, true)) proposals_.push_back(std::move(proposal));
     }
   }
   MemberState StateOfSilentNode() const { return table_.Rows(now_)[1].state; }
   const model::MemberObservation suspects_{"node-1", {5, 0}, MemberState::kSuspect, std::nullopt};
-  bool delayed_answers_ = false;
+  bool delayed_responses_ = false;
 };
 
 // Without the precondition on the subject's record, a refutation or a new session that was written
@@ -371,20 +373,20 @@
   EXPECT_TRUE(proposals_.empty());
 }
 
-TEST_F(MemberTableSilentNodeTest, AnObservationOfAnEarlierSessionDoesNotProveLiveness) {
+TEST_F(MemberTableSilentNodeTest, ObservationOfAnEarlierSessionDoesNotProveLiveness) {
   AdvanceWithObservation(3, {"node-1", {4, 0}, MemberState::kAlive, 10});
   EXPECT_EQ(StateOfSilentNode(), MemberState::kSuspect);
   AdvanceWithObservation(3, {"node-1", {5, 0}, MemberState::kAlive, 10});
   EXPECT_EQ(StateOfSilentNode(), MemberState::kAlive);
 }
 
-TEST_F(MemberTableSilentNodeTest, DelayedAnswersDoNotProveLiveness) {
-  delayed_answers_ = true;
+TEST_F(MemberTableSilentNodeTest, DelayedResponsesDoNotProveLiveness) {
+  delayed_responses_ = true;
   AdvanceWithObservation(40, suspects_, 20);
   EXPECT_EQ(StateOfSilentNode(), MemberState::kSuspect);
 }
 
-TEST_F(MemberTableTest, ASuspectedNodeProposesNothing) {
+TEST_F(MemberTableTest, SuspectedNodeProposesNothing) {
   Record("node-0", {MemberState::kSuspect, {1, 0}, kInstance, "node-2", ""}, 21);
   table_.Tick(0.1, true);  // proposes a refutation, which is never carried out
   for (int i = 0; i < 40; ++i) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -22,9 +22,10 @@
 }
 
 size_t CountFailureDeclarations(const MembershipCluster& cluster, const std::string& node) {
-  const auto& all = cluster.failure_declarations();
+  const auto& declarations = cluster.failure_declarations();
   return static_cast<size_t>(
-      std::count_if(all.begin(), all.end(), [&](const auto& v) { return v.node == node; }));
+      std::count_if(declarations.begin(), declarations.end(),
+                    [&](const auto& declaration) { return declaration.node == node; }));
 }
 
 std::string AnyNodeExcept(const MembershipCluster& cluster, const std::string& node) {
@@ -62,7 +63,7 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(MembershipClusterTest, AKilledLeaderIsDeclaredFailedAndReplacedOnce) {
+TEST_F(MembershipClusterTest, KilledLeaderIsDeclaredFailedAndReplacedOnce) {
   Start();
   cluster_->Kill(leader_);
   TimeUntilDeclaredFailed(leader_, 5);
@@ -73,7 +74,7 @@
             MemberState::kFailed);
 }
 
-// The leader lease is long here, so only the declared failure can cause the handover.
+// The leader's lease is long here, so that only the failure declaration can cause the handover.
 TEST_F(MembershipClusterTest, DeclaringAFrozenLeaderFailedEndsItsLease) {
   Options options;
   options.leader_ttl_s = 30;
@@ -83,7 +84,7 @@
   EXPECT_NE(cluster_->Leader(), leader_);
 }
 
-TEST_F(MembershipClusterTest, AFreezeThatEndsDuringSuspicionCausesNoFailure) {
+TEST_F(MembershipClusterTest, FreezeThatEndsDuringSuspicionCausesNoFailure) {
   Start();
   cluster_->Freeze(other_);
   ASSERT_TRUE(cluster_->RunUntil(
@@ -94,7 +95,7 @@
   EXPECT_TRUE(cluster_->Converged());
 }
 
-TEST_F(MembershipClusterTest, ASuspectedNodeThatResumesBeforeConfirmationRefutes) {
+TEST_F(MembershipClusterTest, SuspectedNodeThatResumesBeforeConfirmationRefutes) {
   Start();
   cluster_->Freeze(other_);
   ASSERT_TRUE(cluster_->RunUntil(
@@ -109,9 +110,10 @@
   EXPECT_GT(refuted.incarnation.refutation, suspected.incarnation.refutation);
 }
 
-// The frozen node resumes after the failure was sent and before it is carried out. Whichever write
-// comes first takes effect; the other one fails on its precondition.
-TEST_F(MembershipClusterTest, ResumingWhileTheFailureIsWrittenLeavesOneOutcome) {
+// The frozen node resumes after its failure declaration was sent and before it is executed. The
+// declaration and the node's refutation compete: whichever is executed first takes effect, and the
+// other one fails on its precondition.
+TEST_F(MembershipClusterTest, ResumeDuringAFailureDeclarationHasOneOutcome) {
   Start();
   const uint64_t session = cluster_->Record(other_)->incarnation.session;
   cluster_->OnFailureDeclarationSent([&](const std::string& /*by*/) { cluster_->Resume(other_); });
@@ -119,11 +121,11 @@
   cluster_->RunFor(30);
   EXPECT_LE(cluster_->failure_declarations().size(), 1U);
   EXPECT_TRUE(cluster_->Converged());
-  const uint64_t now = cluster_->Record(other_)->incarnation.session;
-  EXPECT_EQ(now, session + cluster_->failure_declarations().size());
+  const uint64_t session_after = cluster_->Record(other_)->incarnation.session;
+  EXPECT_EQ(session_after, session + cluster_->failure_declarations().size());
 }
 
-TEST_F(MembershipClusterTest, AFailedNodeThatResumesJoinsWithANewSession) {
+TEST_F(MembershipClusterTest, FailedNodeThatResumesJoinsWithANewSession) {
   Start();
   const uint64_t session = cluster_->Record(leader_)->incarnation.session;
   cluster_->Freeze(leader_);
@@ -166,7 +168,7 @@
   EXPECT_EQ(CountFailureDeclarations(*cluster_, "node-0"), 0U);
 }
 
-TEST_F(MembershipClusterTest, APauseOfAllNodesCausesNoSuspicion) {
+TEST_F(MembershipClusterTest, PauseOfAllNodesCausesNoSuspicion) {
   Start();
   for (const std::string& name : cluster_->names()) cluster_->Freeze(name);
   cluster_->RunFor(20);
@@ -177,7 +179,7 @@
   EXPECT_TRUE(cluster_->Converged());
 }
 
-TEST_F(MembershipClusterTest, ANodeThatAnotherNodeHearsIsNotDeclaredFailed) {
+TEST_F(MembershipClusterTest, NodeThatAThirdNodeReachesIsNotDeclaredFailed) {
   Start();
   const std::string third = cluster_->Name(3 - (leader_.back() - '0') - (other_.back() - '0'));
   cluster_->CutOneWay(leader_, other_, true);
@@ -188,7 +190,7 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(MembershipClusterTest, ASlowLinkNearTheSilenceThresholdRaisesTheThreshold) {
+TEST_F(MembershipClusterTest, SlowLinkNearTheSilenceThresholdRaisesTheThreshold) {
   Options options;
   options.probe_s = 0.25;  // suspected after 0.75 s plus the usual round trip
   Start(options);
@@ -200,7 +202,7 @@
   EXPECT_EQ(cluster_->handovers().size(), 1U);
 }
 
-TEST_F(MembershipClusterTest, AnIntermittentPartitionCausesNoHandover) {
+TEST_F(MembershipClusterTest, IntermittentPartitionCausesNoHandover) {
   Start();
   for (int i = 0; i < 40; ++i) {
     for (const std::string& name : cluster_->names()) {
@@ -213,27 +215,27 @@
   EXPECT_LT(cluster_->suspicions(), 20U);
 }
 
-TEST_F(MembershipClusterTest, AnAccuserFrozenWhileWritingTheFailureDoesNotPreventTheHandover) {
+TEST_F(MembershipClusterTest, FreezeOfTheDeclaringNodeDoesNotPreventTheHandover) {
   Options options;
   options.leader_ttl_s = 30;
   Start(options);
-  std::string accuser;
+  std::string declaring_node;
   cluster_->OnFailureDeclarationSent([&](const std::string& by) {
-    accuser = by;
+    declaring_node = by;
     cluster_->Freeze(by);
   });
   cluster_->Kill(leader_);
   TimeUntilDeclaredFailed(leader_, 5);
   cluster_->RunFor(10);
-  ASSERT_FALSE(accuser.empty());
+  ASSERT_FALSE(declaring_node.empty());
   EXPECT_EQ(CountFailureDeclarations(*cluster_, leader_), 1U);
   EXPECT_EQ(cluster_->handovers().size(), 2U) << "the third node must take over";
-  cluster_->Resume(accuser);
+  cluster_->Resume(declaring_node);
   EXPECT_TRUE(cluster_->RunUntil([&] { return cluster_->Converged(); }, kSettleS));
   EXPECT_EQ(CountFailureDeclarations(*cluster_, leader_), 1U);
 }
 
-TEST_F(MembershipClusterTest, ALostAnswerToTheFailureWriteCausesNoSecondFailure) {
+TEST_F(MembershipClusterTest, LostAnswerToAFailureDeclarationCausesNoSecondOne) {
   Start();
   cluster_->LoseFailureDeclarationAnswers(3);
   cluster_->Kill(leader_);
@@ -242,7 +244,7 @@
   EXPECT_EQ(cluster_->failure_declarations().size(), 1U);
 }
 
-TEST_F(MembershipClusterTest, AnotherNodeDeclaresTheFailureWhenTheAccuserDies) {
+TEST_F(MembershipClusterTest, AnotherNodeDeclaresTheFailureIfTheSuspectingNodeDies) {
   Options options;
   options.nodes = 4;
   Start(options);
@@ -253,8 +255,8 @@
   TimeUntilDeclaredFailed(leader_, 20);
 }
 
-// The process restarts before any node has noticed, and answers of the earlier process are still in
-// flight. They must not count as proof that the new process is alive.
+// The process restarts before any node has noticed that it ended, and answers of the earlier
+// process are still in flight. They must not count as proof that the new process is alive.
 TEST_F(MembershipClusterTest, LateAnswersOfAnEarlierProcessDoNotKeepANodeAlive) {
   Start();
   for (int i = 0; i < 100; ++i) cluster_->DelayAnswer(other_, leader_, 1 + 0.1 * i);
@@ -266,7 +268,7 @@
   EXPECT_LT(took_s, 3);
 }
 
-TEST_F(MembershipClusterTest, ARollingRestartCausesNoFailure) {
+TEST_F(MembershipClusterTest, RollingRestartCausesNoFailure) {
   Start();
   for (const std::string& name : cluster_->names()) {
     cluster_->Restart(name);
@@ -300,7 +302,7 @@
   TimeUntilDeclaredFailed(other_, 5);
 }
 
-TEST_F(MembershipClusterTest, ASingleNodeLeadsWithoutSuspicion) {
+TEST_F(MembershipClusterTest, SingleNodeLeadsWithoutSuspicion) {
   Options options;
   options.nodes = 1;
   Start(options);
@@ -310,8 +312,8 @@
 }
 
 // A node that is cut off from all other nodes, but not from the state service, learns from the
-// refutations that it may be at fault itself.
-TEST_F(MembershipClusterTest, AnIsolatedNodeDeclaresNoOtherNodeFailed) {
+// refutations of its suspicions that it may be at fault itself.
+TEST_F(MembershipClusterTest, IsolatedNodeDeclaresNoOtherNodeFailed) {
   Start();
   for (const std::string& name : cluster_->names()) {
     if (name != other_) cluster_->Cut(other_, name, true);
@@ -322,8 +324,8 @@
 }
 
 // Random freezes, kills, restarts, partitions and outages over many seeds. In every run, a session
-// is declared failed at most once, and never without the state service. After all faults are
-// removed, every node becomes a member again and one of them leads.
+// is declared failed at most once, and never while the state service is unavailable. After all
+// faults are removed, every node becomes a member again and one of them leads.
 class MembershipRandomFaultsTest : public testing::TestWithParam<int> {
  protected:
   void InjectRandomFault(MembershipCluster& cluster, std::mt19937_64& random) {
@@ -395,9 +397,9 @@
   RemoveFaults(cluster);
   EXPECT_TRUE(cluster.RunUntil([&] { return cluster.Converged(); }, 120));
   std::set<std::pair<std::string, uint64_t>> failed_sessions;
-  for (const auto& verdict : cluster.failure_declarations()) {
-    EXPECT_TRUE(failed_sessions.insert({verdict.node, verdict.session}).second)
-        << verdict.node << " session " << verdict.session << " was declared failed twice";
+  for (const auto& declaration : cluster.failure_declarations()) {
+    EXPECT_TRUE(failed_sessions.insert({declaration.node, declaration.session}).second)
+        << declaration.node << " session " << declaration.session << " was declared failed twice";
   }
   EXPECT_EQ(cluster.FalseFailureDeclarations(), 0U)
       << "nodes were declared failed that could have refuted";
--- a/tests/net_fixture.h
+++ b/tests/net_fixture.h
@@ -38,7 +38,7 @@
     async::Sleep pause(scope_, s);
     co_await pause;
   }
-  // Blocks the thread of the event loop, like a process that is not scheduled: clocks advance and
+  // Blocks the thread of the event loop, as if the process were not scheduled: clocks advance and
   // receive buffers fill.
   static void BlockThread(double s) {
     std::this_thread::sleep_for(std::chrono::duration<double>(s));
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -47,7 +47,7 @@
     ++handled_;
     co_return wire::HttpResponse{.status = 200, .body = "{}"};
   }
-  // Sends a request. Each client has one connection.
+  // Sends a request. Each client keeps one connection.
   async::Task<wire::HttpResponse> Ask(net::HttpClient& client, std::string target) {
     wire::HttpRequest q{.method = "GET", .target = std::move(target), .body = ""};
     auto r = co_await client.Call(scope_, AddressAt(0), std::move(q), 1, false);
@@ -58,9 +58,9 @@
   int handled_ = 0;
 };
 
-// Guards against one class of clients that locks the other out: it may use free connections but
-// must yield them to the other class. Beyond that it is refused at once with 503 and
-// Retry-After.
+// Guards against one class of clients that locks the other out: a class may use free connections
+// but must yield them to the other class. A client that gets no connection is refused at once with
+// 503 and Retry-After.
 class ConnectionReservationTest : public ConnectionClassTest {
  public:
   ConnectionReservationTest() : ConnectionClassTest(kNeverEvictableS) {}
@@ -131,7 +131,7 @@
   int handled_ = 0;
 };
 
-TEST_F(PeriodicClientsTest, AllAreAnsweredBeyondTheConnectionLimit) { Run(Script()); }
+TEST_F(PeriodicClientsTest, ClientsBeyondTheConnectionLimitAreAnswered) { Run(Script()); }
 
 // Guards against connections that failed machines never close and that block other clients: a
 // connection that was idle for kEvictableAfterS is closed if a new client needs its place.
@@ -159,7 +159,7 @@
   }
 };
 
-TEST_F(IdleConnectionsTest, AreReplacedByNewClients) { Run(Script()); }
+TEST_F(IdleConnectionsTest, NewClientsReplaceIdleConnections) { Run(Script()); }
 
 // Guards against work for clients that no longer wait: after a pause the receive buffers are full
 // of requests whose senders have closed their connections.
@@ -183,7 +183,7 @@
   }
 };
 
-TEST_F(ClosedConnectionTest, RequestIsNotHandled) { Run(Script()); }
+TEST_F(ClosedConnectionTest, RequestOnAClosedConnectionIsNotHandled) { Run(Script()); }
 
 // Guards against stale peer status after a pause: a peer reported an outage of the state service
 // just before this process was paused. A status is valid from the time of its request.
@@ -270,10 +270,10 @@
       return wire::CancellationReport{true, 50, {{"run-1", q.after_revision + 1}}};
     };
     hooks.on_cancellation_report = [this](const std::string& from, double requested_at,
-                                          const wire::CancellationReport& v) {
+                                          const wire::CancellationReport& report) {
       EXPECT_EQ(from, "node-1");
       EXPECT_LE(requested_at, loop_.Now());
-      EXPECT_EQ(v.cancelled, (std::vector<wire::Cancellation>{{"run-1", 41}}));
+      EXPECT_EQ(report.cancelled, (std::vector<wire::Cancellation>{{"run-1", 41}}));
       ++reports_;
     };
     hooks.on_cancel_notice = [this](const wire::CancelNotice& n) {
@@ -306,7 +306,7 @@
   std::vector<std::string> notified_jobs_;
 };
 
-TEST_F(CancellationReportsTest, AreSentOnlyToPeersThatSupportThem) { Run(Script()); }
+TEST_F(CancellationReportsTest, ReportsAreSentOnlyToPeersThatSupportThem) { Run(Script()); }
 
 // Guards against queries that use up the request quota: however many users query at the same time,
 // the reads that refresh the cache take at most half of this node's requests. Submissions and
@@ -359,7 +359,7 @@
   double longest_wait_s_ = 0;
 };
 
-TEST_F(ConcurrentReadsTest, ShareRequestsAndLeaveQuotaForSubmissions) { Run(Script()); }
+TEST_F(ConcurrentReadsTest, ReadsShareRequestsAndLeaveQuotaForSubmissions) { Run(Script()); }
 
 // Guards against outdated requests after a pause: the connection is established when the process
 // resumes, long after the call has timed out. A rental request or a command of an outdated plan
@@ -405,8 +405,9 @@
 
 TEST_F(PauseDuringConnectTest, TimedOutCallIsNotSent) { Run(Script()); }
 
-// Guards against a pause that is detected too late: a gap between two turns of the event loop
-// counts as a pause from its end, before the next turn. It is reported until the next pause.
+// Guards against a pause that is detected too late: a long gap between two turns of the event loop
+// counts as a pause as soon as the gap ends, before the next turn. The end of the pause is reported
+// until the next pause.
 class PauseDetectionTest : public NetTest {
  public:
   async::Task<> Script() {
@@ -463,7 +464,7 @@
   }
 };
 
-TEST_F(RelayedWriteTest, RefusalAfterAnUnansweredCopyIsUnknown) { Run(Script()); }
+TEST_F(RelayedWriteTest, OutcomeIsUnknownIfARelayedCopyGotNoResponse) { Run(Script()); }
 
 // Guards against a removed job that reappears in the cache: one node cancels a job and the leader
 // ends it at once, so the watch delivers both writes before the response to the first node's write.
@@ -475,9 +476,10 @@
     FakeStateService state(scope_);
     RequireStarted(state.Listen(AddressAt(4), &error), "a server", error);
     store::Client client(scope_, StateClientOptions(4));
-    std::map<std::string, std::string> copy;
-    store::WatchCache cache(scope_, client, 0.5,
-                            [&](const std::string& key, const std::string& v) { copy[key] = v; });
+    std::map<std::string, std::string> cached_values;
+    store::WatchCache cache(scope_, client, 0.5, [&](const std::string& key, const std::string& v) {
+      cached_values[key] = v;
+    });
     scope_.Spawn(cache.Run());
     const std::string key = store::JobKey("run-1");
     const uint64_t put = co_await Write(client, key, "{}");
@@ -486,12 +488,12 @@
     EXPECT_EQ(cache.Version(key), 0U);
     cache.ApplyAheadOfWatch(key, "{}", put);
     EXPECT_EQ(cache.Version(key), 0U) << "the delayed response to the first write";
-    EXPECT_EQ(copy[key], "");
+    EXPECT_EQ(cached_values[key], "");
     // If the cache differs from the service for any other reason, Refresh() reads the key again.
     cache.ApplyAheadOfWatch(key, "{}", drop + 100);
-    EXPECT_EQ(copy[key], "{}");
+    EXPECT_EQ(cached_values[key], "{}");
     co_await cache.Refresh(key);
-    EXPECT_EQ(copy[key], "");
+    EXPECT_EQ(cached_values[key], "");
     EXPECT_EQ(cache.Version(key), 0U);
     scope_.Cancel();
     co_await scope_.Join();
@@ -505,7 +507,7 @@
   }
 };
 
-TEST_F(DelayedResponseTest, DoesNotRestoreARemovedKey) { Run(Script()); }
+TEST_F(DelayedResponseTest, DelayedResponseDoesNotRestoreARemovedKey) { Run(Script()); }
 
 // Guards against repeated refusals when the limits are lowered without notice: the client uses the
 // current limits until the first refusal, then keeps to the lower ones. Before the upgrade is
@@ -546,7 +548,7 @@
   }
 };
 
-TEST_F(LoweredRateLimitsTest, ApplyFromTheFirstRefusal) { Run(Script()); }
+TEST_F(LoweredRateLimitsTest, LoweredLimitsApplyFromTheFirstRefusal) { Run(Script()); }
 
 // Runs an event loop on the calling thread that sends one letter to itself repeatedly.
 class LetterLoop {
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -1,5 +1,5 @@
-// Tests job dependencies with whole controllers: no job starts before the jobs that it awaits are
-// done, and a cancellation reaches all dependents.
+// Tests job dependencies with complete controllers: no job starts before the jobs that it awaits
+// are done, and a cancellation reaches all dependents.
 #include "end_to_end.h"
 #include "model/job.h"
 #include "model/task.h"
@@ -28,7 +28,7 @@
     bool ok = co_await AskUntil(node, "GET", "/submissions/" + id, "", 200, text, limit_s);
     EXPECT_TRUE(ok) << id << " " << text;
   }
-  // Records each task start of a job whose awaited jobs are not all recorded as done.
+  // Records each task that starts before all jobs that its job awaits are recorded as done.
   void CheckStartOrder() {
     cloud_->SetStartHook([this](const model::TaskId& task) {
       ++starts_by_job_[task.job];
@@ -97,8 +97,8 @@
         StartNodes(0, 1, 3);
       }
     }
-    // A new job that awaits a cancelled one is accepted and counts as cancelled; so does its
-    // repeated submission.
+    // A new job that awaits a cancelled one is accepted and counts as cancelled. Its repeated
+    // submission is answered the same way.
     const model::JobSpec late = SpecAwaiting("run-6", 4, "run-4");
     co_await Submit(1, late);
     co_await ExpectAnswer(2, "run-6", "cancelled", 2);
--- a/tests/port_block.h
+++ b/tests/port_block.h
@@ -37,7 +37,7 @@
 };
 
 // Fails the test and exits the process, which runs only this test, if `started` is false: the rest
-// of the test would crash without this part. `step` names the part or action that failed.
+// of the test would only crash. `step` names the part or action that failed.
 void RequireStarted(bool started, const std::string& step, const std::string& error);
 
 }  // namespace hallpier::testing_support
--- a/tests/port_block_test.cc
+++ b/tests/port_block_test.cc
@@ -33,8 +33,8 @@
     EXPECT_FALSE(CanBindExclusively(block.AddressAt(n))) << n;
 }
 
-// Guards against two processes that use the same ports: their offsets came from the process ids,
-// and ids that differed by a certain multiple gave the same ports.
+// Guards against two processes that use the same ports: offsets come from the process ids, and ids
+// that differed by a certain multiple once gave the same ports.
 TEST(PortBlock, SameOffsetGivesDistinctBlocks) {
   const PortBlock one(kOffset), other(kOffset);
   EXPECT_GE(std::abs(one.first() - other.first()), PortBlock::kPorts);
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,5 +1,5 @@
-// Tests the allocation of team limits to block owners: the sum never exceeds a limit, and idle
-// amounts are reclaimed for work that needs them.
+// Tests the allocation of team limits to block owners: no allocation raises the committed amount
+// above a limit, and idle amounts are soon reclaimed for work that needs them.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -17,12 +17,12 @@
 
 constexpr double kLimit = 12;
 
-std::vector<double> Rebalanced(double limit, const std::vector<OwnerAmounts>& positions,
-                               double outside = 0) {
-  return TeamAccount(limit, outside, positions).Rebalance();
+std::vector<double> Rebalanced(double limit, const std::vector<OwnerAmounts>& owners,
+                               double unowned = 0) {
+  return TeamAccount(limit, unowned, owners).Rebalance();
 }
 
-TEST(TeamAccount, ANewBlockAssignmentAllocatesEvenly) {
+TEST(TeamAccount, NewBlockAssignmentIsAllocatedEvenly) {
   EXPECT_EQ(Rebalanced(kLimit, {{}, {}, {}}), (std::vector<double>{4, 4, 4}));
   EXPECT_EQ(Rebalanced(10, {{}, {}, {}})[0], 10.0 / 3) << "limits need not be divisible";
 }
@@ -39,9 +39,9 @@
   EXPECT_EQ(TeamAccount(kLimit, 1, {{4, 6, 0, 0}, {5, 2, 0, 0}}).Committed(), 12);
 }
 
-// The other block owner may still start tasks under its old allocation, so that the amount is
-// allocated only by the review after the reclaim.
-TEST(TeamAccount, DoesNotReallocateAReclaimedAmountInTheSameReview) {
+// The owner that an amount is reclaimed from may still start tasks under its old allocation, so
+// that only the rebalancing step after the reclaim allocates the amount.
+TEST(TeamAccount, DoesNotReallocateAReclaimedAmountInTheSameStep) {
   const auto allocated = Rebalanced(kLimit, {{2, 2, 3, 0}, {10, 4, 0, 0}});
   EXPECT_EQ(allocated[0], 2);
   EXPECT_EQ(allocated[1], 7);
@@ -49,26 +49,26 @@
 }
 
 TEST(TeamAccount, ReclaimsForATaskLargerThanAnEvenAllocation) {
-  std::vector<OwnerAmounts> positions = {{4, 0, 0, 0}, {4, 0, 9, 0}, {4, 0, 0, 0}};
-  for (int review = 0; review < 2; ++review) {
-    const auto allocated = Rebalanced(kLimit, positions);
-    for (size_t i = 0; i < allocated.size(); ++i) positions[i].allocated = allocated[i];
+  std::vector<OwnerAmounts> owners = {{4, 0, 0, 0}, {4, 0, 9, 0}, {4, 0, 0, 0}};
+  for (int step = 0; step < 2; ++step) {
+    const auto allocated = Rebalanced(kLimit, owners);
+    for (size_t i = 0; i < allocated.size(); ++i) owners[i].allocated = allocated[i];
   }
-  EXPECT_GE(positions[1].allocated, 9);
+  EXPECT_GE(owners[1].allocated, 9);
 }
 
-TEST(TeamAccount, ALimitBelowTheUsageStopsOnlyNewStarts) {
-  std::vector<OwnerAmounts> positions = {{8, 8, 0, 0}, {4, 4, 2, 0}};
-  auto allocated = Rebalanced(6, positions);
+TEST(TeamAccount, LimitBelowTheUsageStopsOnlyNewStarts) {
+  std::vector<OwnerAmounts> owners = {{8, 8, 0, 0}, {4, 4, 2, 0}};
+  auto allocated = Rebalanced(6, owners);
   EXPECT_LE(allocated[0] + allocated[1], 6);
   // As tasks end, no new task may start until the total usage is within the limit.
-  positions = {{allocated[0], 7, 0, 0}, {allocated[1], 3, 2, 0}};
-  allocated = Rebalanced(6, positions);
+  owners = {{allocated[0], 7, 0, 0}, {allocated[1], 3, 2, 0}};
+  allocated = Rebalanced(6, owners);
   EXPECT_LT(allocated[0], 7);
   EXPECT_LT(allocated[1], 3);
 }
 
-TEST(TeamAccount, ReducesAnAllocationByTheWithheldAmount) {
+TEST(TeamAccount, LeavesTheAmountReservedForOthersFreeAsTasksEnd) {
   const auto allocated = Rebalanced(kLimit, {{12, 12, 0, 3}, {0, 0, 0, 0}});
   EXPECT_EQ(allocated, (std::vector<double>{9, 0}));
 }
@@ -78,64 +78,65 @@
   EXPECT_LE(allocated[0] + allocated[1], kLimit);
 }
 
-// A block owner may place up to its old or its new allocation, whichever is in effect at that time.
-// From any state within the limit, no mixture of old and new allocations may exceed the limit.
+// A block owner may place up to its old or its new allocation, whichever is in effect when it
+// places. From any state within the limit, no mixture of old and new allocations may exceed the
+// limit.
 TEST(TeamAccount, NoMixtureOfOldAndNewAllocationsExceedsTheLimit) {
   for (uint64_t seed = 0; seed < 3000; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 8);
     std::bernoulli_distribution coin_flip(0.5);
-    std::vector<OwnerAmounts> positions(std::uniform_int_distribution<size_t>(1, 9)(random));
-    for (OwnerAmounts& p : positions) {
-      p = {amount(random), coin_flip(random) ? amount(random) : 0,
-           coin_flip(random) ? amount(random) : 0, coin_flip(random) ? 0 : amount(random)};
+    std::vector<OwnerAmounts> owners(std::uniform_int_distribution<size_t>(1, 9)(random));
+    for (OwnerAmounts& owner : owners) {
+      owner = {amount(random), coin_flip(random) ? amount(random) : 0,
+               coin_flip(random) ? amount(random) : 0, coin_flip(random) ? 0 : amount(random)};
     }
-    const double outside = coin_flip(random) ? amount(random) : 0;
-    const double committed = TeamAccount(0, outside, positions).Committed();
+    const double unowned = coin_flip(random) ? amount(random) : 0;
+    const double committed = TeamAccount(0, unowned, owners).Committed();
     const double limit = committed + (coin_flip(random) ? amount(random) : 0);
-    const auto allocated = Rebalanced(limit, positions, outside);
-    double worst_total = outside;
-    for (size_t i = 0; i < positions.size(); ++i) {
-      worst_total += std::max({positions[i].allocated, positions[i].placed, allocated[i]});
+    const auto allocated = Rebalanced(limit, owners, unowned);
+    double worst_total = unowned;
+    for (size_t i = 0; i < owners.size(); ++i) {
+      worst_total += std::max({owners[i].allocated, owners[i].placed, allocated[i]});
     }
     ASSERT_LE(worst_total, limit + 1e-6) << "seed " << seed;
   }
 }
 
-// Needs of the plan that are within the limit must be allocated within a few reviews. After that, a
-// review must change nothing.
+// Needs of the plan that are within the limit must be allocated within a few rebalancing steps.
+// After that, a further step must change nothing.
 TEST(TeamAccount, MeetsNeedsWithinTheLimitAndConverges) {
   for (uint64_t seed = 0; seed < 1000; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> amount(0, 4);
-    std::vector<OwnerAmounts> positions(std::uniform_int_distribution<size_t>(2, 9)(random));
+    std::vector<OwnerAmounts> owners(std::uniform_int_distribution<size_t>(2, 9)(random));
     double needs = 0;
-    for (OwnerAmounts& p : positions) {
-      p = {0, amount(random), amount(random), 0};
-      needs += p.placed + p.planned;
+    for (OwnerAmounts& owner : owners) {
+      owner = {0, amount(random), amount(random), 0};
+      needs += owner.placed + owner.planned;
     }
     // The rest of the limit is allocated to one block owner and idle.
-    positions[0].allocated = positions[0].placed + amount(random);
-    const double limit = std::max(needs, TeamAccount(0, 0, positions).Committed());
+    owners[0].allocated = owners[0].placed + amount(random);
+    const double limit = std::max(needs, TeamAccount(0, 0, owners).Committed());
     std::vector<double> allocated;
-    for (int review = 0; review < 4; ++review) {
-      allocated = Rebalanced(limit, positions);
-      for (size_t i = 0; i < allocated.size(); ++i) positions[i].allocated = allocated[i];
+    for (int step = 0; step < 4; ++step) {
+      allocated = Rebalanced(limit, owners);
+      for (size_t i = 0; i < allocated.size(); ++i) owners[i].allocated = allocated[i];
     }
-    for (const OwnerAmounts& p : positions) {
-      ASSERT_GE(p.allocated, p.placed + p.planned - 1e-6) << "seed " << seed;
+    for (const OwnerAmounts& owner : owners) {
+      ASSERT_GE(owner.allocated, owner.placed + owner.planned - 1e-6) << "seed " << seed;
     }
-    EXPECT_EQ(Rebalanced(limit, positions), allocated) << "seed " << seed;
+    EXPECT_EQ(Rebalanced(limit, owners), allocated) << "seed " << seed;
   }
 }
 
 TEST(AllocationRecordFormat, RoundTripsAndReadsInvalidRecordsAsAbsent) {
   const AllocationRecord record{77, {{"team", {4.5, 1}}, {"other", {0, 2}}}};
   EXPECT_EQ(ReadAllocation(WriteAllocation(record)), record);
-  for (const char* bad :
+  for (const char* invalid :
        {"", "[]", R"({"grant":1})", R"({"grant":-1,"lent":{}})", R"({"grant":1,"lent":{"t":[1]}})",
         R"({"grant":1,"lent":{"t":[1,-2]}})", R"({"grant":1,"lent":{"t":[1,"2"]}})"}) {
-    EXPECT_EQ(ReadAllocation(bad), std::nullopt) << bad;
+    EXPECT_EQ(ReadAllocation(invalid), std::nullopt) << invalid;
   }
 }
 
@@ -150,7 +151,7 @@
 
 class AllocationPlannerTest : public testing::Test {
  protected:
-  std::vector<AllocationChange> Review() const {
+  std::vector<AllocationChange> PlanChanges() const {
     return PlanAllocationChanges(teams_, {}, owners_, 8192);
   }
   std::vector<config::Team> teams_ = {{"free", 0, 0, 0, 0}, {"team", 0, 8, 0, 2}};
@@ -158,17 +159,17 @@
 };
 
 TEST_F(AllocationPlannerTest, AllocatesOnlyToTeamsWithALimit) {
-  const auto changes = Review();
+  const auto changes = PlanChanges();
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(changes[0].record, (AllocationRecord{5, {{"team", {4, 1}}}}));
   EXPECT_EQ(changes[1].record.allocation_epoch, 6U);
   for (size_t i = 0; i < 2; ++i) owners_[i].allocation = changes[i].record;
-  EXPECT_TRUE(Review().empty()) << "an unchanged allocation must not be written again";
+  EXPECT_TRUE(PlanChanges().empty()) << "an unchanged allocation must not be written again";
 }
 
-TEST_F(AllocationPlannerTest, AnAllocationOfAnEarlierEpochCountsAsZero) {
+TEST_F(AllocationPlannerTest, AllocationOfAnEarlierEpochCountsAsZero) {
   owners_[0].allocation = {4, {{"team", {8, 2}}}};
-  EXPECT_EQ(Review()[0].record.allocated.at("team").cpus, 4);
+  EXPECT_EQ(PlanChanges()[0].record.allocated.at("team").cpus, 4);
   EXPECT_EQ(RemainingQuota(teams_[1], owners_[0].allocation, 5, {}).cpus, 0);
   EXPECT_EQ(RemainingQuota(teams_[1], owners_[0].allocation, 4, {{"team", {3, 0}}}).cpus, 5);
   EXPECT_GT(RemainingQuota(teams_[0], owners_[0].allocation, 5, {}).cpus, 1e9) << "no limit";
