--- a/src/api/user_api.cc
+++ b/src/api/user_api.cc
@@ -160,8 +160,8 @@
 
 async::Task<std::optional<wire::HttpResponse>> UserApi::CheckDependencies(
     std::vector<std::string> dependencies, bool* cancelled) {
-  // Checks the dependencies as far as they are known now. Every node finds out the rest by itself
-  // later.
+  // Checks only what is known now. If a dependency is cancelled later, every node derives that from
+  // the records (jobs/dependency_graph.h).
   *cancelled = false;
   const bool caught_up = co_await deps_.linearizable_read->CatchUp();
   for (const std::string& id : dependencies) {
--- a/src/async/event_loop.h
+++ b/src/async/event_loop.h
@@ -44,7 +44,7 @@
   struct ev_loop* loop_;
   std::deque<std::coroutine_handle<>> ready_;
   bool stopped_ = false;
-  ev_timer turn_timer_;  // causes turns that are frequent enough to detect pauses by
+  ev_timer turn_timer_;  // causes turns that are frequent enough to detect pauses
   double pause_threshold_s_ = std::numeric_limits<double>::infinity();
   double last_turn_ = 0;
   double resumed_at_ = -std::numeric_limits<double>::infinity();
--- a/src/blocks/assignment_planner.h
+++ b/src/blocks/assignment_planner.h
@@ -32,7 +32,7 @@
 
   // Returns the record that should replace `current`; std::nullopt if no change is needed. `token`
   // is this leader's token, `revision` the revision of its watch cache. With fewer than two
-  // candidates there are no owners.
+  // candidates the record has no owners.
   std::optional<BlockAssignmentRecord> PlanChange(const BlockAssignmentRecord& current,
                                                   model::FencingToken token, uint64_t revision,
                                                   const Candidates& candidates) const;
--- a/src/blocks/block_records.h
+++ b/src/blocks/block_records.h
@@ -27,7 +27,8 @@
 class BlockRecords {
  public:
   // Apply a changed record; an empty value means that it was deleted. An unreadable record is
-  // logged once and allows no owner anything until the leader rewrites it.
+  // logged once and treated as empty until the leader rewrites it: an empty assignment has no
+  // owners, an empty allocation has no quota.
   void SetBlockAssignment(const std::string& value, uint64_t version);
   void SetAllocation(const std::string& node, const std::string& value, uint64_t version);
 
--- a/src/blocks/owner_eligibility.h
+++ b/src/blocks/owner_eligibility.h
@@ -2,7 +2,7 @@
 //
 // An owner acknowledges each view of its machines that the leader sends. This renews the lease of
 // its block if the owner can place tasks. A node without a block acknowledges views that describe
-// no machines, and is eligible while its lease is current as well. The lease only tells the leader
+// no machines, and is likewise eligible while its lease is current. The lease only tells the leader
 // when it is better to give the block to others. Preconditions keep a former owner from placing
 // tasks (blocks/block_assignment.h).
 #pragma once
--- a/src/config/operator_options.h
+++ b/src/config/operator_options.h
@@ -19,7 +19,8 @@
   double yield_leases = 1;        // minimum time between leader changes / lease_s
 };
 
-// Enforcement of team limits across controllers (docs/team-limits.md).
+// Partition of the machines into blocks, each owned by one controller, and enforcement of team
+// limits across controllers (docs/team-limits.md).
 struct BlockOptions {
   bool enabled = false;
   double max_owners = 9;     // maximum number of controllers that own a block of machines
@@ -28,10 +29,11 @@
 };
 
 struct OperatorOptions {
-  double round_s = 2.0;           // initial interval between scheduling rounds
+  double round_s = 2.0;  // interval between scheduling rounds unless one is requested earlier
   double leader_ttl_ratio = 0.5;  // TTL of the leader's lease / heartbeat_interval_s
-  double blind_ratio = 0.5;      // time limit on lease renewals without the state service / lease_s
-  double silent_ratio = 3.0;     // heartbeat intervals of silence after which a machine is given up
+  // Time after the last renewal in which the leader answers without the state service / lease_s.
+  double blind_ratio = 0.5;
+  double silent_ratio = 3.0;     // missed heartbeats after which a machine counts as silent
   double idle_ratio = 6.0;       // idle time before a machine is scaled in / nominal boot time
   double headroom = 1.0;         // spare capacity / demand
   double patience_ratio = 0.32;  // waiting time after which best-effort jobs move up / objective
--- a/src/membership/handover_policy.cc
+++ b/src/membership/handover_policy.cc
@@ -23,8 +23,8 @@
 // How many heartbeat intervals a reason must persist before it leads to a handover.
 constexpr double kSustainIntervals = 0.75;
 constexpr double kSustainLoopDelayIntervals = 4;
-// A change of the leader is recent for so many leases. Recent changes double the minimum interval
-// at most kMaxDoublings times.
+// A change of the leader counts as recent for this many leases. Recent changes double the minimum
+// time before the next handover, at most kMaxDoublings times.
 constexpr double kRecentLeases = 8;
 constexpr size_t kMaxDoublings = 4;
 
--- a/src/membership/handover_policy.h
+++ b/src/membership/handover_policy.h
@@ -39,11 +39,11 @@
   // (LeadershipFitness).
   static constexpr double kHeartbeatCountIntervals = 0.5;
 
-  // Returns the handover that is due; std::nullopt unless a reason has persisted for long enough
-  // and the last change of the leader is long enough ago; the second condition does not apply to a
-  // leader without the state service. Requires that this node leads. `own` is
-  // the fitness of this node, `machines` the number of running machines that should send it
-  // heartbeats, and `others` the fitness of all nodes that answer.
+  // Returns the handover that is due. Returns std::nullopt unless a reason has persisted for long
+  // enough and the last change of the leader is long enough ago. The time since the last change
+  // does not matter if this leader does not reach the state service. Requires that this node leads.
+  // `own` is the fitness of this node, `machines` the number of running machines that should send
+  // it heartbeats, and `others` the fitness of all nodes that answer.
   std::optional<HandoverDecision> Decide(
       const model::LeadershipFitness& own, size_t machines,
       const std::map<std::string, model::LeadershipFitness>& others, double now);
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,6 +1,6 @@
 // Measures how far this node may trust its own observations: a process that is scheduled late, or
-// gets no response from any other node, is more likely to be at fault than they are. This is the
-// local health multiplier of Lifeguard. Does no I/O.
+// gets no response from any other node, is more likely to be at fault than the other nodes are.
+// This is the local health multiplier of Lifeguard. Does no I/O.
 #pragma once
 
 namespace hallpier::membership {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -59,8 +59,8 @@
   void OnProbe(const wire::MemberStatus& status);
   // Called with the response to a probe that was sent at `sent_at`.
   void OnProbeResponse(const wire::MemberStatus& status, double sent_at, double now);
-  // Called when a node has answered the status exchange of net/peer_mesh.h, which versions without
-  // membership answer as well.
+  // Called when a node has answered a ping (net/peer_mesh.h). Versions without membership answer
+  // pings as well.
   void OnStatusAnswered(const std::string& node, double requested_at);
   // Called when the node refuses connections after a link to it has broken.
   void OnConnectionRefused(const std::string& node);
@@ -122,7 +122,7 @@
     std::optional<MemberRecord> record;
     uint64_t version = 0;  // of the record
     double record_seen_at = 0;
-    uint64_t refutation = 0;  // the highest that it reported in the recorded session
+    uint64_t refutation = 0;  // highest count that the member reported in the recorded session
     bool connection_refused = false;
     bool leaving = false;
     std::optional<double> suspect_since;  // when this node began to suspect it
--- a/src/membership/service.cc
+++ b/src/membership/service.cc
@@ -22,7 +22,8 @@
 constexpr int kMaxUnansweredLinks = 2;
 // How often leadership is reviewed per heartbeat interval.
 constexpr double kReviewsPerHeartbeat = 4;
-// Probe intervals for which other nodes leave the leadership to a named successor.
+// Probe intervals for which other nodes wait before they try to lead, so that a named successor can
+// go first.
 constexpr double kSuccessorHeadStartProbes = 4;
 // A shutdown waits at most this part of a heartbeat interval for the leader's lease to be revoked.
 constexpr double kLeaveTimeoutIntervals = 0.5;
--- a/src/membership/service.h
+++ b/src/membership/service.h
@@ -90,7 +90,8 @@
   model::LeadershipFitness CurrentFitness(double now);
   // Commits a proposal, logs it and reports the outcome to the member table.
   async::Task<> ExecuteProposal(Proposal proposal);
-  // Returns true if the transaction succeeded. After a conflict, refreshes the copies that differ.
+  // Returns true if the transaction succeeded. After a conflict, refreshes the cached records whose
+  // preconditions failed.
   async::Task<bool> CommitProposal(const Proposal& proposal);
   double Now() const { return scope_.loop().Now(); }
 
--- a/src/model/machine_view.h
+++ b/src/model/machine_view.h
@@ -17,7 +17,7 @@
   TaskPhase phase = TaskPhase::kFetching;
   ExitCause cause = ExitCause::kNone;
   bool start_observed = false;  // the leader observed the transition to running
-  uint64_t phase_age_ms = 0;    // time in this phase; a change of only this is not sent again
+  uint64_t phase_age_ms = 0;    // time in this phase; not sent again if only this changes
   bool operator==(const TaskView&) const = default;
 };
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,7 +13,7 @@
 
 // The outcome of a request that was to be relayed by another node.
 struct RelayResult {
-  bool sent = false;  // if so, it may be executed even if there is no response
+  bool sent = false;  // if true, the request may be executed even if there is no response
   std::optional<wire::HttpResponse> response;
 };
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -52,7 +52,8 @@
         c->connection_class && open_by_class_[*c->connection_class] >
                                    limits_.connection_classes[*c->connection_class].reserved;
     if (c->last_active > last_active_limit && !over_reservation) continue;
-    // Its coroutine ends as well once it finds the stream closed; its place is free at once.
+    // The coroutine of the connection ends once it finds the stream closed. The connection stops
+    // counting toward the limits at once.
     c->stream.Shutdown();
     Remove(*c);
     return true;
@@ -61,7 +62,7 @@
 }
 
 bool HttpServer::AdmitRequest(Connection& c, const wire::HttpRequest& request) {
-  if (!c.tracked) return true;  // evicted while its request arrived: is answered, then closed
+  if (!c.tracked) return true;  // evicted already: takes no place, ends after this request
   for (size_t i = 0; i < limits_.connection_classes.size(); ++i) {
     if (!limits_.connection_classes[i].matches(request)) continue;
     if (c.connection_class == i) return true;
--- a/src/net/peer_mesh.cc
+++ b/src/net/peer_mesh.cc
@@ -146,10 +146,10 @@
       SetLink(peer, false);
       continue;
     }
-    // A packet filter also refuses connections, and then mostly between all nodes. Therefore a
+    // A packet filter may refuse connections too, and then usually between all nodes. Therefore a
     // refusal counts only if another peer is reachable; otherwise it says nothing about this peer.
     // It also counts only after a link to this peer has broken, and only once per link. Otherwise a
-    // live leader behind a filter would lose leadership again and again.
+    // live leader behind a filter would lose leadership repeatedly.
     if (error == ECONNREFUSED && peer->link_broken && AnyFreshStatus()) {
       peer->link_broken = false;
       hooks_.on_connection_refused(peer->seed.node);
--- a/src/net/peer_mesh.h
+++ b/src/net/peer_mesh.h
@@ -27,8 +27,9 @@
     // Executes a peer's request to the state service.
     std::function<async::Task<std::optional<wire::HttpResponse>>(wire::HttpRequest)> execute;
     std::function<void(const wire::PeerStatus&)> on_status;
-    // Called when a node has answered a ping that was sent at `requested_at` (steady time, s). This
-    // hook and those below may be empty.
+    // Called when a node has answered a ping that was sent at `requested_at` (steady time, s). The
+    // hooks from this one to `on_block_acknowledged` may be empty, and so may
+    // `supports_cancellation_reports`.
     std::function<void(const std::string& node, double requested_at)> on_status_answered;
     // Called when the link to a node is established (`up`) or broken.
     std::function<void(const std::string& node, bool up)> on_link;
@@ -36,7 +37,7 @@
     std::function<void(const std::string& node, const wire::MemberProbeResponse&)>
         on_member_probe_response;
     std::function<wire::MembersReport()> members_report;
-    // Blocks of machines (src/blocks); empty if they are disabled.
+    // Blocks of machines (src/blocks); empty if blocks are disabled.
     std::function<std::optional<wire::BlockAcknowledgement>(const wire::BlockView&)> on_block_view;
     std::function<void(const std::string& node, const wire::BlockAcknowledgement&)>
         on_block_acknowledged;
@@ -65,7 +66,7 @@
   // no such peer; `response` is empty if no response arrived.
   async::Task<RelayResult> Relay(wire::HttpRequest request);
   // True if every other node has a fresh status that says that it can't reach the state service
-  // either.
+  // either. False if there are no other nodes.
   bool AllPeersReportOutage() const;
   // Sends a cancellation that was just recorded to all connected nodes that support the notice.
   void BroadcastCancellation(const wire::CancelNotice& notice);
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -37,8 +37,8 @@
                                bool wait_first) {
   // All coroutines of a thread share this buffer, since it holds no data while a coroutine is
   // suspended. A local variable of the coroutine would take this much memory for every idle
-  // connection. Each thread has a buffer, because event loops of two threads that shared one mixed
-  // up the data that they read at the same time.
+  // connection. Each thread has a separate buffer: when the event loops of two threads shared one,
+  // their concurrent reads overwrote each other's data.
   thread_local std::array<char, kReadSize> chunk;
   while (true) {
     if (!wait_first) {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -46,8 +46,8 @@
   // True if an idle stream can't be reused: the peer closed it, or sent data without a request.
   bool Stale() const;
 
-  // Returns std::nullopt on failure. If `error` is given, it then gets the errno value of the
-  // failure, if one is known.
+  // Returns std::nullopt on failure. In that case `error`, if not null, is set to the errno value
+  // of the failure, if one is known.
   static async::Task<std::optional<Stream>> Connect(async::Scope& scope, const sockaddr_in& to,
                                                     double deadline, int* error = nullptr);
 
--- a/src/quota/team_account.cc
+++ b/src/quota/team_account.cc
@@ -8,7 +8,7 @@
 namespace hallpier::quota {
 namespace {
 
-// Spare amounts are evened out only if an owner has less than this fraction of an even part,
+// Spare amounts are evened out only if an owner has less than this fraction of an equal share,
 // because each change costs a write.
 constexpr double kMinSpareRatio = 0.5;
 
@@ -140,7 +140,8 @@
     return allocated;
   }
   ShrinkForOthers(&allocated);
-  // Committed() counts the current allocations, so that no amount which this call reclaims is free.
+  // Committed() counts the current allocations, so the amounts that this call reclaims are not
+  // counted as free.
   const double remaining = AllocateNeeded(limit_ - Committed(), &allocated);
   const double shortfall = Shortfall(allocated);
   if (shortfall > kTolerance) {
--- a/src/quota/team_account.h
+++ b/src/quota/team_account.h
@@ -1,11 +1,11 @@
 // Divides one team's limit of one kind of resource among the owners of blocks. Does no I/O.
 //
 // An owner counts with the larger of its allocated and its placed amount: it may place up to its
-// allocation at any moment, and a placed task counts until it is proven gone. The committed amount
-// is the sum over all owners, plus what is placed on machines without an owner. No allocation ever
-// raises the committed amount above the limit. An allocation below the placed amount is always
-// safe, since the placed amount counts then. Such an allocation makes the owner's part shrink as
-// its tasks end.
+// allocation at any moment, and a placed task counts until it is proven gone. The
+// committed amount is the sum over all owners, plus what is placed on machines without an owner. No
+// allocation ever raises the committed amount above the limit. An allocation below the placed
+// amount is always safe, since the placed amount counts then. Such an allocation makes the owner's
+// part shrink as its tasks end.
 #pragma once
 
 #include <cstddef>
@@ -51,11 +51,10 @@
   double AllocateNeeded(double free, Amounts* allocated) const;
   // Reclaims idle amounts, the largest first, until `shortfall` is covered.
   void ReclaimIdle(double shortfall, Amounts* allocated) const;
-  // Allocates an even part of the amount that no plan needs yet to each owner that has too little
+  // Allocates an equal share of the amount that no plan needs yet to each owner that has too little
   // of it, so that new work need not wait for the leader. If `free` does not suffice, reclaims idle
-  // amounts above an even part.
-  // Does nothing if an even part is smaller than any task: an amount that stays unallocated need
-  // not be reclaimed first when a task needs it.
+  // amounts above an equal share. Does nothing if an equal share is smaller than any task: an
+  // amount that stays unallocated need not be reclaimed first when a task needs it.
   void AllocateSpare(double free, Amounts* allocated) const;
 
   const double limit_;
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -25,8 +25,8 @@
   std::string header;
   PutVarint(header, size);
   if (buffer_.size() < header.size() + size) return std::nullopt;
-  // Controllers encode the length in as few bytes as possible, so a longer encoding comes from
-  // something else.
+  // Controllers encode the length in as few bytes as possible, so a longer encoding does not come
+  // from a controller.
   if (buffer_.compare(0, header.size(), header) != 0) {
     corrupt_ = true;
     return std::nullopt;
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -20,7 +20,7 @@
   void Feed(std::string_view bytes) { buffer_.append(bytes); }
   // Returns the next payload, or std::nullopt if more bytes are needed or the stream is corrupt.
   std::optional<std::string> Next();
-  // True once an invalid frame was found; Next() then returns nothing more.
+  // True once an invalid frame was found; Next() then returns only std::nullopt.
   bool corrupt() const { return corrupt_; }
 
  private:
--- a/src/wire/http_parser.cc
+++ b/src/wire/http_parser.cc
@@ -7,10 +7,9 @@
 namespace hallpier::wire {
 namespace {
 
-// Start line and headers. Those of known peers take a few hundred bytes, so a much longer head
-// comes from something else.
+// Start line and headers. Those of known peers take a few hundred bytes, so a much longer head does
+// not come from one of them.
 constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
-// The size line of a chunk.
 constexpr size_t kMaxChunkSizeLineBytes = 64;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -103,7 +103,7 @@
   // False if the node has no membership record: it runs an older version or has membership off.
   bool has_record = false;
   bool leading = false;
-  uint64_t state_age_ms = 0;  // how long the reporting node has known it in this state
+  uint64_t state_age_ms = 0;  // how long the reporting node has seen the member in this state
   std::vector<std::string> suspected_by;
   std::string reason;  // why it is suspected or was declared failed
   bool operator==(const MemberRow&) const = default;
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -17,7 +17,8 @@
 std::optional<model::Heartbeat> ReadHeartbeat(std::string_view body);
 std::string WriteHeartbeatResponse(model::FencingToken token,
                                    const std::vector<model::WorkerCommand>& commands);
-// Commands that the leader sends directly to a worker. Only an agent with this epoch executes them.
+// Commands that the leader sends directly to a worker. Only an agent whose epoch is `agent_epoch`
+// executes them.
 std::string WriteDirectCommands(model::FencingToken token, model::AgentEpoch agent_epoch,
                                 const std::vector<model::WorkerCommand>& commands);
 // The response to a worker that contacts a node that is not the leader. `leader` is empty if there
