--- a/src/fleet/autoscaler.cc
+++ b/src/fleet/autoscaler.cc
@@ -15,8 +15,8 @@
 constexpr double kCapacityRetryIntervals = 5;
 // Maximum ratio of booting machines, including late ones, to the number needed.
 constexpr double kMaxBootingRatio = 2;
-// Machines that don't receive our responses are terminated only while they are less than about this
-// fraction of all machines.
+// Machines that don't receive our responses are terminated only while there are fewer of them than
+// this fraction of the machines that have reported, plus one.
 constexpr double kMaxResponsesLostShare = 0.25;
 // A machine is overdue after this many heartbeat intervals without a heartbeat. This allows for
 // heartbeats that are a quarter of an interval late and for slow responses.
@@ -196,8 +196,8 @@
     if (age_s > boot_deadline_s + settings_.list_lag_s) return "boot timeout";
     return std::nullopt;
   }
-  // Once it is up, its age is no evidence: a machine that reported to an earlier leader is old,
-  // too.
+  // Once a machine is up, its age does not show that it has failed: a machine that reported to an
+  // earlier leader is old as well.
   if (IsPresumedDead(registry, machine, summary, now)) return "no heartbeat since boot";
   return std::nullopt;
 }
@@ -213,10 +213,10 @@
     return std::nullopt;
   }
   // If many machines show lost responses at once, the responses are more likely delayed than lost.
-  const double many_responses_lost =
+  const double responses_lost_limit =
       kMaxResponsesLostShare * static_cast<double>(summary.reported) + 1;
   if (registry.AreResponsesLost(machine, now) &&
-      static_cast<double>(summary.responses_lost) < many_responses_lost) {
+      static_cast<double>(summary.responses_lost) < responses_lost_limit) {
     return "heartbeat responses lost";
   }
   if (IsSlow(machine) && job_table.PlacementsOn(machine.name).empty()) return "slow";
--- a/src/fleet/boot_times.cc
+++ b/src/fleet/boot_times.cc
@@ -74,7 +74,7 @@
 
 double BootTimes::LateThreshold(const std::string& machine_type, double nominal_s) const {
   // The threshold never drops below the nominal one: a period of fast boots does not prove that a
-  // boot as slow as the cloud states has failed.
+  // boot which takes as long as the cloud states has failed.
   const double nominal = kNominalLateRatio * nominal_s;
   const TypeHistory* history = FindHistory(machine_type);
   return history == nullptr ? nominal : std::max(nominal, history->late_s);
--- a/src/fleet/failure_tracker.cc
+++ b/src/fleet/failure_tracker.cc
@@ -53,11 +53,11 @@
 void FailureTracker::UpdateSuspicion(const jobs::Job& job, size_t machine_count,
                                      JobHistory& history) {
   if (job.done() > 0) history.succeeded = true;
-  std::set<std::string> untried;
+  std::set<std::string> not_failed_on;
   for (const auto& [number, task_group] : job.task_groups()) {
     for (const auto& [index, task] : task_group.open) {
       if (!task.machine.empty() && !history.failed_on.contains(task.machine)) {
-        untried.insert(task.machine);
+        not_failed_on.insert(task.machine);
       }
     }
   }
@@ -66,7 +66,7 @@
   const size_t failed = history.failed_on.size();
   history.suspected = !history.succeeded &&
                       failed >= std::min(kMinMachinesForSuspicion, machine_count) &&
-                      failed >= untried.size();
+                      failed >= not_failed_on.size();
 }
 
 void FailureTracker::Reconcile(const jobs::JobTable& job_table, size_t machine_count) {
--- a/src/fleet/machine.h
+++ b/src/fleet/machine.h
@@ -77,9 +77,9 @@
   model::FencingToken token;
   model::AgentEpoch agent_epoch;
   std::vector<model::TaskId> expected_starts;
-  // Number of consecutive responses without the expected effect, and when the first was detected.
-  // Responses without an expected effect do not count. A response of the agent to a direct command
-  // resets the number.
+  // Number of consecutive responses whose expected effect is missing, and when the first of them
+  // was detected. Responses from which no effect is expected do not count. A response of the agent
+  // to a direct command resets the number.
   int unacknowledged = 0;
   double unacknowledged_since = 0;
 };
--- a/src/fleet/placement_proof.cc
+++ b/src/fleet/placement_proof.cc
@@ -20,8 +20,9 @@
   if (machine.agent.epoch > start.agent_epoch) return true;
   if (start.in_flight()) return false;
   // The agent executes a command in a heartbeat response before it sends the next heartbeat, or
-  // never. The response to a direct command may be sent after the answered heartbeat but before
-  // that execution, and proves nothing. (For a start in a direct command see SentStart::sequence.)
+  // never. The response to a direct command proves nothing: the agent may send it after the
+  // heartbeat whose response contains the start command, but before it executes that command. (For
+  // a start in a direct command see SentStart::sequence.)
   return machine.agent.heartbeat_sequence > start.sequence;
 }
 
--- a/src/fleet/worker_registry.cc
+++ b/src/fleet/worker_registry.cc
@@ -21,7 +21,7 @@
 // least this many are remembered, and at least as many as can be terminated while a list may still
 // name them or a heartbeat of theirs may be in transit.
 constexpr size_t kMinConfirmedTerminations = 5000;
-// Maximum lag of a list, in multiples of the usual lag.
+// Upper bound of the lag of a list, in multiples of the usual maximum (Options::list_lag_s).
 constexpr double kMaxListLags = 2;
 // A machine gets new tasks only if its last heartbeat is younger than this many intervals.
 constexpr double kMaxHeartbeatAge = 1.8;
@@ -199,8 +199,8 @@
 void WorkerRegistry::OnFirstStatus(Machine& machine, double now) {
   machine.cloud.requested_at = now;
   machine.cloud.idle_since = now;
-  // Either a delayed heartbeat, or a delayed scale-out request that created the machine again.
-  // Request its termination again.
+  // A terminated machine reports if its heartbeat was delayed, or if a delayed scale-out request
+  // has created the machine again. Its termination is then requested again.
   if (IsTerminationConfirmed(machine.name))
     RequestTermination(machine, "heartbeat after termination");
 }
@@ -219,7 +219,7 @@
     if (IsUnchanged(previous, status)) {
       reported = *previous;
     } else {
-      CountFailure(machine, status, now);
+      RecordExit(machine, status, now);
       const bool start_was_sent = machine.sent_starts.contains(status.task);
       reported = DescribeNewState(status, previous, start_was_sent, now);
     }
@@ -230,8 +230,8 @@
   machine.reported_tasks = std::move(updated);
 }
 
-void WorkerRegistry::CountFailure(const Machine& machine, const model::TaskStatus& status,
-                                  double now) {
+void WorkerRegistry::RecordExit(const Machine& machine, const model::TaskStatus& status,
+                                double now) {
   // A task that fails before any heartbeat has reported it alive counts like any other failure.
   if (status.phase != model::TaskPhase::kExited) return;
   if (status.cause == model::ExitCause::kDone) {
@@ -306,7 +306,8 @@
 
 bool WorkerRegistry::HasLeftList(const Machine& machine, double list_requested_at) const {
   // A list may be older than the previous one, but not by more than the maximum lag. A machine that
-  // was first listed earlier than that and is missing now is gone.
+  // was first listed more than the maximum lag before this list was requested, and that is missing
+  // from it, is gone.
   const double max_lag_s =
       kMaxListLags * options_.list_lag_s + options_.heartbeat_interval_s / kTimerSlackDivisor;
   return machine.cloud.listed && list_requested_at - machine.cloud.first_listed > max_lag_s;
--- a/src/fleet/worker_registry.h
+++ b/src/fleet/worker_registry.h
@@ -141,7 +141,7 @@
   void OnFirstStatus(Machine& machine, double now);
   void ObserveBootTime(const Machine& machine, const model::Heartbeat& report, double now);
   void UpdateTasks(Machine& machine, const model::Heartbeat& report, double now);
-  void CountFailure(const Machine& machine, const model::TaskStatus& status, double now);
+  void RecordExit(const Machine& machine, const model::TaskStatus& status, double now);
   // Steps of OnCloudList().
   void UpdateFromList(const model::CloudMachine& listed, double now);
   bool HasLeftList(const Machine& machine, double list_requested_at) const;
--- a/src/jobs/dependency_graph.h
+++ b/src/jobs/dependency_graph.h
@@ -30,9 +30,10 @@
   // The state of an unfinished job, including the effects of its upstream and downstream jobs.
   // Times are in seconds since the Unix epoch.
   struct EffectiveState {
-    bool blocked = false;       // not all awaited jobs are known to be recorded as done
-    bool cancelled = false;     // in its own record, or because an upstream job is cancelled
-    double runnable_since = 0;  // when it was submitted or its last awaited job was done; the later
+    bool blocked = false;    // not all awaited jobs are known to be recorded as done
+    bool cancelled = false;  // in its own record, or because an upstream job is cancelled
+    // The later of the job's submission and the time when its last awaited job was done.
+    double runnable_since = 0;
     // The highest of the job's own priority and those of all downstream jobs.
     model::Priority priority = model::Priority::kBestEffort;
     // The time by which the job must be done to meet its own deadline and those of all downstream
--- a/src/jobs/transaction.h
+++ b/src/jobs/transaction.h
@@ -22,8 +22,8 @@
 
 struct TransactionLimits {
   int max_writes = 0;  // per transaction
-  // Preconditions of every transaction. The first is the leader's fencing token: a transaction of a
-  // node whose token is not the newest fails on it.
+  // Preconditions of every transaction. The first is the leader's fencing token: it fails if the
+  // node that sends the transaction does not have the newest token.
   std::vector<model::Precondition> preconditions;
   size_t max_value_bytes = 0;  // per value; 0 if there is no limit
   // Task ends that have been known for this long are ranked with placements instead of last.
--- a/src/jobs/transaction_packer.h
+++ b/src/jobs/transaction_packer.h
@@ -1,5 +1,5 @@
-// Packs units of writes into transactions within the state service's limits. Does no I/O; used for
-// the duration of one call of BuildTransactions.
+// Packs units of writes into transactions within the state service's limits. Called by
+// BuildTransactions; does no I/O and keeps no state between calls.
 #pragma once
 
 #include <string>
--- a/src/jobs/write_priority.cc
+++ b/src/jobs/write_priority.cc
@@ -20,10 +20,11 @@
 WritePriority FinalRecordPriority(const JobTable& job_table, const std::string& id,
                                   const Job& job) {
   if (!job.cancelled) return WritePriority::kJobEnd;
-  // The final record of a job that never ran and was cancelled because of a dependency is not
-  // urgent: every node already reports the job as cancelled. A cascading cancellation can produce
-  // thousands of such records, and they must not take the request budget from placements and other
-  // ends. The same applies to a job with dependents, since its final record can only follow theirs.
+  // The final record of a cancelled job that is still blocked and so never ran, such as one
+  // cancelled because of a dependency, is not urgent: every node already reports the job as
+  // cancelled. A cascading cancellation can produce thousands of such records, and they must not
+  // take the request budget from placements and other ends. The same applies to a job with
+  // dependents, since its final record can only follow theirs.
   const bool has_dependents = !job_table.dependency_graph().Dependents(id).empty();
   return has_dependents || job.blocked ? WritePriority::kCleanup : WritePriority::kJobEnd;
 }
--- a/src/jobs/write_priority.h
+++ b/src/jobs/write_priority.h
@@ -13,8 +13,10 @@
   kUrgentPlacement,  // placements of production and urgent jobs
   kJobEnd,           // a job becomes final, or a task of a cancelled job is no longer placed
   kPlacement,        // other placements, requeued tasks, and task ends that waited `max_wait_s`
-  kCleanup,          // jobs cancelled because of a dependency, and deletions of obsolete keys
-  kTaskEnd,          // ends of single tasks, which their workers keep until they are recorded
+  // Deletions of obsolete keys, and final records of cancelled jobs that are blocked (such as those
+  // cancelled because of a dependency) or have dependents.
+  kCleanup,
+  kTaskEnd,  // ends of single tasks, which their workers keep until they are recorded
 };
 
 // Returns the priority of a transition of one task of `job`. The end of a task that has been known
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -101,7 +101,8 @@
   bool limits_lowered() const { return limits_lowered_; }
   // True while the most recent calls were all refused or got no response.
   bool down() const { return consecutive_failures_ >= kConsecutiveFailuresUntilDown; }
-  // A call that does not block at the service gets its response within this time, or none at all.
+  // The timeout of one request: its response arrives within this time or not at all. List() has a
+  // longer timeout, Revision() the one that is passed in, and Watch() adds `block_s`.
   double timeout_s() const { return options_.timeout_s; }
   // Returns the number of requests per second that this node may send.
   double request_rate() const;
--- a/src/store/linearizable_read.h
+++ b/src/store/linearizable_read.h
@@ -21,9 +21,9 @@
   LinearizableRead(async::Scope& scope, Client& client, WatchCache& cache, double timeout_s)
       : scope_(scope), client_(client), cache_(cache), timeout_s_(timeout_s) {}
 
-  // Waits until the cache holds everything that was written before this call. Returns false if
-  // that can't be confirmed within the timeout; at once if the service is down or the cache is not
-  // loaded yet.
+  // Waits until the cache holds everything that was written before this call. Returns false if the
+  // cache can't be confirmed to hold it within the timeout. Returns false immediately if the
+  // service is down or the cache is not loaded yet.
   async::Task<bool> CatchUp();
 
  private:
--- a/src/store/task_group_layout.h
+++ b/src/store/task_group_layout.h
@@ -8,8 +8,8 @@
 namespace hallpier::store {
 
 // The tasks are divided into base groups of `tasks_per_base_group` tasks each, and the key of a
-// task group contains the number of its base group. Where base groups were too large for lowered
-// limits, each was split into parts, which have separate keys.
+// task group contains the number of its base group. If base groups would be too large for the
+// lowered limits, each is split into parts, which have separate keys.
 //
 // Each part is one task group. Task groups are numbered from 0 over all parts of all base groups.
 // If base groups have one part, the number of a task group equals the number of its base group.
--- a/src/store/watch_cache.h
+++ b/src/store/watch_cache.h
@@ -54,7 +54,7 @@
   // delivers it.
   void ApplyAheadOfWatch(const std::string& key, const std::string& value, uint64_t version);
   // Reads a key again after its version at the service turned out to differ from the cached one.
-  // Returns false if that failed.
+  // Returns false if the read failed.
   async::Task<bool> Refresh(std::string key);
 
  private:
