--- a/src/controller/block_coordinator.h
+++ b/src/controller/block_coordinator.h
@@ -40,7 +40,7 @@
 
   // True while blocks have owners, according to the records known to this node.
   bool has_owners() const { return services_.block_records->block_assignment().has_owners(); }
-  // True if the leader may place on all machines, limited by the full quotas: no block has an
+  // True if the leader may place on all machines and use the teams' full quotas: no block has an
   // owner, and the watch cache contains every placement that was made while some block had an
   // owner.
   bool MayPlaceOnAllMachines() const;
@@ -53,8 +53,8 @@
   plan::PlacementScope OwnerScope(size_t owner) const;
 
   // Called after a plan over all machines: writes the necessary changes of the block assignment and
-  // the allocations, and sends views to the owners. `scope` is the scope of the plan, null if no
-  // block had an owner.
+  // the allocations. Sends views to the other nodes if a block has an owner or the view interval
+  // has passed. `scope` is the scope of the plan, null if no block had an owner.
   async::Task<> ReviewAfterRound(const plan::RoundResult& round, const plan::PlacementScope* scope);
 
  private:
@@ -71,7 +71,7 @@
   };
   // Sends views at regular intervals, so that owners' leases are renewed even without rounds.
   async::Task<> SendViewsPeriodically();
-  // Tells the block planner about a pause of this process that it has not handled yet.
+  // Reports a pause of this process to the block planner, once per pause.
   void HandlePause();
   async::Task<> UpdateBlockAssignment();
   async::Task<> UpdateAllocations(const plan::RoundResult& round,
--- a/src/controller/cancellation_exchange.cc
+++ b/src/controller/cancellation_exchange.cc
@@ -36,8 +36,8 @@
   // The report is incomplete if this process was restarted and has not loaded the records since: it
   // does not know which cancellations the former process acknowledged. It is also incomplete while
   // a cancellation is being recorded, since the outcome is not known yet. A cancellation whose
-  // write gets no response is acknowledged to no user, and a node that reads it later has it in its
-  // watch cache before it acknowledges it.
+  // write gets no response is not acknowledged to any user. If a node reads that cancellation
+  // later, the node's watch cache contains it before the node acknowledges it to a user.
   report.complete = services_.cache->loaded() && pending_cancellations_() == 0 &&
                     report.cancelled.size() <= wire::kMaxCancellationsPerFrame;
   if (!report.complete) report.cancelled.clear();
--- a/src/controller/command_dispatcher.h
+++ b/src/controller/command_dispatcher.h
@@ -29,10 +29,12 @@
  private:
   // Sends commands to one machine until none are left.
   async::Task<> SendUntilDone(std::string machine);
-  // Sends the machine's current commands in one request. Returns false if there are none or if none
-  // may be sent to the machine.
+  // Sends the machine's current commands in one request. The request has no commands if there are
+  // none and the worker does not know this node's token yet. Returns false if there is nothing to
+  // send or if nothing may be sent to the machine.
   async::Task<bool> SendOnce(std::string machine);
-  // True if a machine is known, has reported, and has answered its last direct command.
+  // True if a machine and its endpoint are known, it has reported, and it has not left its last
+  // direct command unanswered.
   static bool IsReachable(const fleet::Machine* machine);
   // Handles the status report in a worker's response. `token` is the token that the command was
   // sent with.
--- a/src/controller/command_source.h
+++ b/src/controller/command_source.h
@@ -24,8 +24,9 @@
   // would be stopped or forgotten as unrecorded. After a pause of the process it must catch up
   // again, since a task may have been cancelled in the meantime.
   bool CacheIsCurrent() const;
-  // Returns the commands for a machine. `direct`: they are for a direct command, which must be
-  // followed by WorkerRegistry::FinishDirect; otherwise they are for the response to a heartbeat.
+  // Returns the commands for a machine. If `direct`, the caller sends them as a direct command and
+  // must call fleet::OnDirectCommandFinished() when it ends. Otherwise the caller sends them in the
+  // response to a heartbeat.
   std::vector<model::WorkerCommand> CommandsFor(fleet::Machine& machine, bool direct);
 
  private:
--- a/src/controller/dependency_outcomes.h
+++ b/src/controller/dependency_outcomes.h
@@ -1,7 +1,7 @@
 // Reads the outcomes of finished jobs that other jobs depend on. The watch cache does not contain
-// final records, and only those that unfinished jobs depend on are kept. Every node reads each of
-// them once, so that a new leader already knows them. Owned by the controller; its coroutines end
-// with the node's scope.
+// final records, and the job table keeps only the final records that unfinished jobs depend on.
+// Every node reads each of them once, so that a new leader already knows them. Owned by the
+// controller; its coroutines end with the node's scope.
 #pragma once
 
 #include <functional>
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -35,8 +35,8 @@
   // Handles a change of a task group's record. If other nodes place tasks too, these changes tell
   // the leader which machines have tasks to start.
   void OnTaskGroupChanged(const store::TaskGroupKeyName& key);
-  // Requests a round after an event that it should consider, such as free capacity or the end of an
-  // awaited job.
+  // Requests a round after an event that it should consider, such as the outcome of a job that
+  // other jobs depend on.
   void RequestRound() { trigger_.Request(); }
   // Returns the response to a worker's heartbeat (HeartbeatHandler::OnHeartbeat).
   wire::HttpResponse OnHeartbeat(const model::Heartbeat& report) {
--- a/src/controller/node_election_policy.h
+++ b/src/controller/node_election_policy.h
@@ -28,8 +28,8 @@
                        : std::vector<model::Precondition>();
   }
   double AcquireDelayS() const override { return membership_ ? membership_->AcquireDelayS() : 0; }
-  // A leader gives up leadership because the state service refuses only its requests, but only if
-  // the membership is enabled.
+  // Only if the membership is enabled does a leader give up leadership because the state service
+  // refuses its requests but not those of other nodes.
   bool MayRevokeViaPeer() const override { return membership_ != nullptr; }
   bool MayRenewWorkerLeases() const override { return cancellations_.MayRenewWorkerLeases(); }
   bool OutageConfirmedByAll() const override { return peers_.AllPeersReportOutage(); }
--- a/src/controller/request_router.cc
+++ b/src/controller/request_router.cc
@@ -89,8 +89,8 @@
 bool RequestRouter::Ready() const {
   if (!services_.cache->loaded()) return false;
   // If the state service refuses only this node and no peer can relay its requests, other nodes
-  // serve users better. While it is down for all nodes, leaving the load balancer would only delay
-  // the recovery.
+  // serve users better. While the state service is down for all nodes, leaving the load balancer
+  // would only delay the recovery.
   return !services_.client->down() || peers_.AnyPeerReachesState() ||
          peers_.AllPeersReportOutage() || services_.settings->seeds.empty();
 }
--- a/src/controller/round_runner.h
+++ b/src/controller/round_runner.h
@@ -58,8 +58,8 @@
   async::Task<bool> PrepareRound(async::Scope& term);
   plan::RoundResult Plan(double started_at, const plan::PlacementScope* scope);
   void RequestPreemptions(const std::vector<plan::Preemption>& preemptions);
-  // Has the block assignment and the allocations updated, and decides the placements of this node
-  // itself. `scope` is the scope of the plan, null if no block had an owner.
+  // Has the block assignment and the allocations updated, and decides which placements this node
+  // makes itself. `scope` is the scope of the plan, null if no block had an owner.
   async::Task<PlacementDecision> DecidePlacements(async::Scope& term, plan::RoundResult& plan,
                                                   const plan::PlacementScope* scope);
   // Returns the placements on this node's own block.
--- a/src/controller/scaling_loop.cc
+++ b/src/controller/scaling_loop.cc
@@ -112,8 +112,8 @@
                                               std::vector<model::MachineType> types) {
   auto pages = store::WriteMachineTypePages(types, services_.formats->max_value_bytes());
   const auto page_count = static_cast<uint32_t>(pages.size());
-  // Software versions without pipelines read only one page. Pages that remain from a longer list
-  // would be read as part of this one, so they are deleted.
+  // Software versions without job dependencies read only one page. Pages that remain from a longer
+  // list would be read as part of this one, so they are deleted.
   uint32_t end = page_count;
   while (services_.cache->Version(store::MachineTypesKey(end)) != 0) ++end;
   bool written = true;
--- a/src/controller/transaction_committer.cc
+++ b/src/controller/transaction_committer.cc
@@ -112,7 +112,7 @@
 
 async::Task<bool> TransactionCommitter::Refresh(async::Scope& scope,
                                                 std::vector<std::string> keys) const {
-  // The watch delivers most changes without this. But if the watch cache stayed wrong, the same
+  // The watch delivers most changes without these reads. But if the cache stayed wrong, the same
   // write would fail in every round, along with all writes that follow it.
   bool all_read = true;
   for (const std::string& key : keys) {
--- a/src/controller/transaction_committer.h
+++ b/src/controller/transaction_committer.h
@@ -59,7 +59,7 @@
     kMalformed,   // rejected because of its content
     kSuperseded,  // a precondition failed, and the watch cache has the conflicting write
     kNotApplied,  // not executed, or a conflicting write could not be read
-    kNoAnswer,    // executed, not executed, or executed later
+    kNoAnswer,    // unknown: already executed, never executed, or executed later
   };
   // Sends one transaction and handles its outcome.
   async::Task<Outcome> Send(async::Scope& scope, const jobs::Transaction& transaction,
--- a/src/election/cancellation_watermark.cc
+++ b/src/election/cancellation_watermark.cc
@@ -41,9 +41,9 @@
 
 wire::CancellationReportRequest CancellationWatermark::BuildReportRequest(const std::string& node,
                                                                           uint64_t revision) const {
-  // A revision means the same on all nodes and in all their processes. What was reported up to a
-  // revision therefore need not be reported again, even if another process of that node answers
-  // this request.
+  // A revision means the same on all nodes and in all their processes. Cancellations up to a
+  // reported revision therefore need not be reported again, even if another process of that node
+  // answers this request.
   return {std::max(revision, reports_.at(node).known_through)};
 }
 
--- a/src/election/cancellation_watermark.h
+++ b/src/election/cancellation_watermark.h
@@ -36,8 +36,8 @@
 
   // Called when this node's watch cache is known to contain everything recorded by `as_of`.
   void OnCacheConfirmed(double as_of);
-  // Returns the report request to send to a node. `revision`: this node's watch cache is complete
-  // up to it.
+  // Returns the report request to send to a node. `revision`: the revision up to which this node's
+  // watch cache is complete.
   wire::CancellationReportRequest BuildReportRequest(const std::string& node,
                                                      uint64_t revision) const;
   // Called with a node's response to a request that was sent at `requested_at`. Requires that the
@@ -56,10 +56,10 @@
   double renewal_bound_s() const { return renewal_bound_s_; }
 
  private:
-  // Derived from the reports of another node.
+  // The cancellations of another node that this node knows from that node's reports.
   struct NodeReport {
-    double complete_at;          // this node knows all that the other acknowledged until then
-    uint64_t known_through = 0;  // this node knows its cancellations up to this revision
+    double complete_at;          // all cancellations acknowledged until this time are known
+    uint64_t known_through = 0;  // all cancellations up to this revision are known
   };
   const Options options_;
   const double renewal_bound_s_;
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -11,7 +11,8 @@
 
 // Renewals per time to live of the lease.
 constexpr double kRenewalsPerLease = 3;
-// After an early wake-up, the lease is not renewed before this share of the renewal interval.
+// After an early wake-up, the lease is not renewed before this share of the renewal interval has
+// passed.
 constexpr double kMinRenewalWaitRatio = 0.9;
 
 }  // namespace
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -49,13 +49,13 @@
   void OnTokenSeen(model::FencingToken token);
   // Called when a node's process has most likely ended. If that node is the leader, its lease is
   // revoked on its behalf. This is safe even if the process is still running: its transactions have
-  // a precondition on its old token and fail, and its successor waits out all leases that it may
-  // still have renewed by answering workers.
+  // a precondition on its old token and fail, and its successor waits out all leases of workers
+  // that the process may still have renewed by answering them.
   void OnNodeFailed(const std::string& node);
 
   // Returns true while this node has a token, whether or not it may still act under it.
   bool leading() const { return token_.is_set(); }
-  // The token of this node; unknown while it is not the leader.
+  // The token of this node; not set while it is not the leader.
   model::FencingToken token() const { return token_; }
   // Returns the higher of this node's own token and the token in its watch cache.
   model::FencingToken HighestToken() const;
--- a/src/plan/retry_budget.cc
+++ b/src/plan/retry_budget.cc
@@ -13,8 +13,8 @@
   if (retries_ >= failures_.AvailableRetries(now_)) return false;
   const double limit = kRetryCpuShare * total_cpus_;
   const double in_use = used_cpus_ + static_cast<double>(job.placed()) * job.spec.cpus;
-  // While no such job has a placed task, one retry is granted even if it exceeds the share, so that
-  // small sites retry as well.
+  // The first retry of a round is granted even if it exceeds the share, provided that its job has
+  // no placed task, so that small sites retry as well.
   if (in_use > 0 && in_use + job.spec.cpus > limit) return false;
   ++retries_;
   used_cpus_ = in_use + job.spec.cpus;
--- a/src/plan/run_time.h
+++ b/src/plan/run_time.h
@@ -20,8 +20,8 @@
                                         uint64_t attempt);
 
 // Returns the expected run time, in seconds, of a task of the job on a machine type: the observed
-// mean on that type, else the mean over all types, else the owner's estimate. For a service,
-// returns more than a day.
+// mean on that type, else the mean over all types, else the estimate in the job's specification.
+// For a service, returns more than a day.
 double PredictRunTime(const jobs::Job& job, const std::string& machine_type);
 
 // Returns the seconds until a placed attempt frees its resources.
