--- a/tests/blocks_cluster_test.cc
+++ b/tests/blocks_cluster_test.cc
@@ -330,9 +330,8 @@
 }
 
 // A leader whose version has no blocks places on all machines, with a precondition on its fencing
-// token alone.
-// The placements of block owners then fail on their preconditions on the token, and the placements
-// of that leader are counted before anything is allocated again.
+// token alone. The placements of block owners then fail on their preconditions on the token, and
+// the placements of that leader are counted before anything is allocated again.
 TEST_F(BlocksClusterTest, LeaderWithoutBlocksCanTakeOverAndHandBack) {
   Start();
   Submit(30, 4);
--- a/tests/cancellation_watermark_test.cc
+++ b/tests/cancellation_watermark_test.cc
@@ -72,20 +72,20 @@
   // whether its task still runs.
   double Simulate(double end, double hang_start = 1e9, double hang_end = 1e9) {
     double renewed_at = kRefusedAt, stopped_at = -1;
-    uint64_t sequence = 0, session = 1;
+    uint64_t sequence = 0, agent_epoch = 1;
     double next_heartbeat = 1;
     for (double now = kRefusedAt; now < end; now += 0.5) {
       RequestReports(now);
       if (now >= hang_start && now < hang_end) continue;
       if (now > renewed_at + kLeaseS) {  // the worker stops and drops all its tasks
         on_machine_ = {{"run-1", false}, {"run-2", false}};
-        ++session;
+        ++agent_epoch;
         renewed_at = now;
       }
       if (now >= next_heartbeat && watermark_.MayRenewLeases(now)) {
         next_heartbeat = now + kHeartbeatIntervalS;
         renewed_at = now;
-        model::Heartbeat heartbeat = MakeHeartbeat("vm-1", session, ++sequence, kToken);
+        model::Heartbeat heartbeat = MakeHeartbeat("vm-1", agent_epoch, ++sequence, kToken);
         for (const auto& [job, running] : on_machine_) {
           if (running)
             heartbeat.tasks.push_back(MakeTaskStatus(job, 0, 1, model::TaskPhase::kRunning));
@@ -143,7 +143,7 @@
 }
 
 TEST_F(CancellationDuringOutageTest, LostReportIsRequestedAgain) {
-  // A lost report is requested again, with the same lower bound.
+  // The repeated request has the same after_revision as the lost one.
   peers_["node-1"] = [](double now,
                         uint64_t after_revision) -> std::optional<wire::CancellationReport> {
     if (now < 15) return std::nullopt;
--- a/tests/concurrent_failures_test.cc
+++ b/tests/concurrent_failures_test.cc
@@ -62,8 +62,8 @@
     bool lost = co_await WaitFor(10, [&] { return state_->lost_answers() == 1; });
     EXPECT_TRUE(lost);
     co_await Submit(0, urgent);
-    // The quota does not allow both to run at the same time, whichever placement takes effect
-    // first.
+    // The quota does not allow run-2 and run-3 to run at the same time, whichever placement takes
+    // effect first.
     double max_running = 0;
     const double end = loop_.Now() + 2.5;
     while (loop_.Now() < end) {
--- a/tests/end_to_end_test.cc
+++ b/tests/end_to_end_test.cc
@@ -100,7 +100,7 @@
       co_await turn;
     }
     EXPECT_EQ(answered_, 3 * kJobs);
-    // Again right after a restart of all nodes, by users who retry until they get an answer.
+    // The users repeat the queries right after a restart of all nodes, until they get an answer.
     for (int node = 0; node < 3; ++node) co_await Restart(node, 3);
     for (int i = 0; i < kJobs; ++i) {
       for (int node = 0; node < 3; ++node) {
--- a/tests/fakes/fake_worker.cc
+++ b/tests/fakes/fake_worker.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr size_t kMaxResponseBytes = size_t{256} * 1024;
-// Checks of the lease and of finished tasks, and retries of a failed heartbeat, within a heartbeat
-// interval.
+// Number of checks of the lease and of finished tasks, and of retries of a failed heartbeat, in
+// each heartbeat interval.
 constexpr double kTicksPerHeartbeat = 20;
 constexpr double kRetriesPerHeartbeat = 3;
 constexpr double kMaxTimeoutS = 4;
--- a/tests/leader_election_test.cc
+++ b/tests/leader_election_test.cc
@@ -1,5 +1,5 @@
-// Tests leader election through a fake key-value store on loopback: pauses of the process, outages
-// of the store, requests that the store refuses and lost responses.
+// Tests leader election through a fake state service on loopback: pauses of the process, outages of
+// the state service, requests that it refuses and lost responses.
 #include "election/leader_election.h"
 
 #include <gtest/gtest.h>
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -405,9 +405,9 @@
 
 TEST_F(PauseDuringConnectTest, TimedOutCallIsNotSent) { Run(Script()); }
 
-// Guards against a pause that is detected too late: a long gap between two turns of the event loop
-// counts as a pause as soon as the gap ends, before the next turn. The end of the pause is reported
-// until the next pause.
+// Guards against a pause that is detected too late: resumed_at() must report a long gap between two
+// turns of the event loop as soon as the gap ends, before the next turn. It returns the end of that
+// pause until the next pause.
 class PauseDetectionTest : public NetTest {
  public:
   async::Task<> Script() {
@@ -597,7 +597,7 @@
 
 // Guards against data that is delivered to the wrong stream: the event loop of a console once read
 // the data that a node's event loop on another thread had just received.
-TEST(StreamTest, LoopsOfTwoThreadsReadOnlyTheirOwnData) {
+TEST(Stream, LoopsOfTwoThreadsReadOnlyTheirOwnData) {
   size_t other_letters = 0;
   std::thread console([&] { other_letters = LetterLoop('c').Run(); });
   EXPECT_EQ(LetterLoop('n').Run(), 0U);
--- a/tests/oversized_writes_test.cc
+++ b/tests/oversized_writes_test.cc
@@ -1,4 +1,4 @@
-// Writes that the key-value store has rejected because of their size.
+// Writes that the state service has rejected because of their size.
 #include "controller/oversized_writes.h"
 
 #include <gtest/gtest.h>
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -249,23 +249,25 @@
             "a members request: unexpected bytes after the message");
   std::string report = WritePeerMessage(MembersReport{});
   EXPECT_EQ(DecodeErrorOf(report.substr(0, report.size() - 1)), "a members report: truncated");
-  constexpr size_t kRowCount = 3;  // after the type, an empty name and a flag
-  std::string rows = report.substr(0, kRowCount);
+  constexpr size_t kRowCountOffset = 3;  // after the type, an empty name and a flag
+  std::string rows = report.substr(0, kRowCountOffset);
   PutVarint(rows, 10001);
   EXPECT_EQ(DecodeErrorOf(rows), "a members report: member count has the invalid value 10001");
   MembersReport one;
   one.rows.push_back({"", {0, 0}, model::MemberState::kLeft, true, false, 0, {}, ""});
   std::string state = WritePeerMessage(one);
-  constexpr size_t kState = kRowCount + 1 + 3;  // after the count, a name and an incarnation
-  ASSERT_EQ(state[kState], static_cast<char>(model::MemberState::kLeft));
-  state[kState] = 4;
+  // After the count, a name and an incarnation.
+  constexpr size_t kStateOffset = kRowCountOffset + 1 + 3;
+  ASSERT_EQ(state[kStateOffset], static_cast<char>(model::MemberState::kLeft));
+  state[kStateOffset] = 4;
   EXPECT_EQ(DecodeErrorOf(state), "a members report: member state has the invalid value 4");
   BlockView machine;
   machine.changed.push_back(
       {.machine = "", .machine_type = "", .zone = "", .images = {}, .tasks = {{}}});
   std::string phase = WritePeerMessage(machine);
-  constexpr size_t kPhase = 14;  // after the view's header, the machine, the task's id and attempt
-  phase[kPhase] = 9;
+  // After the view's header, the machine, the task's id and attempt.
+  constexpr size_t kPhaseOffset = 14;
+  phase[kPhaseOffset] = 9;
   EXPECT_EQ(DecodeErrorOf(phase), "a block view: task phase has the invalid value 9");
   std::string response = WritePeerMessage(RelayResponse{0, true, {.status = 0, .body = ""}});
   response.resize(3);  // the type, an id and a flag
--- a/tests/pipeline_end_to_end_test.cc
+++ b/tests/pipeline_end_to_end_test.cc
@@ -58,7 +58,7 @@
       co_await Pause(0.25);
     }
     co_await ExpectAnswer(2, "run-5", R"("done","done":4)", 60);
-    // A job that is submitted long after the jobs it awaits are done, and its repeated submission.
+    // Submits a job long after the jobs that it awaits are done, and repeats the submission.
     const model::JobSpec late = SpecAwaiting("run-6", 4, "run-1", "run-5");
     RememberDependencies(late);
     co_await Submit(1, late);
--- a/tests/placement_proof_test.cc
+++ b/tests/placement_proof_test.cc
@@ -98,8 +98,8 @@
 }
 
 // After a restart the leader knows no machines, and the first heartbeat that arrives is a delayed
-// duplicate from an earlier epoch. It proves nothing because its token is not ours, and the newest
-// heartbeat replaces its contents.
+// duplicate from an earlier epoch. It proves nothing because its token is not the leader's, and the
+// newest heartbeat replaces its contents.
 TEST_F(PlacementProofTest, DuplicateHeartbeatAfterLeaderRestartProvesNothing) {
   CancelJob();
   Heartbeat(1, 40, kFormerToken, 20);
--- a/tests/port_block_test.cc
+++ b/tests/port_block_test.cc
@@ -33,8 +33,8 @@
     EXPECT_FALSE(CanBindExclusively(block.AddressAt(n))) << n;
 }
 
-// Guards against two processes that use the same ports: offsets come from the process ids, and ids
-// that differed by a certain multiple once gave the same ports.
+// Guards against two processes that use the same ports: a process uses its id as the offset, and
+// ids that differ by a multiple of the number of blocks start the search at the same block.
 TEST(PortBlock, SameOffsetGivesDistinctBlocks) {
   const PortBlock one(kOffset), other(kOffset);
   EXPECT_GE(std::abs(one.first() - other.first()), PortBlock::kPorts);
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -167,7 +167,7 @@
       auto record = membership::ReadMember(value);
       if (!record || record->state != model::MemberState::kFailed) return;
       ++failures_declared_;
-      if (!failed_incarnations_.insert({member->node, record->incarnation.session}).second)
+      if (!failed_sessions_.insert({member->node, record->incarnation.session}).second)
         ++failures_declared_twice_;
     });
   }
@@ -217,7 +217,7 @@
   std::vector<std::string> accepted_;
   bool submitted_all_ = false;
   std::string leader_;
-  std::set<std::pair<std::string, uint64_t>> failed_incarnations_;
+  std::set<std::pair<std::string, uint64_t>> failed_sessions_;
   int failures_declared_ = 0;
   int failures_declared_twice_ = 0;
   int leader_overwrites_ = 0;
--- a/tests/records_test.cc
+++ b/tests/records_test.cc
@@ -38,9 +38,9 @@
   return out;
 }
 
-// Guards against newer formats while a node of the old production version runs. That version drops
-// unknown fields when it cancels a job, and rejects longer frames. So until every node is new, all
-// bytes written must equal those that the old version writes.
+// Guards against writing newer formats while a node of the old production version runs. That
+// version drops unknown fields when it cancels a job, and rejects longer frames. So until every
+// node is new, all bytes written must equal those that the old version writes.
 TEST(OldFormat, RecordsAreWrittenByteForByte) {
   auto job = ReadJob(kOldJob);
   ASSERT_TRUE(job);
@@ -81,7 +81,8 @@
   EXPECT_EQ(Hex(wire::WritePeerMessage(response)), "030901c801097b22726576223a357d");
 }
 
-// The same for the leader's transactions, where other code sets the fields of the records.
+// The records in the leader's transactions must also equal those of the old version. Other code
+// sets the fields of these records.
 TEST(OldFormat, TransactionsWriteOldRecordsUntilPackedGroupsAreEnabled) {
   jobs::JobTable job_table(335);
   job_table.Apply(ParseKey(JobKey("run-000412")), std::string(kOldJob));
--- a/tests/response_acknowledgement_test.cc
+++ b/tests/response_acknowledgement_test.cc
@@ -1,4 +1,4 @@
-// Detection of machines whose heartbeats arrive while our responses to them are lost.
+// Detection of machines whose heartbeats arrive while the leader's responses are lost.
 #include "fleet/response_acknowledgement.h"
 
 #include <gtest/gtest.h>
--- a/tests/simulation/blocks_cluster.h
+++ b/tests/simulation/blocks_cluster.h
@@ -74,7 +74,7 @@
 
   // User requests.
   void Submit(const model::JobSpec& spec);
-  // Cancels the job. The user has the confirmation when this returns.
+  // Cancels the job. The user has the confirmation when the call returns.
   void Cancel(const std::string& job);
   void SetLimit(double limit);
 
--- a/tests/simulation/membership_cluster.cc
+++ b/tests/simulation/membership_cluster.cc
@@ -9,7 +9,8 @@
 namespace hallpier::testing_support {
 namespace {
 
-// Long enough for a tick after a rejected proposal, the watch event and a transaction.
+// A node can refute a suspicion within this time, which is long enough for a tick after a rejected
+// proposal, the watch event and a transaction.
 constexpr double kTimeToRefuteS = 1;
 // Renewals of the leader's lease within its duration, as in election/leader_election.cc.
 constexpr double kRenewalsPerLease = 3;
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -16,7 +16,7 @@
 
 // Guards against starvation of the largest job behind a stream of small ones, and of a job class
 // behind an urgent one. A job that has started keeps its usual place in the order until it has
-// waited for twice the bound, and the share of the processors is limited.
+// waited for twice the bound, and the share of the processors that starved jobs may use is limited.
 TEST_F(StarvationTest, JobBeyondWaitBoundStartsRegardlessOfOrder) {
   auto large = Spec("run-1", 900), urgent = Spec("run-2", 40), small = Spec("run-3", 2);
   urgent.priority = model::Priority::kUrgent;
--- a/tests/task_group_test.cc
+++ b/tests/task_group_test.cc
@@ -101,7 +101,8 @@
 }
 
 // Guards against stored groups that are too large to be rewritten after the limits are lowered. The
-// largest group that production ever wrote must fit into a quarter of its value once it is packed.
+// largest group that production ever wrote must fit into a quarter of the old limit once it is
+// packed.
 TEST(PackedTaskGroup, LargestGroupsFitLoweredLimit) {
   for (uint32_t tasks : {TasksPerTextGroup(8), TasksPerPackedGroup(2)}) {
     TaskGroup group;
--- a/tests/team_quota_test.cc
+++ b/tests/team_quota_test.cc
@@ -42,7 +42,8 @@
 }
 
 // A task of a team at its limit was stopped. Until that is recorded, no other task may take its
-// part of the limit, or the next leader may find both. A done task never needs resources again.
+// part of the limit, or the next leader may find both tasks recorded as placed. A done task never
+// needs resources again.
 TEST_F(TeamQuotaTest, OnlyDoneTaskFreesQuotaBeforeItsEndIsRecorded) {
   settings_.teams = {{"team", 0, 1, 0, 0}};
   PutJob(job_table_, Spec("run-1", 1));
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -258,8 +258,9 @@
   Run(LowerLimits(3, 3));
 }
 
-// One node has never been able to record that it is new. The rejection of a write itself proves
-// that all nodes are new, and the rejected writes are sent again in the newer format.
+// One node has never been able to record that it is new. The operators guarantee that the limits
+// are not lowered before all nodes are new, so the rejection of a write proves that they are, and
+// the rejected writes are sent again in the newer format.
 TEST_F(LoweredLimitsTest, RejectionProvesThatAllNodesAreNew) {
   StartServices(3);
   WatchWrites();
--- a/tools/blocks_report/experiments.cc
+++ b/tools/blocks_report/experiments.cc
@@ -15,7 +15,7 @@
 constexpr double kSettleS = 30;
 constexpr double kMeasuredS = 60;
 constexpr uint32_t kTasks = 4;
-constexpr HistogramRange kTimeRange{120, 12000};  // 10 ms
+constexpr HistogramRange kTimeRange{120, 12000};  // bins of 10 ms
 constexpr HistogramRange kFractionRange{2, 2000};
 constexpr HistogramRange kCountRange{20, 2000};
 // Seconds between submissions of kTasks tasks. The light load uses half of the limit of twelve
--- a/tools/membership_report/experiments.cc
+++ b/tools/membership_report/experiments.cc
@@ -15,7 +15,7 @@
 constexpr double kLeaseRatio = 0.5;
 constexpr double kProbeRatio = 1.0 / 16;
 
-constexpr HistogramRange kTimeRange{60, 12000};  // 5 ms
+constexpr HistogramRange kTimeRange{60, 12000};  // bins of 5 ms
 constexpr HistogramRange kCountRange{2000, 2000};
 const std::vector<std::string> kOffAndOn = {"off", "on"};
 
